--- a/crates/core/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -7,7 +7,7 @@
 //! booking node has the [`facade`] do it, and sees neither.
 //!
 //! ```
-//! use gaugestand_core::*;
+//! use gaugestand_admission::*;
 //!
 //! let settings = Settings {
 //!     classes: vec![Class {
--- a/crates/core/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Settings, requests and a small host that carries out actions, for all tests.
 #![allow(dead_code, missing_docs)]
 
-use gaugestand_core::*;
+use gaugestand_admission::*;
 use std::collections::BTreeMap;
 
 pub fn class(effect: Effect) -> Class {
--- a/crates/core/tests/facade.rs
+++ b/crates/admission/tests/facade.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::settings;
-use gaugestand_core::facade::{Arrival, CallEnd, Facade, Micros, Report, RunEnd, Unfit, Verdict};
-use gaugestand_core::register::Moment;
-use gaugestand_core::{Below, RequestId, Settings};
+use gaugestand_admission::facade::{Arrival, CallEnd, Facade, Micros, Report, RunEnd, Unfit, Verdict};
+use gaugestand_admission::register::Moment;
+use gaugestand_admission::{Below, RequestId, Settings};
 use gaugestand_record::Ledger;
 use std::rc::Rc;
 
--- a/crates/core/tests/law.rs
+++ b/crates/admission/tests/law.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{Host, request, settings};
-use gaugestand_core::*;
+use gaugestand_admission::*;
 
 /// Keeps work waiting for a while, each run lasting `ms`, and returns the most that ran at once near the end.
 fn most_running(cores: u32, ms: u64, runnable: f64, end: Outcome) -> usize {
--- a/crates/core/tests/property.rs
+++ b/crates/admission/tests/property.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{Host, request, settings};
-use gaugestand_core::*;
+use gaugestand_admission::*;
 
 fn play(seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
--- a/crates/core/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{Host, request, settings};
-use gaugestand_core::*;
+use gaugestand_admission::*;
 
 fn id(n: u128) -> RequestId {
     RequestId(n)
--- a/crates/fleet/src/shelf.rs
+++ b/crates/fleet/src/shelf.rs
@@ -3,7 +3,7 @@
 use crate::effect::Version;
 use crate::members::{Members, Role};
 use crate::wire::{Base, Entry as Versioned};
-use gaugestand_core::page::{Found, Page};
+use gaugestand_admission::page::{Found, Page};
 use prost::Message as _;
 use raft::prelude::{ConfState, Entry, EntryType, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
--- a/crates/fleet/tests/accord.rs
+++ b/crates/fleet/tests/accord.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{Course, Cuts};
-use gaugestand_core::facade::Micros;
-use gaugestand_core::page::{Found, Page};
+use gaugestand_admission::facade::Micros;
+use gaugestand_admission::page::{Found, Page};
 use gaugestand_fleet::accord::{Accord, Event, Refusal, Setup, Step};
 use gaugestand_fleet::effect::{Acts, Defect, Member, Terms, Version};
 use gaugestand_fleet::members::{Change, Members};
--- a/crates/fleet/tests/effect.rs
+++ b/crates/fleet/tests/effect.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{Course, Cuts};
-use gaugestand_core::facade::Micros;
+use gaugestand_admission::facade::Micros;
 use gaugestand_fleet::effect::{Acts, Defect, Effect, Event, Member, Step, Terms, Version, Voters};
 use std::collections::BTreeMap;
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -2,7 +2,7 @@
 #![forbid(unsafe_code)]
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
-use gaugestand_core::facade::Micros;
+use gaugestand_admission::facade::Micros;
 use gaugestand_lab::fleet;
 use gaugestand_lab::world::{Outcome, play};
 use rayon::prelude::*;
--- a/crates/lab/src/net.rs
+++ b/crates/lab/src/net.rs
@@ -3,9 +3,9 @@
 //! Bytes arrive in order on each connection, in pieces of any size, after a delay drawn from the seed. Nothing
 //! happens between two events; a node that is not woken does nothing.
 
-use gaugestand_core::facade::Micros;
-use gaugestand_core::page::Found;
-use gaugestand_core::register::Moment;
+use gaugestand_admission::facade::Micros;
+use gaugestand_admission::page::Found;
+use gaugestand_admission::register::Moment;
 use gaugestand_node::io::{Claim, Datagram, Kin, Listener, Passed, Ready, Stream, System, Worker};
 use gaugestand_record::row::{Batch, Outcome, Recovery};
 use gaugestand_record::sqlite::Options;
--- a/crates/lab/tests/worlds.rs
+++ b/crates/lab/tests/worlds.rs
@@ -1,6 +1,6 @@
 //! Worlds from fixed seeds: the rules hold, a seed is a world, and the rules can fail.
 
-use gaugestand_core::facade::Micros;
+use gaugestand_admission::facade::Micros;
 use gaugestand_lab::checkers::Rules;
 use gaugestand_lab::world::{Fault, play};
 use rayon::prelude::*;
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration: the BALANCER variables and the JSON file that one of them names.
 
-use gaugestand_core::facade::Micros;
-use gaugestand_core::{
+use gaugestand_admission::facade::Micros;
+use gaugestand_admission::{
     Below, Class, Controller, Effect, Halt, Settings, SettingsError, Signal, Span, Tenant, WorthBy,
 };
 use gaugestand_settings::{Backend, Settings as Operators};
--- a/crates/node/src/cuts.rs
+++ b/crates/node/src/cuts.rs
@@ -3,7 +3,7 @@
 
 use super::request::{Incoming, id_of, id_text};
 use super::{fastcgi, kernel, store};
-use gaugestand_core::RequestId;
+use gaugestand_admission::RequestId;
 use quickcheck::{Arbitrary, Gen};
 
 /// What a parser makes of the start of a buffer: nothing yet, nothing ever, or something of that many bytes.
--- a/crates/node/src/fellows.rs
+++ b/crates/node/src/fellows.rs
@@ -7,9 +7,9 @@
 use super::counters::Counters;
 use super::io::link::{Change, Link};
 use super::io::{Listener, Ready, System, Worker};
-use gaugestand_core::RequestId;
-use gaugestand_core::facade::Micros;
-use gaugestand_core::page::Page;
+use gaugestand_admission::RequestId;
+use gaugestand_admission::facade::Micros;
+use gaugestand_admission::page::Page;
 use gaugestand_fleet::accord::{Accord, Asked, Event, Refusal, Setup, Step};
 use gaugestand_fleet::differ::Content;
 use gaugestand_fleet::effect::{Acts, Member, Terms, Version};
--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -2,7 +2,7 @@
 
 use super::{Stream, System};
 use crate::answer::Outbox;
-use gaugestand_core::facade::Micros;
+use gaugestand_admission::facade::Micros;
 use std::io::{self, Read};
 use std::net::SocketAddr;
 
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -10,9 +10,9 @@
 pub mod poll;
 pub mod real;
 
-use gaugestand_core::facade::Micros;
-use gaugestand_core::page::Found;
-use gaugestand_core::register::Moment;
+use gaugestand_admission::facade::Micros;
+use gaugestand_admission::page::Found;
+use gaugestand_admission::register::Moment;
 use gaugestand_record::row::{Batch, Outcome, Recovery};
 use gaugestand_record::sqlite::Options;
 use std::fmt::Debug;
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -3,9 +3,9 @@
 use super::kin::{self, Door, Lock, UnixKin};
 use super::poll::{Watched, wait};
 use super::{Datagram, Listener, Ready, Stream, System, Worker};
-use gaugestand_core::facade::Micros;
-use gaugestand_core::page::Found;
-use gaugestand_core::register::Moment;
+use gaugestand_admission::facade::Micros;
+use gaugestand_admission::page::Found;
+use gaugestand_admission::register::Moment;
 use gaugestand_record::diary::Diary;
 use gaugestand_record::row::{Batch, Outcome, Recovery};
 use gaugestand_record::sqlite::{Options, Sqlite};
--- a/crates/node/src/kin.rs
+++ b/crates/node/src/kin.rs
@@ -1,12 +1,12 @@
 //! What two processes of one node say to each other: frames of CBOR with a length before them, and sockets that go
-//! along with some. Who is the node, and when that changes, is `gaugestand_core::succession`'s.
+//! along with some. Who is the node, and when that changes, is `gaugestand_admission::succession`'s.
 
 use super::accept::{self, ConnId};
 use super::io::{Kin, Passed, System};
 use super::kernel;
-use gaugestand_core::RequestId;
-use gaugestand_core::facade::{self, CallEnd, Micros};
-use gaugestand_core::register::Moment;
+use gaugestand_admission::RequestId;
+use gaugestand_admission::facade::{self, CallEnd, Micros};
+use gaugestand_admission::register::Moment;
 use gaugestand_record::Copy;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -6,8 +6,8 @@
 use super::counters::Counters;
 use super::io::link::{Change, Link};
 use super::io::{System, Worker};
-use gaugestand_core::facade::Micros;
-use gaugestand_core::register::Moment;
+use gaugestand_admission::facade::Micros;
+use gaugestand_admission::register::Moment;
 use gaugestand_record::postgres::{Event, Fault, Login, Session};
 use gaugestand_record::row::{Batch, Cause, Outcome, Work};
 use gaugestand_record::sqlite::Options;
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,8 +1,8 @@
 //! A request as its records come in: parameters, then the body.
 
 use super::fastcgi;
-use gaugestand_core::RequestId;
-use gaugestand_core::facade::Micros;
+use gaugestand_admission::RequestId;
+use gaugestand_admission::facade::Micros;
 use serde::{Deserialize, Serialize};
 
 /// Longest body.
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -8,8 +8,8 @@
 use super::io::link::{CONNECT, Change, Link};
 use super::io::{Ready, System};
 use super::request::{id_of, id_text};
-use gaugestand_core::RequestId;
-use gaugestand_core::facade::{CallEnd, Micros};
+use gaugestand_admission::RequestId;
+use gaugestand_admission::facade::{CallEnd, Micros};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/node/src/turn/accord.rs
+++ b/crates/node/src/turn/accord.rs
@@ -5,9 +5,9 @@
 use crate::answer::Response;
 use crate::fellows::{self, News};
 use crate::request::TryParams;
-use gaugestand_core::facade::Micros;
-use gaugestand_core::register::Register as _;
-use gaugestand_core::{Effect, Span};
+use gaugestand_admission::facade::Micros;
+use gaugestand_admission::register::Register as _;
+use gaugestand_admission::{Effect, Span};
 use gaugestand_fleet::accord::Refusal;
 use gaugestand_fleet::differ::Content;
 use gaugestand_fleet::effect::Version;
@@ -58,7 +58,7 @@
 /// The classes of a configuration, as a version is looked at.
 fn classes(config: &Config) -> Vec<Class> {
     let secs = |s: Span| s.0 as f64 / 1e9;
-    let of = |(name, c): (&String, &gaugestand_core::Class)| Class {
+    let of = |(name, c): (&String, &gaugestand_admission::Class)| Class {
         name: name.clone(),
         keyed: c.effect == Effect::Keyed,
         window_s: secs(c.dedup_window),
--- a/crates/node/src/turn/succeed.rs
+++ b/crates/node/src/turn/succeed.rs
@@ -1,10 +1,10 @@
-//! Carries out what `gaugestand_core::succession` decides: the link to the process before this one and to the one
+//! Carries out what `gaugestand_admission::succession` decides: the link to the process before this one and to the one
 //! after it, the claim, and what passes between them.
 
 use super::*;
 use crate::io::{Claim as _, Listener, Passed};
 use crate::kin::{self, Broken, Frame, Rest, Wire, With};
-use gaugestand_core::succession::{Event, Role, Step, Succession};
+use gaugestand_admission::succession::{Event, Role, Step, Succession};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
--- a/crates/record/src/diary.rs
+++ b/crates/record/src/diary.rs
@@ -5,7 +5,7 @@
 
 use crate::row::{Cause, Outcome, Work};
 use crate::sqlite::{Form, OpenError, Options, open_error, serve, take, transaction};
-use gaugestand_core::page::{Found, Page};
+use gaugestand_admission::page::{Found, Page};
 use rusqlite::{Connection, params};
 use std::fs::File;
 use std::path::Path;
--- a/crates/record/src/ledger.rs
+++ b/crates/record/src/ledger.rs
@@ -14,9 +14,9 @@
 //! with each call, randomness from a seed; it owns no socket, file or thread.
 
 use crate::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
-use gaugestand_core::RequestId;
-use gaugestand_core::facade::Micros;
-use gaugestand_core::register::*;
+use gaugestand_admission::RequestId;
+use gaugestand_admission::facade::Micros;
+use gaugestand_admission::register::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::{BuildHasher, RandomState};
--- a/crates/record/src/row.rs
+++ b/crates/record/src/row.rs
@@ -1,6 +1,6 @@
 //! What the ledger and the backends say to each other: rows, writes, batches and how they ended.
 
-use gaugestand_core::page::Page;
+use gaugestand_admission::page::Page;
 use std::fmt;
 
 /// What a row says of its key.
--- a/crates/record/tests/diary.rs
+++ b/crates/record/tests/diary.rs
@@ -1,6 +1,6 @@
 //! A fleet's log on disk: what is written is found, and a file that is not this node's, or not whole, is left alone.
 
-use gaugestand_core::page::Page;
+use gaugestand_admission::page::Page;
 use gaugestand_record::diary::Diary;
 use gaugestand_record::row::Outcome;
 use gaugestand_record::sqlite::{Options, Sqlite};
--- a/crates/record/tests/ledger.rs
+++ b/crates/record/tests/ledger.rs
@@ -1,8 +1,8 @@
 //! The ledger by itself: windows on both clocks, bounds, the breaker and its probes, recovery.
 
-use gaugestand_core::RequestId;
-use gaugestand_core::facade::Micros;
-use gaugestand_core::register::*;
+use gaugestand_admission::RequestId;
+use gaugestand_admission::facade::Micros;
+use gaugestand_admission::register::*;
 use gaugestand_record::row::{Cause, Outcome, Recovery, Row, State, Work, Write};
 use gaugestand_record::{Breaker, Ledger, Limits};
 use std::rc::Rc;
--- a/crates/record/tests/model.rs
+++ b/crates/record/tests/model.rs
@@ -3,9 +3,9 @@
 //!
 //! Bound: three tries of one key, up to `depth()` steps, two crashes, two stalls, two breaks, one due time passed.
 
-use gaugestand_core::facade::{Arrival, Facade, Micros, Report, RunEnd, Verdict};
-use gaugestand_core::register::Moment;
-use gaugestand_core::{Below, Class, Effect, Halt, RequestId, Settings, Signal, Span, WorthBy};
+use gaugestand_admission::facade::{Arrival, Facade, Micros, Report, RunEnd, Verdict};
+use gaugestand_admission::register::Moment;
+use gaugestand_admission::{Below, Class, Effect, Halt, RequestId, Settings, Signal, Span, WorthBy};
 use gaugestand_record::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
 use gaugestand_record::{Ledger, Limits};
 use stateright::{Checker, Model, Property};
--- a/src/bin/gaugestand-drill/main.rs
+++ b/src/bin/gaugestand-drill/main.rs
@@ -3,7 +3,7 @@
 
 mod wire;
 
-use gaugestand_core::{Action, Controller, Event, Time};
+use gaugestand_admission::{Action, Controller, Event, Time};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
--- a/src/bin/gaugestand-drill/wire.rs
+++ b/src/bin/gaugestand-drill/wire.rs
@@ -1,6 +1,6 @@
 //! Lines of the simulator's wire to events, and actions to lines.
 
-use gaugestand_core::{
+use gaugestand_admission::{
     Action, Below, Class, Effect, Event, Gauges, Halt, Outcome, Request, RequestId, Settings, SettingsError,
     Signal, Span, Tenant, Time, WorthBy,
 };
