--- a/benches/record.rs
+++ b/benches/record.rs
@@ -6,10 +6,10 @@
 #[path = "../tests/peers/mod.rs"]
 mod peers;
 
-use gaugestand_record::postgres::Login;
-use gaugestand_record::remote::Remote;
-use gaugestand_record::row::{Batch, Outcome, Row, State, Work, Write};
-use gaugestand_record::sqlite::{Options, Sqlite};
+use gaugestand_idempotency::postgres::Login;
+use gaugestand_idempotency::remote::Remote;
+use gaugestand_idempotency::row::{Batch, Outcome, Row, State, Work, Write};
+use gaugestand_idempotency::sqlite::{Options, Sqlite};
 use gaugestand_standins::kernel::AutoKernel;
 use gaugestand_standins::postgres::Postgres;
 use hdrhistogram::Histogram;
--- a/crates/admission/tests/facade.rs
+++ b/crates/admission/tests/facade.rs
@@ -6,7 +6,7 @@
 use gaugestand_admission::facade::{Arrival, CallEnd, Facade, Micros, Report, RunEnd, Unfit, Verdict};
 use gaugestand_admission::register::Moment;
 use gaugestand_admission::{Below, RequestId, Settings};
-use gaugestand_record::Ledger;
+use gaugestand_idempotency::Ledger;
 use std::rc::Rc;
 
 const PURE: usize = 0;
--- a/crates/record/tests/diary.rs
+++ b/crates/idempotency/tests/diary.rs
@@ -1,9 +1,9 @@
 //! A fleet's log on disk: what is written is found, and a file that is not this node's, or not whole, is left alone.
 
 use gaugestand_admission::page::Page;
-use gaugestand_record::diary::Diary;
-use gaugestand_record::row::Outcome;
-use gaugestand_record::sqlite::{Options, Sqlite};
+use gaugestand_idempotency::diary::Diary;
+use gaugestand_idempotency::row::Outcome;
+use gaugestand_idempotency::sqlite::{Options, Sqlite};
 use rusqlite::Connection;
 use std::fs;
 use std::path::PathBuf;
--- a/crates/record/tests/ledger.rs
+++ b/crates/idempotency/tests/ledger.rs
@@ -3,8 +3,8 @@
 use gaugestand_admission::RequestId;
 use gaugestand_admission::facade::Micros;
 use gaugestand_admission::register::*;
-use gaugestand_record::row::{Cause, Outcome, Recovery, Row, State, Work, Write};
-use gaugestand_record::{Breaker, Ledger, Limits};
+use gaugestand_idempotency::row::{Cause, Outcome, Recovery, Row, State, Work, Write};
+use gaugestand_idempotency::{Breaker, Ledger, Limits};
 use std::rc::Rc;
 
 /// The window of the class: 29,220 ms, as the site has it.
--- a/crates/record/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -6,8 +6,8 @@
 use gaugestand_admission::facade::{Arrival, Facade, Micros, Report, RunEnd, Verdict};
 use gaugestand_admission::register::Moment;
 use gaugestand_admission::{Below, Class, Effect, Halt, RequestId, Settings, Signal, Span, WorthBy};
-use gaugestand_record::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
-use gaugestand_record::{Ledger, Limits};
+use gaugestand_idempotency::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
+use gaugestand_idempotency::{Ledger, Limits};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
--- a/crates/record/tests/stores.rs
+++ b/crates/idempotency/tests/stores.rs
@@ -1,10 +1,10 @@
 //! Both backends by themselves: what they promise of a batch, and what they say when they can't be used.
 
-use gaugestand_record::postgres::{Login, Session};
-use gaugestand_record::remote::Remote;
-use gaugestand_record::row::{Batch, Cause, Outcome, Row, State, Work, Write};
-use gaugestand_record::sqlite::{self, Options, Sqlite};
-use gaugestand_record::worker::{self, Worker};
+use gaugestand_idempotency::postgres::{Login, Session};
+use gaugestand_idempotency::remote::Remote;
+use gaugestand_idempotency::row::{Batch, Cause, Outcome, Row, State, Work, Write};
+use gaugestand_idempotency::sqlite::{self, Options, Sqlite};
+use gaugestand_idempotency::worker::{self, Worker};
 use gaugestand_standins::postgres::{Fault, Postgres};
 use std::io::Read;
 use std::os::unix::net::UnixStream;
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -1,6 +1,6 @@
 //! What the node took in, sent and answered.
 
-use gaugestand_record::Figures;
+use gaugestand_idempotency::Figures;
 use std::fmt;
 
 macro_rules! counters {
--- a/crates/node/src/fellows.rs
+++ b/crates/node/src/fellows.rs
@@ -16,7 +16,7 @@
 use gaugestand_fleet::gate::{self, Ruling};
 use gaugestand_fleet::members::{Change as Membership, MOST_MEMBERS, Members, Role};
 use gaugestand_fleet::wire::{Body, MOST_MESSAGE, Stamp, Unfit};
-use gaugestand_record::row::{Batch, Outcome, Work};
+use gaugestand_idempotency::row::{Batch, Outcome, Work};
 use gaugestand_settings::{Fleet, Lists};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/node/src/kin.rs
+++ b/crates/node/src/kin.rs
@@ -7,7 +7,7 @@
 use gaugestand_admission::RequestId;
 use gaugestand_admission::facade::{self, CallEnd, Micros};
 use gaugestand_admission::register::Moment;
-use gaugestand_record::Copy;
+use gaugestand_idempotency::Copy;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::io;
--- a/crates/node/src/turn.rs
+++ b/crates/node/src/turn.rs
@@ -24,7 +24,7 @@
 use gaugestand_admission::facade::{Arrival, CallEnd, Facade, Micros, Report, RunEnd, Unfit, Verdict};
 use gaugestand_admission::register::Register as _;
 use gaugestand_admission::{Effect, RequestId, SettingsError, succession};
-use gaugestand_record::{Breaker, Ledger};
+use gaugestand_idempotency::{Breaker, Ledger};
 use gaugestand_settings::Backend;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::collections::BTreeMap;
--- a/crates/standins/src/postgres.rs
+++ b/crates/standins/src/postgres.rs
@@ -6,7 +6,7 @@
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
-use gaugestand_record::postgres::sql;
+use gaugestand_idempotency::postgres::sql;
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -116,7 +116,7 @@
     pub fn start(password: &str) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let db = Db { version: gaugestand_record::postgres::VERSION, ..Db::default() };
+        let db = Db { version: gaugestand_idempotency::postgres::VERSION, ..Db::default() };
         let shared = Shared { db: Mutex::new(db), changed: Condvar::new(), password: password.into() };
         let mut server = Postgres { shared: Arc::new(shared), address, listener: None };
         server.serve(listener)?;
--- a/src/record.rs
+++ b/src/record.rs
@@ -2,10 +2,10 @@
 
 use crate::Failure;
 use gaugestand_node::record::password;
-use gaugestand_record::postgres::Login;
-use gaugestand_record::remote::Remote;
-use gaugestand_record::row::{Outcome, Row, State};
-use gaugestand_record::sqlite::{self, Options, Sqlite};
+use gaugestand_idempotency::postgres::Login;
+use gaugestand_idempotency::remote::Remote;
+use gaugestand_idempotency::row::{Outcome, Row, State};
+use gaugestand_idempotency::sqlite::{self, Options, Sqlite};
 use gaugestand_settings::Backend;
 use serde::Serialize;
 use std::env;
