--- a/crates/fleet/tests/accord.rs
+++ b/crates/cluster/tests/accord.rs
@@ -6,9 +6,9 @@
 use common::{Course, Cuts};
 use gaugestand_admission::facade::Micros;
 use gaugestand_admission::page::{Found, Page};
-use gaugestand_fleet::accord::{Accord, Event, Refusal, Setup, Step};
-use gaugestand_fleet::effect::{Acts, Defect, Member, Terms, Version};
-use gaugestand_fleet::members::{Change, Members};
+use gaugestand_cluster::accord::{Accord, Event, Refusal, Setup, Step};
+use gaugestand_cluster::effect::{Acts, Defect, Member, Terms, Version};
+use gaugestand_cluster::members::{Change, Members};
 use std::collections::BTreeMap;
 
 const LEASE: Micros = Micros::millis(600);
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -224,7 +224,7 @@
         change: impl Fn(usize, &mut Value),
     ) -> Result<Rig, String> {
         let (serial, nodes) = (std::process::id(), began + spares);
-        let folder = std::env::temp_dir().join(format!("gaugestand-fleet-{serial}-{seed}-{nodes}"));
+        let folder = std::env::temp_dir().join(format!("gaugestand-cluster-{serial}-{seed}-{nodes}"));
         fs::create_dir_all(&folder).map_err(io_text("a folder"))?;
         let guard = Guard::over(&folder).map_err(io_text("a guard over the processes"))?;
         let fellows: Vec<_> = (0..nodes).map(|_| Arc::new(Mutex::new(None))).collect();
--- a/crates/node/src/fellows.rs
+++ b/crates/node/src/fellows.rs
@@ -1,6 +1,6 @@
 //! The other nodes of the fleet: links to them, the agreed log's file, and what this node may act on.
 //!
-//! All decisions are `gaugestand_fleet`'s. This carries them out: frames by length over one connection a pair, pages to the
+//! All decisions are `gaugestand_cluster`'s. This carries them out: frames by length over one connection a pair, pages to the
 //! worker in their order, proposals of operators and their answers. A link that breaks proves nothing; what a slow fellow has
 //! no room for is dropped, as the log's library and the leases say it again.
 
@@ -10,12 +10,12 @@
 use gaugestand_admission::RequestId;
 use gaugestand_admission::facade::Micros;
 use gaugestand_admission::page::Page;
-use gaugestand_fleet::accord::{Accord, Asked, Event, Refusal, Setup, Step};
-use gaugestand_fleet::differ::Content;
-use gaugestand_fleet::effect::{Acts, Member, Terms, Version};
-use gaugestand_fleet::gate::{self, Ruling};
-use gaugestand_fleet::members::{Change as Membership, MOST_MEMBERS, Members, Role};
-use gaugestand_fleet::wire::{Body, MOST_MESSAGE, Stamp, Unfit};
+use gaugestand_cluster::accord::{Accord, Asked, Event, Refusal, Setup, Step};
+use gaugestand_cluster::differ::Content;
+use gaugestand_cluster::effect::{Acts, Member, Terms, Version};
+use gaugestand_cluster::gate::{self, Ruling};
+use gaugestand_cluster::members::{Change as Membership, MOST_MEMBERS, Members, Role};
+use gaugestand_cluster::wire::{Body, MOST_MESSAGE, Stamp, Unfit};
 use gaugestand_idempotency::row::{Batch, Outcome, Work};
 use gaugestand_settings::{Fleet, Lists};
 use serde_json::{Value, json};
@@ -48,7 +48,7 @@
 /// Terms with the defect that the environment names.
 #[cfg(feature = "planted")]
 fn planted(terms: Terms) -> Result<Terms, String> {
-    use gaugestand_fleet::effect::Defect;
+    use gaugestand_cluster::effect::Defect;
     let Ok(name) = std::env::var("GAUGESTAND_PLANTED") else { return Ok(terms) };
     let defect = Defect::named(&name).ok_or_else(|| {
         let known: Vec<&str> = Defect::NAMED.iter().map(|d| d.0).collect();
@@ -404,7 +404,7 @@
     /// How the fleet stands, as this node sees it.
     pub fn status(&self, now: Micros) -> Value {
         let all = self.accord.members();
-        let member = |node: &gaugestand_fleet::members::Node| {
+        let member = |node: &gaugestand_cluster::members::Node| {
             let peer = self.peers.get(&node.number);
             let (me, heard) = (node.number == self.stamp.me, peer.is_some_and(|p| p.over.is_some()));
             let address = peer.and_then(|p| p.address).unwrap_or(if me { self.own } else { node.address });
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,8 +1,8 @@
 //! The sub-commands about what the fleet agrees on: each asks one node, at its second address.
 
 use crate::Failure;
-use gaugestand_fleet::differ::{self, Content, Kind};
-use gaugestand_fleet::wire::MOST_CONTENT;
+use gaugestand_cluster::differ::{self, Content, Kind};
+use gaugestand_cluster::wire::MOST_CONTENT;
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
