--- a/benches/upgrade.rs
+++ b/benches/upgrade.rs
@@ -5,7 +5,7 @@
 #[path = "../tests/peers/mod.rs"]
 mod peers;
 
-use gaugestand_standins::kernel::AutoKernel;
+use gaugestand_fakes::kernel::AutoKernel;
 use peers::*;
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/idempotency/tests/stores.rs
+++ b/crates/idempotency/tests/stores.rs
@@ -5,7 +5,7 @@
 use gaugestand_idempotency::row::{Batch, Cause, Outcome, Row, State, Work, Write};
 use gaugestand_idempotency::sqlite::{self, Options, Sqlite};
 use gaugestand_idempotency::worker::{self, Worker};
-use gaugestand_standins::postgres::{Fault, Postgres};
+use gaugestand_fakes::postgres::{Fault, Postgres};
 use std::io::Read;
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -8,8 +8,8 @@
 
 use crate::guard::Guard;
 use crate::standins::gateway::{Gateway, Verdict};
-use gaugestand_standins::kernel::AutoKernel;
-use gaugestand_standins::relay::{Relay, Way};
+use gaugestand_fakes::kernel::AutoKernel;
+use gaugestand_fakes::relay::{Relay, Way};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use gaugestand_lab::fleet::{CONTRADICT_MS, Fault, Rig, bars, plan, play, subject};
 use gaugestand_lab::standins::gateway::Verdict;
-use gaugestand_standins::relay::Way;
+use gaugestand_fakes::relay::Way;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::TcpStream;
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -2,8 +2,8 @@
 
 mod peers;
 
-use gaugestand_standins::kernel::AutoKernel;
-use gaugestand_standins::postgres::{Fault, Postgres};
+use gaugestand_fakes::kernel::AutoKernel;
+use gaugestand_fakes::postgres::{Fault, Postgres};
 use peers::*;
 use rusqlite::Connection;
 use serde_json::Value;
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -2,7 +2,7 @@
 
 mod peers;
 
-use gaugestand_standins::kernel::AutoKernel;
+use gaugestand_fakes::kernel::AutoKernel;
 use peers::spoiler::Spoiler;
 use peers::*;
 use serde_json::json;
