--- a/crates/lab/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -3,8 +3,8 @@
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
 use gaugestand_admission::facade::Micros;
-use gaugestand_lab::fleet;
-use gaugestand_lab::world::{Outcome, play};
+use gaugestand_simulation::fleet;
+use gaugestand_simulation::world::{Outcome, play};
 use rayon::prelude::*;
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -95,7 +95,7 @@
     for (at, fault) in &outcome.plan {
         println!("  {:>10} us  {fault:?}", at.0);
     }
-    println!("  again: gaugestand-lab replay {} --trace", outcome.seed);
+    println!("  again: gaugestand-sim replay {} --trace", outcome.seed);
 }
 
 fn run(seeds: &str, secs: u64, jobs: Option<usize>, json: bool) -> Result<bool, String> {
@@ -177,7 +177,7 @@
         }
         if !outcome.violations.is_empty() {
             plan.iter().for_each(|(at, fault)| println!("  {at:>6} ms  {fault:?}"));
-            println!("  again: gaugestand-lab fleet --nodes {nodes} --seed {seed} --secs {secs}");
+            println!("  again: gaugestand-sim fleet --nodes {nodes} --seed {seed} --secs {secs}");
         }
         violations += outcome.violations.len();
     }
@@ -240,7 +240,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(problem) => {
-            eprintln!("gaugestand-lab: {problem}");
+            eprintln!("gaugestand-sim: {problem}");
             ExitCode::from(2)
         }
     }
--- a/crates/lab/tests/worlds.rs
+++ b/crates/simulation/tests/worlds.rs
@@ -1,8 +1,8 @@
 //! Worlds from fixed seeds: the rules hold, a seed is a world, and the rules can fail.
 
 use gaugestand_admission::facade::Micros;
-use gaugestand_lab::checkers::Rules;
-use gaugestand_lab::world::{Fault, play};
+use gaugestand_simulation::checkers::Rules;
+use gaugestand_simulation::world::{Fault, play};
 use rayon::prelude::*;
 use std::collections::BTreeSet;
 
@@ -15,7 +15,7 @@
     let broken: Vec<_> = outcomes.iter().filter(|o| !o.violations.is_empty()).collect();
     assert!(broken.is_empty(), "{broken:?}");
     // They saw something: requests of all endings, and faults of every kind.
-    let sum = |of: fn(&gaugestand_lab::world::Outcome) -> u64| outcomes.iter().map(of).sum::<u64>();
+    let sum = |of: fn(&gaugestand_simulation::world::Outcome) -> u64| outcomes.iter().map(of).sum::<u64>();
     assert!(sum(|o| o.served) > 10_000 && sum(|o| o.refused) > 100 && sum(|o| o.failed) > 0);
     assert!(sum(|o| o.skipped) > 20, "{} calls left out", sum(|o| o.skipped));
     let kinds: BTreeSet<_> = outcomes
@@ -30,7 +30,7 @@
 #[test]
 fn a_seed_is_a_world_and_another_seed_another() {
     let busy = (0..50)
-        .find(|s| gaugestand_lab::world::plan(*s, SECS).iter().any(|(_, f)| matches!(f, Fault::Death(_))));
+        .find(|s| gaugestand_simulation::world::plan(*s, SECS).iter().any(|(_, f)| matches!(f, Fault::Death(_))));
     let seed = busy.expect("a world with a death");
     let (a, b) = (play(seed, SECS, &BTreeSet::new(), false), play(seed, SECS, &BTreeSet::new(), true));
     assert_eq!((&a.digest, a.tries, a.served), (&b.digest, b.tries, b.served));
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -3,7 +3,7 @@
 
 mod peers;
 
-use gaugestand_lab::site::{Kind, Site};
+use gaugestand_simulation::site::{Kind, Site};
 use peers::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
