--- a/crates/admission/src/facade.rs
+++ b/crates/admission/src/facade.rs
@@ -6,7 +6,7 @@
 //! stored results and windows, the announced capacity, health and the drain. It knows no protocol.
 
 use crate::classes::Plan;
-use crate::decide::Controller;
+use crate::controller::Controller;
 use crate::interface::*;
 use crate::register::{Begin, Ended, Found, Join, Moment, Register, RunResult, Settled};
 use serde::{Deserialize, Serialize};
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -74,12 +74,12 @@
 #![forbid(unsafe_code)]
 
 pub mod classes;
-mod decide;
+mod controller;
 pub mod facade;
 mod interface;
 pub mod page;
 pub mod register;
 pub mod succession;
 
-pub use decide::Controller;
+pub use controller::Controller;
 pub use interface::*;
