--- a/crates/admission/src/facade.rs
+++ b/crates/admission/src/engine.rs
@@ -1,7 +1,7 @@
 //! The blocking-style face of the decisions, for whatever speaks to the outside.
 //!
-//! A front tells of a request with [`Facade::pick`], of everything that happens later with
-//! [`Facade::report`], and lets time pass with [`Facade::tick`]; each appends [`Verdict`]s. The facade owns
+//! A front tells of a request with [`Engine::pick`], of everything that happens later with
+//! [`Engine::report`], and lets time pass with [`Engine::tick`]; each appends [`Verdict`]s. The engine owns
 //! what no front should know of: the controller's events and actions, its timers, the table of keys with
 //! stored results and windows, the announced capacity, health and the drain. It knows no protocol.
 
@@ -203,7 +203,7 @@
     OtherBody,
 }
 
-/// What the facade knows of one try.
+/// What the engine knows of one try.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Try {
     class: usize,
@@ -221,7 +221,7 @@
     calling: bool,
 }
 
-/// All of a facade but its table of keys: what another process needs to go on in its place. Times are those of the
+/// All of a engine but its table of keys: what another process needs to go on in its place. Times are those of the
 /// clock that it was made under.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Carried {
@@ -239,7 +239,7 @@
 
 /// The controller with all that it needs of a host; see the module's page.
 #[derive(Debug)]
-pub struct Facade<R> {
+pub struct Engine<R> {
     settings: Settings,
     /// Which classes, by slot, take requests.
     open: Vec<bool>,
@@ -262,11 +262,11 @@
     pending: Vec<Event>,
 }
 
-impl<R: Register> Facade<R> {
-    /// A facade for a program that has just started, with its table of keys; settings that make no sense are named.
+impl<R: Register> Engine<R> {
+    /// A engine for a program that has just started, with its table of keys; settings that make no sense are named.
     pub fn new(settings: Settings, seed: u64, register: R) -> Result<Self, SettingsError> {
         Controller::new(settings.clone(), seed)?;
-        Ok(Facade {
+        Ok(Engine {
             open: vec![true; settings.classes.len()],
             settings,
             seed,
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Lets go of all but the table of keys: another facade goes on in its place.
+    /// Lets go of all but the table of keys: another engine goes on in its place.
     pub fn retire(&mut self) {
         self.controller = None;
         self.tries.clear();
@@ -343,7 +343,7 @@
         self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default().into()
     }
 
-    /// Goes on in the place of another facade.
+    /// Goes on in the place of another engine.
     pub fn resume(&mut self, carried: Carried) {
         (self.settings, self.open) = (carried.settings, carried.open);
         self.controller = carried.controller;
@@ -373,7 +373,7 @@
         self.controller.is_some() && self.good && self.drain.is_none() && self.register.is_ready()
     }
 
-    /// The table of keys, for whoever carries its writes out. After any change to it [`Facade::tick`] is owed.
+    /// The table of keys, for whoever carries its writes out. After any change to it [`Engine::tick`] is owed.
     pub fn register(&mut self) -> &mut R {
         &mut self.register
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -4,7 +4,7 @@
 //! requests on the cores, their latency and the arrival rate; requests above it are turned away at once
 //! while the cores are busy. It keeps no clock, thread or socket of its own: the worker hands it batches
 //! of [`Event`]s and carries out the [`Action`]s it gets back. The simulator's adapter does that itself; the
-//! booking node has the [`facade`] do it, and sees neither.
+//! booking node has the [`engine`] do it, and sees neither.
 //!
 //! ```
 //! use gaugestand_admission::*;
@@ -75,7 +75,7 @@
 
 pub mod classes;
 mod controller;
-pub mod facade;
+pub mod engine;
 mod interface;
 pub mod page;
 pub mod register;
--- a/crates/admission/src/register.rs
+++ b/crates/admission/src/register.rs
@@ -1,10 +1,10 @@
-//! What the facade asks of the one table of keys, whoever keeps it.
+//! What the engine asks of the one table of keys, whoever keeps it.
 //!
-//! The facade decides nothing about keys itself: which try of a keyed request may run, what its repeats get and
+//! The engine decides nothing about keys itself: which try of a keyed request may run, what its repeats get and
 //! when an answer may go out is the register's. It is asked in the order in which things happen, answers at
 //! once, and tells later what has settled since ([`Register::settled`]). It has no clock and does no I/O.
 
-use crate::facade::Micros;
+use crate::engine::Micros;
 use crate::interface::RequestId;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
--- a/crates/admission/tests/facade.rs
+++ b/crates/admission/tests/engine.rs
@@ -1,9 +1,9 @@
-//! What the facade makes of requests, reports and time: verdicts, with no socket.
+//! What the engine makes of requests, reports and time: verdicts, with no socket.
 
 mod common;
 
 use common::settings;
-use gaugestand_admission::facade::{Arrival, CallEnd, Facade, Micros, Report, RunEnd, Unfit, Verdict};
+use gaugestand_admission::engine::{Arrival, CallEnd, Engine, Micros, Report, RunEnd, Unfit, Verdict};
 use gaugestand_admission::register::Moment;
 use gaugestand_admission::{Below, RequestId, Settings};
 use gaugestand_idempotency::Ledger;
@@ -12,9 +12,9 @@
 const PURE: usize = 0;
 const KEYED: usize = 1;
 
-/// A facade whose work is up, and its clock.
+/// A engine whose work is up, and its clock.
 struct Desk {
-    facade: Facade<Ledger>,
+    engine: Engine<Ledger>,
     now: Micros,
 }
 
@@ -26,8 +26,8 @@
     fn with(change: impl FnOnce(&mut Settings)) -> Self {
         let mut settings = Settings { below: Below::Tier, ..settings() };
         change(&mut settings);
-        let facade = Facade::new(settings, 1, Ledger::volatile()).expect("sound settings");
-        let mut desk = Desk { facade, now: Micros::millis(3_600_000) };
+        let engine = Engine::new(settings, 1, Ledger::volatile()).expect("sound settings");
+        let mut desk = Desk { engine, now: Micros::millis(3_600_000) };
         desk.report(Report::Booted { cold: false, age: Micros(0) });
         desk
     }
@@ -65,12 +65,12 @@
         };
         change(&mut arrival);
         let mut out = Vec::new();
-        self.facade.pick(self.moment(), arrival, &mut out).map(|()| out)
+        self.engine.pick(self.moment(), arrival, &mut out).map(|()| out)
     }
 
     fn report(&mut self, report: Report) -> Vec<Verdict> {
         let mut out = Vec::new();
-        self.facade.report(self.moment(), report, &mut out);
+        self.engine.report(self.moment(), report, &mut out);
         out
     }
 
@@ -83,7 +83,7 @@
         let mut out = Vec::new();
         for _ in 0..ms / 4 {
             self.now = self.now.plus(Micros::millis(4));
-            let wake = self.facade.tick(self.moment(), &mut out);
+            let wake = self.engine.tick(self.moment(), &mut out);
             assert!(wake.is_some_and(|w| w > self.now), "it wakes again, and not at once");
         }
         out.retain(|v| !matches!(v, Verdict::Gauge | Verdict::IdleLimit(_)));
@@ -109,7 +109,7 @@
         |v: &Verdict| matches!(v, Verdict::Fail { id: RequestId(1), stay_away, .. } if stay_away.0 > 0);
     assert!(out.iter().any(fails) && out.contains(&Verdict::Stop(id(1))), "{out:?}");
     assert!(!out.iter().any(|v| matches!(v, Verdict::Refuse { .. })), "{out:?}");
-    assert_eq!(desk.facade.owed(), 0);
+    assert_eq!(desk.engine.owed(), 0);
     assert_eq!(desk.report(Report::Ended(id(1), RunEnd::Cut)), [Verdict::Forget(id(1))]);
 }
 
@@ -204,18 +204,18 @@
 fn after_the_notice_to_leave_nothing_late_runs_and_all_is_answered_before_the_stop() {
     let mut desk = Desk::new();
     assert_eq!(desk.pick(1, KEYED, 0), [Verdict::Run(id(1))]);
-    assert!(desk.facade.healthy());
+    assert!(desk.engine.healthy());
     let stop = desk.now.plus(Micros::millis(1900));
     // The notice came 300 ms ago, and the grace is a second.
     let notice = desk.now.since(Micros::millis(300));
     desk.report(Report::Drain { notice, stop });
-    assert!(!desk.facade.healthy());
+    assert!(!desk.engine.healthy());
     desk.pass(740);
     let out = desk.pick(2, PURE, 0);
     assert!(out.iter().any(|v| matches!(v, Verdict::Refuse { id: RequestId(2), .. })), "{out:?}");
     desk.pass(1140);
     assert!(desk.now < stop);
-    assert_eq!(desk.facade.owed(), 0);
+    assert_eq!(desk.engine.owed(), 0);
 }
 
 /// When a try is answered that came with this patience, in ms after it came to the machine; nothing ever ends its run.
--- a/crates/admission/tests/succession.rs
+++ b/crates/admission/tests/succession.rs
@@ -3,7 +3,7 @@
 //! What is modelled around the real machine: the claim (let go of by a death), the link as two queues whose bytes outlive
 //! the death of the side that wrote them, and one key: what each process knows of it.
 
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use gaugestand_admission::succession::{Event, Role, Step, Succession};
 use stateright::{Checker, Model, Property};
 use std::collections::VecDeque;
--- a/crates/cluster/src/accord.rs
+++ b/crates/cluster/src/accord.rs
@@ -10,7 +10,7 @@
 use crate::members::{Change, Members, Number, Refused, Seen};
 use crate::shelf::{Shelf, raft_id, version_of};
 use crate::wire::{Answer, Ask, Body, Check, Checked, Entry as Versioned, Forward, MOST_CONTENT};
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use gaugestand_admission::page::{Found, Page};
 use prost::Message as _;
 use protobuf::Message as _;
--- a/crates/cluster/tests/accord.rs
+++ b/crates/cluster/tests/accord.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Course, Cuts};
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use gaugestand_admission::page::{Found, Page};
 use gaugestand_cluster::accord::{Accord, Event, Refusal, Setup, Step};
 use gaugestand_cluster::effect::{Acts, Defect, Member, Terms, Version};
--- a/crates/idempotency/src/ledger.rs
+++ b/crates/idempotency/src/ledger.rs
@@ -15,7 +15,7 @@
 
 use crate::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
 use gaugestand_admission::RequestId;
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use gaugestand_admission::register::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet, VecDeque};
--- a/crates/idempotency/tests/ledger.rs
+++ b/crates/idempotency/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger by itself: windows on both clocks, bounds, the breaker and its probes, recovery.
 
 use gaugestand_admission::RequestId;
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use gaugestand_admission::register::*;
 use gaugestand_idempotency::row::{Cause, Outcome, Recovery, Row, State, Work, Write};
 use gaugestand_idempotency::{Breaker, Ledger, Limits};
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -1,9 +1,9 @@
-//! The ledger itself behind the facade, checked by stateright in every order of crashes, stalls, late successes and
+//! The ledger itself behind the engine, checked by stateright in every order of crashes, stalls, late successes and
 //! retries up to a bound: a state is the history of steps, replayed through the real code.
 //!
 //! Bound: three tries of one key, up to `depth()` steps, two crashes, two stalls, two breaks, one due time passed.
 
-use gaugestand_admission::facade::{Arrival, Facade, Micros, Report, RunEnd, Verdict};
+use gaugestand_admission::engine::{Arrival, Engine, Micros, Report, RunEnd, Verdict};
 use gaugestand_admission::register::Moment;
 use gaugestand_admission::{Below, Class, Effect, Halt, RequestId, Settings, Signal, Span, WorthBy};
 use gaugestand_idempotency::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
@@ -40,7 +40,7 @@
 
 /// What can be seen from outside, and what may still happen.
 struct World {
-    facade: Facade<Ledger>,
+    engine: Engine<Ledger>,
     now: Moment,
     /// Runs begun in the present life that have not ended.
     running: Vec<RequestId>,
@@ -104,16 +104,16 @@
     }
 }
 
-fn facade() -> Facade<Ledger> {
+fn engine() -> Engine<Ledger> {
     let limits = Limits { window: Micros::millis(29_220), ..Limits::default() };
-    Facade::new(settings(), 1, Ledger::durable(limits, 1)).expect("sound settings")
+    Engine::new(settings(), 1, Ledger::durable(limits, 1)).expect("sound settings")
 }
 
 impl World {
     fn new(no_intent: bool) -> Self {
         let now = Moment { mono: Micros::millis(3_600_000), wall: Micros::millis(1_700_000_000_000) };
         let mut world = World {
-            facade: facade(),
+            engine: engine(),
             now,
             running: vec![],
             runs: 0,
@@ -133,12 +133,12 @@
 
     fn start(&mut self) {
         self.epoch += 1;
-        self.facade = facade();
+        self.engine = engine();
         let rows: Vec<Row> = self.store.values().cloned().collect();
         let found = Recovery { found: rows.len() as u64, rows, epoch: self.epoch };
-        self.facade.register().load(self.now, found);
+        self.engine.register().load(self.now, found);
         let mut out = Vec::new();
-        self.facade.report(self.now, Report::Booted { cold: false, age: Micros(0) }, &mut out);
+        self.engine.report(self.now, Report::Booted { cold: false, age: Micros(0) }, &mut out);
         self.carry_out(out);
         self.settle();
     }
@@ -163,7 +163,7 @@
                     again: false,
                     subject: None,
                 };
-                self.facade.pick(self.now, arrival, &mut out).expect("an id and a body that fit");
+                self.engine.pick(self.now, arrival, &mut out).expect("an id and a body that fit");
             }
             Step::Commit | Step::CommitUnheard | Step::Lost | Step::Refused => {
                 let Some(batch) = self.out.take() else { return };
@@ -171,7 +171,7 @@
                 let heard = if made { self.apply(&batch.work) } else { Outcome::NotDone(Cause::Full) };
                 let unheard = matches!(step, Step::CommitUnheard | Step::Lost);
                 let outcome = if unheard { Outcome::Unknown(Cause::Link) } else { heard };
-                let register = self.facade.register();
+                let register = self.engine.register();
                 register.outcome(self.now.mono, batch.number, outcome);
                 if unheard {
                     register.link(self.now.mono, false);
@@ -182,7 +182,7 @@
                 let Some(id) = self.running.pop() else { return };
                 let result: Rc<[u8]> = format!("result {}", self.runs).into_bytes().into();
                 self.result = Some(result.clone());
-                self.facade.report(self.now, Report::Ended(id, RunEnd::Good(result)), &mut out);
+                self.engine.report(self.now, Report::Ended(id, RunEnd::Good(result)), &mut out);
             }
             Step::Stall => self.now = self.now.plus(Micros::millis(300)),
             Step::Due => self.now = self.now.plus(Micros::millis(2_100)),
@@ -206,14 +206,14 @@
         }
     }
 
-    /// Lets the facade and the store have their turns.
+    /// Lets the engine and the store have their turns.
     fn settle(&mut self) {
         for _ in 0..4 {
             let mut out = Vec::new();
-            self.facade.tick(self.now, &mut out);
+            self.engine.tick(self.now, &mut out);
             self.carry_out(out);
             if self.out.is_none() {
-                self.out = self.facade.register().work(self.now.mono);
+                self.out = self.engine.register().work(self.now.mono);
             }
         }
     }
@@ -334,7 +334,7 @@
         }
         let text = format!(
             "{:?} {:?} {:?} {:?} {:?} {:?} {:?}",
-            world.facade, world.running, world.runs, world.store, world.out, world.answers, possible
+            world.engine, world.running, world.runs, world.store, world.out, world.answers, possible
         );
         let mut hasher = std::hash::DefaultHasher::new();
         text.hash(&mut hasher);
--- a/crates/node/src/accept.rs
+++ b/crates/node/src/accept.rs
@@ -6,7 +6,7 @@
 use super::io::{Listener, Stream, System};
 use super::request::Incoming;
 use gaugestand_admission::RequestId;
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -5,7 +5,7 @@
 
 use super::answer::Outbox;
 use super::io::{Listener, Ready, Stream, System};
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use std::io::{self, Read as _};
 use std::net::SocketAddr;
 
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration: the BALANCER variables and the JSON file that one of them names.
 
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use gaugestand_admission::{
     Below, Class, Controller, Effect, Halt, Settings, SettingsError, Signal, Span, Tenant, WorthBy,
 };
--- a/crates/node/src/fellows.rs
+++ b/crates/node/src/fellows.rs
@@ -8,7 +8,7 @@
 use super::io::link::{Change, Link};
 use super::io::{Listener, Ready, System, Worker};
 use gaugestand_admission::RequestId;
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use gaugestand_admission::page::Page;
 use gaugestand_cluster::accord::{Accord, Asked, Event, Refusal, Setup, Step};
 use gaugestand_cluster::differ::Content;
--- a/crates/node/src/io/clock.rs
+++ b/crates/node/src/io/clock.rs
@@ -1,7 +1,7 @@
 //! Monotonic and Unix time, read together once a turn.
 
 use super::System;
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use gaugestand_admission::register::Moment;
 
 /// Where the monotonic clock starts: later than any age that a request may have, so that the time at which it
--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -2,7 +2,7 @@
 
 use super::{Stream, System};
 use crate::answer::Outbox;
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use std::io::{self, Read};
 use std::net::SocketAddr;
 
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -10,7 +10,7 @@
 pub mod poll;
 pub mod real;
 
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use gaugestand_admission::page::Found;
 use gaugestand_admission::register::Moment;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -3,7 +3,7 @@
 use super::kin::{self, Door, Lock, UnixKin};
 use super::poll::{Watched, wait};
 use super::{Datagram, Listener, Ready, Stream, System, Worker};
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use gaugestand_admission::page::Found;
 use gaugestand_admission::register::Moment;
 use gaugestand_idempotency::diary::Diary;
--- a/crates/node/src/kin.rs
+++ b/crates/node/src/kin.rs
@@ -5,7 +5,7 @@
 use super::io::{Kin, Passed, System};
 use super::kernel;
 use gaugestand_admission::RequestId;
-use gaugestand_admission::facade::{self, CallEnd, Micros};
+use gaugestand_admission::engine::{self, CallEnd, Micros};
 use gaugestand_admission::register::Moment;
 use gaugestand_idempotency::Copy;
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
 
 /// What each side says first: another version is another word, and breaks the link.
 pub const WORD: &[u8; 8] = b"gskin-3\n";
-/// Longest frame; a facade with ten thousand tries takes a few megabytes.
+/// Longest frame; a engine with ten thousand tries takes a few megabytes.
 const MOST_FRAME: usize = 16 << 20;
 /// Most bytes read in one turn, so that a long row of frames leaves the loop responsive.
 const MOST_READ: usize = 256 * 1024;
@@ -80,8 +80,9 @@
 /// All that is not sent piece by piece.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Rest {
-    /// The facade, with the controller in it.
-    pub facade: facade::Carried,
+    /// The engine, with the controller in it.
+    #[serde(rename = "facade")]
+    pub engine: engine::Carried,
     /// Kernels that tell of runs which go on, the elder's own first.
     pub kernels: Vec<kernel::Carried>,
     /// Tries whose calls are out at the elder, or at one before it.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
 //! The booking node on real sockets: a module for each stage of a request, and the loop that turns them.
 //!
-//! It carries out what `gaugestand_admission`'s facade and the ledger decide, bounds its buffers and reports. Nothing here
+//! It carries out what `gaugestand_admission`'s engine and the ledger decide, bounds its buffers and reports. Nothing here
 //! decides anything about requests.
 #![deny(unsafe_code)]
 
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -9,7 +9,7 @@
 use super::io::{Ready, System};
 use super::request::{id_of, id_text};
 use gaugestand_admission::RequestId;
-use gaugestand_admission::facade::{CallEnd, Micros};
+use gaugestand_admission::engine::{CallEnd, Micros};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/node/src/turn.rs
+++ b/crates/node/src/turn.rs
@@ -1,4 +1,4 @@
-//! The loop: one turn takes in what the poller has, asks the facade, carries out its verdicts and writes.
+//! The loop: one turn takes in what the poller has, asks the engine, carries out its verdicts and writes.
 
 use super::accept::{self, ConnId, MOST_OPEN, Open, Table};
 use super::admin::{self, Admin, Call, Said};
@@ -21,7 +21,7 @@
 use super::request::{Asked, Fault, TryParams};
 use super::store::{self, Ended, Store};
 use gaugestand_admission::classes::Slots;
-use gaugestand_admission::facade::{Arrival, CallEnd, Facade, Micros, Report, RunEnd, Unfit, Verdict};
+use gaugestand_admission::engine::{Arrival, CallEnd, Engine, Micros, Report, RunEnd, Unfit, Verdict};
 use gaugestand_admission::register::Register as _;
 use gaugestand_admission::{Effect, RequestId, SettingsError, succession};
 use gaugestand_idempotency::{Breaker, Ledger};
@@ -105,7 +105,7 @@
     kernel: Kernel<S>,
     store: Store<S>,
     members: Members<S>,
-    facade: Facade<Ledger>,
+    engine: Engine<Ledger>,
     record: Keeper<S>,
     logs: Logs,
     counters: Counters,
@@ -178,8 +178,8 @@
             Some(listener) => table.listen(listener),
             None => table.stop(true),
         }
-        let facade =
-            Facade::new(config.settings.clone(), config.seed, ledger).map_err(NodeError::Settings)?;
+        let engine =
+            Engine::new(config.settings.clone(), config.seed, ledger).map_err(NodeError::Settings)?;
         Ok(Node {
             clock,
             record,
@@ -208,7 +208,7 @@
             system,
             table,
             buffer: accept::buffer(),
-            facade,
+            engine,
         })
     }
 
@@ -270,7 +270,7 @@
             return self.clock.now() >= stop;
         }
         let now = self.clock.now();
-        let done = self.facade.owed() == 0 && !self.table.is_writing();
+        let done = self.engine.owed() == 0 && !self.table.is_writing();
         let closed = self.table.is_empty() || now.plus(CLOSED) >= stop;
         let over = now.plus(GONE) >= stop && done && closed || now >= stop;
         over && self.last_looks >= LOOKS
@@ -293,7 +293,7 @@
                 continue;
             }
             self.counters.answers_refused += 1;
-            let capacity = self.facade.capacity();
+            let capacity = self.engine.capacity();
             self.respond(conn, fcgi, open.keeps(), &Response::plain("503 Service Unavailable", capacity));
         }
         self.flush();
@@ -301,7 +301,7 @@
     }
 
     fn print_counters(&mut self) {
-        let ledger = self.facade.register();
+        let ledger = self.engine.register();
         let open = ledger.breaker() != Breaker::Closed;
         self.counters.record(ledger.figures(), open);
         self.counters.log_lines_dropped = self.logs.dropped();
@@ -331,21 +331,21 @@
         }
         self.pass_fleet();
         let mut verdicts = Vec::new();
-        let mut wake = vec![self.facade.tick(self.clock.moment(), &mut verdicts)];
+        let mut wake = vec![self.engine.tick(self.clock.moment(), &mut verdicts)];
         self.carry_out(verdicts);
-        self.record.pump(self.clock.moment(), self.facade.register());
+        self.record.pump(self.clock.moment(), self.engine.register());
         if self.stop.is_some_and(|stop| now.plus(STOP_LISTENING) >= stop) {
             self.table.stop_listening(now, &mut self.counters);
         }
-        let up = self.facade.healthy() && self.knows_the_version();
-        if self.facade.is_up() {
+        let up = self.engine.healthy() && self.knows_the_version();
+        if self.engine.is_up() {
             wake.push(self.members.tick(now, up, &mut self.counters));
         }
         self.flush();
         if let Some(stop) = self.stop.filter(|stop| now.plus(GONE) >= *stop) {
             if !self.has_looked(stop, quiet) {
                 wake.push(Some(now));
-            } else if self.facade.owed() == 0 {
+            } else if self.engine.owed() == 0 {
                 self.close_connections();
             }
         }
@@ -367,7 +367,7 @@
 
     fn flush(&mut self) {
         let now = self.clock.now();
-        // What breaks makes the facade say more, which goes out with this turn as well; each link and
+        // What breaks makes the engine say more, which goes out with this turn as well; each link and
         // connection breaks only once.
         loop {
             // What runs is known to the next process before the kernel hears of it.
@@ -387,7 +387,7 @@
             fellows.flush(now);
         }
         let now = self.clock.moment();
-        self.record.flush(now, self.facade.register());
+        self.record.flush(now, self.engine.register());
     }
 
     fn take(&mut self, event: Ready) {
@@ -418,7 +418,7 @@
             }
             RECORD => {
                 let (now, ready) = (self.clock.moment(), (event.readable, event.writable));
-                self.record.ready(now, ready, self.facade.register(), &mut self.counters);
+                self.record.ready(now, ready, self.engine.register(), &mut self.counters);
             }
             ADMIN => self.admin.accept(now),
             key if self.admin.has_key(key) => {
@@ -501,23 +501,23 @@
     /// The settings of the present configuration take effect; what is open keeps its class.
     fn take_settings(&mut self) {
         let (names, settings) = (&self.config.classes, &self.config.settings);
-        let plan = self.slots.plan(self.facade.classes(), names, &settings.classes, &self.facade.used());
-        self.facade.retune(settings.clone(), &plan);
+        let plan = self.slots.plan(self.engine.classes(), names, &settings.classes, &self.engine.used());
+        self.engine.retune(settings.clone(), &plan);
         self.figures.list(names);
         self.kernel.set_gauges(&self.config.gauges);
-        (self.slots, self.keyed) = (plan.slots, self.facade.keyed());
+        (self.slots, self.keyed) = (plan.slots, self.engine.keyed());
     }
 
     /// What of the operators' settings can change while the node serves; none of it can fail.
     fn take_operators(&mut self, new: &Config) {
-        self.facade.register().set_most(new.most_kept);
+        self.engine.register().set_most(new.most_kept);
         let Some(stored) = &new.operators.record else { return };
         if let Backend::Postgres { password_file, .. } = &stored.backend
             && let Ok(password) = record::password(password_file)
         {
             self.record.set_password(password);
         }
-        self.facade.register().set_limits(record::limits(stored, longest_window(new)));
+        self.engine.register().set_limits(record::limits(stored, longest_window(new)));
     }
 
     // ---- The second address --------------------------------------------------------------------------
@@ -548,14 +548,14 @@
         if self.kin.is_ready() {
             return Ok(());
         }
-        let up = self.facade.is_up();
+        let up = self.engine.is_up();
         let steps = [
             (!self.kin.machine.is_retired(), "another process has taken over"),
             (!self.kin.machine.is_heir(), "another process is the node, and its keys are not in place"),
             (self.stop.is_none(), "it leaves service"),
             (self.table.address().is_some(), "it does not listen"),
             (up, "its kernel is not up"),
-            (self.facade.register().is_ready(), "keys are not in place"),
+            (self.engine.register().is_ready(), "keys are not in place"),
             (self.knows_the_version(), "no majority has told it which version holds"),
         ];
         steps.into_iter().find(|step| !step.0).map_or(Ok(()), |(_, why)| Err(why))
@@ -706,7 +706,7 @@
         };
         let untold = self.config.tells_patience && t.patience.is_none();
         let mut verdicts = Vec::new();
-        if let Err(unfit) = self.facade.pick(self.clock.moment(), arrival, &mut verdicts) {
+        if let Err(unfit) = self.engine.pick(self.clock.moment(), arrival, &mut verdicts) {
             self.figures.turned_down(self.slots.name(t.class), End::Error);
             let fault = match unfit {
                 // Whatever became of the other one, this one cannot be told apart from it.
@@ -732,7 +732,7 @@
 
     fn bad(&mut self, conn: ConnId, fcgi: u16, keeps: bool, fault: Fault) {
         self.counters.requests_bad += 1;
-        let capacity = self.facade.capacity();
+        let capacity = self.engine.capacity();
         self.respond(conn, fcgi, keeps, &Response::plain(fault.status(), capacity));
         // Of what is too long the rest need not be taken in.
         self.table.fault(self.clock.now(), conn, fault == Fault::TooLong);
@@ -787,7 +787,7 @@
         if let (true, Some(c)) = (status.starts_with("200"), self.table.get(conn)) {
             c.note_served();
         }
-        let capacity = self.facade.capacity();
+        let capacity = self.engine.capacity();
         self.respond(conn, fcgi, open.keeps(), &Response { status, capacity, throttle, give_up, body });
         true
     }
@@ -796,7 +796,7 @@
 
     fn check(&mut self, conn: ConnId, fcgi: u16, keeps: bool, deep: bool) {
         self.counters.checks_read += 1;
-        let good = self.facade.healthy() && self.knows_the_version();
+        let good = self.engine.healthy() && self.knows_the_version();
         if !(good && deep) {
             return self.answer_check(conn, fcgi, keeps, good);
         }
@@ -823,7 +823,7 @@
         let count = if good { &mut self.counters.checks_good } else { &mut self.counters.checks_bad };
         *count += 1;
         let status = if good { "200 OK" } else { "503 Service Unavailable" };
-        let capacity = self.facade.capacity();
+        let capacity = self.engine.capacity();
         self.respond(conn, fcgi, keeps, &Response::plain(status, capacity));
     }
 
@@ -931,7 +931,7 @@
 
     fn report(&mut self, report: Report) {
         let mut verdicts = Vec::new();
-        self.facade.report(self.clock.moment(), report, &mut verdicts);
+        self.engine.report(self.clock.moment(), report, &mut verdicts);
         self.carry_out(verdicts);
     }
 
--- a/crates/node/src/turn/accord.rs
+++ b/crates/node/src/turn/accord.rs
@@ -5,7 +5,7 @@
 use crate::answer::Response;
 use crate::fellows::{self, News};
 use crate::request::TryParams;
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use gaugestand_admission::register::Register as _;
 use gaugestand_admission::{Effect, Span};
 use gaugestand_cluster::accord::Refusal;
@@ -189,7 +189,7 @@
             Ruling::Barred => (true, Micros(0)),
             Ruling::OverShare | Ruling::NoLease => (false, fellows.stay_away()),
         };
-        if keyed.is_some_and(|key| self.facade.register().knows(key, moment)) {
+        if keyed.is_some_and(|key| self.engine.register().knows(key, moment)) {
             return None;
         }
         let count = match ruling {
@@ -197,7 +197,7 @@
             _ => &mut self.counters.fleet_barred,
         };
         *count += 1;
-        let (status, capacity) = ("503 Service Unavailable", self.facade.capacity());
+        let (status, capacity) = ("503 Service Unavailable", self.engine.capacity());
         Some(Response { status, capacity, throttle, give_up, body: Rc::from([]) })
     }
 
--- a/crates/node/src/turn/succeed.rs
+++ b/crates/node/src/turn/succeed.rs
@@ -214,7 +214,7 @@
                 Step::StopMirror => {
                     self.kin.down = None;
                     (self.kin.synced, self.kin.held_up) = (false, None);
-                    self.facade.register().mirror(false);
+                    self.engine.register().mirror(false);
                     self.table.lend(0);
                 }
                 // The link that has just come is dropped by whoever took it in.
@@ -276,7 +276,7 @@
     fn begin_mirror(&mut self) {
         tracing::info!("a new process of this node has come");
         let moment = self.clock.moment();
-        let register = self.facade.register();
+        let register = self.engine.register();
         register.mirror(true);
         let secret = register.secret();
         if let Some(wire) = &mut self.kin.down {
@@ -292,7 +292,7 @@
         let Some(wire) = &mut self.kin.down else { return true };
         if self.kin.machine.role() == Role::Elder {
             while wire.has_room() {
-                let copies = self.facade.register().copies(kin::KEYS);
+                let copies = self.engine.register().copies(kin::KEYS);
                 if copies.is_empty() {
                     break;
                 }
@@ -301,7 +301,7 @@
         }
         self.write_down();
         let Some(wire) = &mut self.kin.down else { return true };
-        let all = wire.is_written() && !self.facade.register().is_behind();
+        let all = wire.is_written() && !self.engine.register().is_behind();
         if self.kin.machine.role() == Role::Elder && !self.kin.synced && all {
             // From here on what is said has to be written before the kernel hears of it.
             self.kin.synced = true;
@@ -309,7 +309,7 @@
             self.write_down();
         }
         let unwritten = self.kin.down.as_ref().is_some_and(|wire| !wire.is_written());
-        let behind = unwritten || self.facade.register().is_behind();
+        let behind = unwritten || self.engine.register().is_behind();
         if !behind || !self.kin.synced || self.kin.machine.role() != Role::Elder {
             self.kin.held_up = None;
             return true;
@@ -385,7 +385,7 @@
         tracing::info!(open = self.open_tries(), "handing over to the new process");
         self.stop = Some(now.plus(self.config.stop));
         self.table.stop(true);
-        let running = self.facade.running();
+        let running = self.engine.running();
         let inherited: BTreeSet<RequestId> =
             self.kin.inherited.iter().flat_map(|i| i.runs.iter().copied()).collect();
         let own = running.into_iter().filter(|id| !inherited.contains(id)).collect();
@@ -395,7 +395,7 @@
         self.kin.inherited.iter_mut().for_each(|i| i.kernel.unlink());
         let calls = self.store.out().into_iter().chain(self.kin.remote.iter().copied()).collect();
         let rest = Rest {
-            facade: self.facade.carry(),
+            engine: self.engine.carry(),
             kernels,
             calls,
             classes: self.slots.names().to_vec(),
@@ -403,7 +403,7 @@
         };
         let Some(wire) = &mut self.kin.down else { return };
         loop {
-            let copies = self.facade.register().copies(kin::KEYS);
+            let copies = self.engine.register().copies(kin::KEYS);
             if copies.is_empty() {
                 break;
             }
@@ -428,8 +428,8 @@
         tracing::info!("another process has taken over");
         self.figures.handed_over(self.open_tries());
         self.tries.clear();
-        self.facade.retire();
-        self.facade.register().mirror(false);
+        self.engine.retire();
+        self.engine.register().mirror(false);
         self.table.retire();
         self.kin.inherited.clear();
         self.kin.door = None;
@@ -512,10 +512,10 @@
                 self.clock.read(&self.system);
                 // The clock has moved on by the elder's age: nobody has waited for that long.
                 self.admin.restart(self.clock.now());
-                self.facade.register().begin_copy(secret);
+                self.engine.register().begin_copy(secret);
             }
             Frame::Keys(copies) if waits => {
-                copies.into_iter().for_each(|copy| self.facade.register().adopt(copy));
+                copies.into_iter().for_each(|copy| self.engine.register().adopt(copy));
             }
             Frame::Synced if waits => self.happen(Event::Synced),
             Frame::Conn(conn) if waits => {
@@ -558,11 +558,11 @@
             }
             self.tries.insert(place.id, place);
         }
-        self.slots = Slots::with(rest.classes, rest.facade.open.clone());
+        self.slots = Slots::with(rest.classes, rest.engine.open.clone());
         self.figures.list(self.slots.names());
-        self.facade.resume(rest.facade);
-        self.facade.set_linked(self.kernel.is_booted());
-        let until = now.plus(self.facade.longest_deadline()).plus(OVERTIME);
+        self.engine.resume(rest.engine);
+        self.engine.set_linked(self.kernel.is_booted());
+        let until = now.plus(self.engine.longest_deadline()).plus(OVERTIME);
         let kernels = rest.kernels.iter().filter(|k| !k.runs.is_empty()).take(MOST_KERNELS);
         self.kin.inherited = kernels
             .zip(INHERITED..)
@@ -610,7 +610,7 @@
     fn serve(&mut self, all: bool) {
         tracing::warn!(all, "the process before this one is gone; serving with the keys that it told of");
         let (now, window) = (self.clock.moment(), longest_window(&self.config));
-        self.facade.register().orphaned(now, all, window);
+        self.engine.register().orphaned(now, all, window);
         self.forget_sent();
         self.go_into_service();
         if let Some((cold, age)) = self.kin.booted {
@@ -623,7 +623,7 @@
         self.kin.up = None;
         self.kin.spare = None;
         self.forget_sent();
-        let register = self.facade.register();
+        let register = self.engine.register();
         let secret = register.secret();
         register.begin_copy(secret);
         self.kin.next_look = self.clock.now();
--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/net.rs
@@ -3,7 +3,7 @@
 //! Bytes arrive in order on each connection, in pieces of any size, after a delay drawn from the seed. Nothing
 //! happens between two events; a node that is not woken does nothing.
 
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use gaugestand_admission::page::Found;
 use gaugestand_admission::register::Moment;
 use gaugestand_node::io::{Claim, Datagram, Kin, Listener, Passed, Ready, Stream, System, Worker};
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -2,7 +2,7 @@
 //! the form of one.
 
 use crate::net::Dice;
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use serde_json::{Value, json};
 use std::fmt;
 
--- a/crates/simulation/src/standins/fares.rs
+++ b/crates/simulation/src/standins/fares.rs
@@ -1,7 +1,7 @@
 //! The tier below: answers calls after a while, or turns them away.
 
 use crate::net::Dice;
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 
 /// Calls read from one connection, and what is left of the input.
 pub fn calls(input: &mut Vec<u8>) -> Vec<(String, Vec<u8>)> {
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -7,7 +7,7 @@
 use crate::standins::fares;
 use crate::standins::fastcgi::{self, Reader};
 use crate::standins::kernel::{Kernel, Known, Seen};
-use gaugestand_admission::facade::Micros;
+use gaugestand_admission::engine::Micros;
 use gaugestand_node::config;
 use gaugestand_node::log::Logs;
 use gaugestand_node::turn::Node;
--- a/tests/peers/spoiler.rs
+++ b/tests/peers/spoiler.rs
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::thread;
 
-/// How the frame that holds the facade starts, in CBOR.
+/// How the frame that holds the engine starts, in CBOR.
 const REST: &[u8] = b"\xa1\x64Rest";
 /// What each side says first.
 const WORD: usize = 8;
