--- a/crates/admission/src/engine.rs
+++ b/crates/admission/src/engine.rs
@@ -8,7 +8,7 @@
 use crate::classes::Plan;
 use crate::controller::Controller;
 use crate::interface::*;
-use crate::register::{Begin, Ended, Found, Join, Moment, Register, RunResult, Settled};
+use crate::idempotency::{Begin, Ended, Found, Join, Moment, IdempotencyTable, RunResult, Settled};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -247,7 +247,7 @@
     controller: Option<Controller>,
     tries: BTreeMap<RequestId, Try>,
     /// The one table of keys.
-    register: R,
+    idempotency: R,
     /// Due times of tries that are owed an answer.
     owed: BTreeSet<(Micros, RequestId)>,
     timers: BTreeSet<(Micros, u64)>,
@@ -262,9 +262,9 @@
     pending: Vec<Event>,
 }
 
-impl<R: Register> Engine<R> {
+impl<R: IdempotencyTable> Engine<R> {
     /// A engine for a program that has just started, with its table of keys; settings that make no sense are named.
-    pub fn new(settings: Settings, seed: u64, register: R) -> Result<Self, SettingsError> {
+    pub fn new(settings: Settings, seed: u64, idempotency: R) -> Result<Self, SettingsError> {
         Controller::new(settings.clone(), seed)?;
         Ok(Engine {
             open: vec![true; settings.classes.len()],
@@ -272,7 +272,7 @@
             seed,
             controller: None,
             tries: BTreeMap::new(),
-            register,
+            idempotency,
             owed: BTreeSet::new(),
             timers: BTreeSet::new(),
             due_timers: Vec::new(),
@@ -370,12 +370,12 @@
 
     /// Whether checks hear that this program is in service: its work is up and the controller says so.
     pub fn healthy(&self) -> bool {
-        self.controller.is_some() && self.good && self.drain.is_none() && self.register.is_ready()
+        self.controller.is_some() && self.good && self.drain.is_none() && self.idempotency.is_ready()
     }
 
     /// The table of keys, for whoever carries its writes out. After any change to it [`Engine::tick`] is owed.
-    pub fn register(&mut self) -> &mut R {
-        &mut self.register
+    pub fn idempotency(&mut self) -> &mut R {
+        &mut self.idempotency
     }
 
     /// Tries that are owed an answer.
@@ -401,8 +401,8 @@
         let repeat_key: Option<Rc<str>> = a.repeat_key.filter(|_| keyed).map(Rc::from);
         let longest: Micros = settings.deadline.into();
         let due = ingress.mono.plus(a.patience.map_or(longest, |p| p.min(longest))).max(now.mono);
-        let print = repeat_key.as_ref().map_or(0, |_| self.register.print(a.body));
-        let found = repeat_key.as_ref().map(|key| self.register.find(now, key, print, ingress));
+        let print = repeat_key.as_ref().map_or(0, |_| self.idempotency.print(a.body));
+        let found = repeat_key.as_ref().map(|key| self.idempotency.find(now, key, print, ingress));
         let prior = match found {
             Some(Found::OtherBody) => return Err(Unfit::OtherBody),
             Some(Found::Closed(advice)) => {
@@ -512,7 +512,7 @@
         let overdue = self.owed.first().map(|(t, _)| t.plus(OVERDUE));
         let timer = self.timers.first().map(|(t, _)| *t);
         let fallback = self.asked.map(|t| t.plus(GAUGE_WAIT)).filter(|_| !self.due_timers.is_empty());
-        [overdue, timer, fallback, self.register.wake()].into_iter().flatten().min()
+        [overdue, timer, fallback, self.idempotency.wake()].into_iter().flatten().min()
     }
 
     fn boot(&mut self, now: Moment, cold: bool, age: Micros, out: &mut Vec<Verdict>) {
@@ -600,7 +600,7 @@
         let begin = t.repeat_key.as_ref().map_or(Begin::Go, |key| {
             let window = self.settings.classes[t.class].dedup_window.into();
             let until = t.ingress.plus(window).plus(WINDOW_MARGIN);
-            self.register.begin(now, key, id, t.ingress, until)
+            self.idempotency.begin(now, key, id, t.ingress, until)
         });
         match begin {
             Begin::Go => {
@@ -623,7 +623,7 @@
         };
         t.awaits = false;
         let key = t.repeat_key.clone();
-        let waiting = key.map(|key| self.register.leave(now, &key, id).waiting);
+        let waiting = key.map(|key| self.idempotency.leave(now, &key, id).waiting);
         self.answer_waiting(waiting.unwrap_or_default(), None, out);
         self.pending.push(Event::Done(id, Outcome::Cancelled));
         self.close(id, out);
@@ -632,7 +632,7 @@
     /// Carries out what the register has settled since.
     fn settle_waiting(&mut self, now: Moment, out: &mut Vec<Verdict>) {
         let mut settled = Vec::new();
-        self.register.settled(now, &mut settled);
+        self.idempotency.settled(now, &mut settled);
         for s in settled {
             match s {
                 Settled::Begun(id) => {
@@ -692,7 +692,7 @@
     fn leave(&mut self, now: Moment, id: RequestId, out: &mut Vec<Verdict>) {
         let Some(t) = self.tries.get_mut(&id) else { return };
         if let (Some(key), false) = (t.repeat_key.clone(), t.running) {
-            let left = self.register.leave(now, &key, id);
+            let left = self.idempotency.leave(now, &key, id);
             if std::mem::take(&mut t.awaits) || left.withdrawn {
                 self.pending.push(Event::Done(id, Outcome::Moot));
             }
@@ -717,7 +717,7 @@
 
     fn reuse(&mut self, id: RequestId, out: &mut Vec<Verdict>) {
         let key = self.tries.get(&id).and_then(|t| t.repeat_key.as_ref());
-        match key.map_or(Join::Fail, |key| self.register.join(key, id)) {
+        match key.map_or(Join::Fail, |key| self.idempotency.join(key, id)) {
             Join::Wait => {}
             Join::Replay(result) => self.answer_waiting(vec![id], Some(&result), out),
             Join::Fail => self.answer_waiting(vec![id], None, out),
@@ -727,7 +727,7 @@
     fn keep(&mut self, id: RequestId, until: Moment, out: &mut Vec<Verdict>) {
         let Some(t) = self.tries.get(&id) else { return };
         if let Some(key) = &t.repeat_key {
-            let waiting = self.register.keep(key, id, t.print, until);
+            let waiting = self.idempotency.keep(key, id, t.print, until);
             self.answer_waiting(waiting, None, out);
         }
     }
@@ -736,7 +736,7 @@
     fn forget(&mut self, now: Moment, id: RequestId, out: &mut Vec<Verdict>) {
         let Some(t) = self.tries.get(&id).filter(|t| !t.running && !t.awaits) else { return };
         let Some(key) = &t.repeat_key else { return };
-        let left = self.register.leave(now, key, id);
+        let left = self.idempotency.leave(now, key, id);
         self.answer_waiting(left.waiting, None, out);
     }
 
@@ -760,7 +760,7 @@
             RunEnd::NeverRan => RunResult::NeverRan,
         };
         let ended = match (key, result) {
-            (Some(key), result) => self.register.end(now, &key, id, result),
+            (Some(key), result) => self.idempotency.end(now, &key, id, result),
             (None, RunResult::Good(result)) => Ended::Now(Vec::new(), Some(result)),
             (None, _) => Ended::Now(Vec::new(), None),
         };
--- a/crates/admission/src/register.rs
+++ b/crates/admission/src/idempotency.rs
@@ -96,7 +96,7 @@
 }
 
 /// The one table of keys.
-pub trait Register {
+pub trait IdempotencyTable {
     /// Fingerprint of a body: bodies with the same are held to be the same.
     fn print(&self, body: &[u8]) -> u128;
     /// A try with this key and fingerprint came, which reached the machine at `at`.
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -78,7 +78,7 @@
 pub mod engine;
 mod interface;
 pub mod page;
-pub mod register;
+pub mod idempotency;
 pub mod succession;
 
 pub use controller::Controller;
--- a/crates/admission/tests/engine.rs
+++ b/crates/admission/tests/engine.rs
@@ -4,7 +4,7 @@
 
 use common::settings;
 use gaugestand_admission::engine::{Arrival, CallEnd, Engine, Micros, Report, RunEnd, Unfit, Verdict};
-use gaugestand_admission::register::Moment;
+use gaugestand_admission::idempotency::Moment;
 use gaugestand_admission::{Below, RequestId, Settings};
 use gaugestand_idempotency::Ledger;
 use std::rc::Rc;
--- a/crates/idempotency/src/ledger.rs
+++ b/crates/idempotency/src/ledger.rs
@@ -16,7 +16,7 @@
 use crate::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::register::*;
+use gaugestand_admission::idempotency::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::{BuildHasher, RandomState};
@@ -610,7 +610,7 @@
     key.len() + result + ENTRY_BYTES
 }
 
-impl Register for Ledger {
+impl IdempotencyTable for Ledger {
     fn print(&self, body: &[u8]) -> u128 {
         // The same after a restart where there is a store; half as long as the hash: 2^64 tries for two alike.
         let hash = match self.durable {
--- a/crates/idempotency/tests/ledger.rs
+++ b/crates/idempotency/tests/ledger.rs
@@ -2,7 +2,7 @@
 
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::register::*;
+use gaugestand_admission::idempotency::*;
 use gaugestand_idempotency::row::{Cause, Outcome, Recovery, Row, State, Work, Write};
 use gaugestand_idempotency::{Breaker, Ledger, Limits};
 use std::rc::Rc;
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -4,7 +4,7 @@
 //! Bound: three tries of one key, up to `depth()` steps, two crashes, two stalls, two breaks, one due time passed.
 
 use gaugestand_admission::engine::{Arrival, Engine, Micros, Report, RunEnd, Verdict};
-use gaugestand_admission::register::Moment;
+use gaugestand_admission::idempotency::Moment;
 use gaugestand_admission::{Below, Class, Effect, Halt, RequestId, Settings, Signal, Span, WorthBy};
 use gaugestand_idempotency::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
 use gaugestand_idempotency::{Ledger, Limits};
@@ -136,7 +136,7 @@
         self.engine = engine();
         let rows: Vec<Row> = self.store.values().cloned().collect();
         let found = Recovery { found: rows.len() as u64, rows, epoch: self.epoch };
-        self.engine.register().load(self.now, found);
+        self.engine.idempotency().load(self.now, found);
         let mut out = Vec::new();
         self.engine.report(self.now, Report::Booted { cold: false, age: Micros(0) }, &mut out);
         self.carry_out(out);
@@ -171,11 +171,11 @@
                 let heard = if made { self.apply(&batch.work) } else { Outcome::NotDone(Cause::Full) };
                 let unheard = matches!(step, Step::CommitUnheard | Step::Lost);
                 let outcome = if unheard { Outcome::Unknown(Cause::Link) } else { heard };
-                let register = self.engine.register();
-                register.outcome(self.now.mono, batch.number, outcome);
+                let idempotency = self.engine.idempotency();
+                idempotency.outcome(self.now.mono, batch.number, outcome);
                 if unheard {
-                    register.link(self.now.mono, false);
-                    register.link(self.now.mono, true);
+                    idempotency.link(self.now.mono, false);
+                    idempotency.link(self.now.mono, true);
                 }
             }
             Step::End => {
@@ -213,7 +213,7 @@
             self.engine.tick(self.now, &mut out);
             self.carry_out(out);
             if self.out.is_none() {
-                self.out = self.engine.register().work(self.now.mono);
+                self.out = self.engine.idempotency().work(self.now.mono);
             }
         }
     }
--- a/crates/node/src/io/clock.rs
+++ b/crates/node/src/io/clock.rs
@@ -2,7 +2,7 @@
 
 use super::System;
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::register::Moment;
+use gaugestand_admission::idempotency::Moment;
 
 /// Where the monotonic clock starts: later than any age that a request may have, so that the time at which it
 /// reached the machine is never before the origin.
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -12,7 +12,7 @@
 
 use gaugestand_admission::engine::Micros;
 use gaugestand_admission::page::Found;
-use gaugestand_admission::register::Moment;
+use gaugestand_admission::idempotency::Moment;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::Options;
 use std::fmt::Debug;
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -5,7 +5,7 @@
 use super::{Datagram, Listener, Ready, Stream, System, Worker};
 use gaugestand_admission::engine::Micros;
 use gaugestand_admission::page::Found;
-use gaugestand_admission::register::Moment;
+use gaugestand_admission::idempotency::Moment;
 use gaugestand_idempotency::diary::Diary;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::{Options, Sqlite};
--- a/crates/node/src/kin.rs
+++ b/crates/node/src/kin.rs
@@ -6,7 +6,7 @@
 use super::kernel;
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::{self, CallEnd, Micros};
-use gaugestand_admission::register::Moment;
+use gaugestand_admission::idempotency::Moment;
 use gaugestand_idempotency::Copy;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
--- a/crates/node/src/turn.rs
+++ b/crates/node/src/turn.rs
@@ -22,7 +22,7 @@
 use super::store::{self, Ended, Store};
 use gaugestand_admission::classes::Slots;
 use gaugestand_admission::engine::{Arrival, CallEnd, Engine, Micros, Report, RunEnd, Unfit, Verdict};
-use gaugestand_admission::register::Register as _;
+use gaugestand_admission::idempotency::IdempotencyTable as _;
 use gaugestand_admission::{Effect, RequestId, SettingsError, succession};
 use gaugestand_idempotency::{Breaker, Ledger};
 use gaugestand_settings::Backend;
@@ -301,7 +301,7 @@
     }
 
     fn print_counters(&mut self) {
-        let ledger = self.engine.register();
+        let ledger = self.engine.idempotency();
         let open = ledger.breaker() != Breaker::Closed;
         self.counters.record(ledger.figures(), open);
         self.counters.log_lines_dropped = self.logs.dropped();
@@ -333,7 +333,7 @@
         let mut verdicts = Vec::new();
         let mut wake = vec![self.engine.tick(self.clock.moment(), &mut verdicts)];
         self.carry_out(verdicts);
-        self.record.pump(self.clock.moment(), self.engine.register());
+        self.record.pump(self.clock.moment(), self.engine.idempotency());
         if self.stop.is_some_and(|stop| now.plus(STOP_LISTENING) >= stop) {
             self.table.stop_listening(now, &mut self.counters);
         }
@@ -387,7 +387,7 @@
             fellows.flush(now);
         }
         let now = self.clock.moment();
-        self.record.flush(now, self.engine.register());
+        self.record.flush(now, self.engine.idempotency());
     }
 
     fn take(&mut self, event: Ready) {
@@ -418,7 +418,7 @@
             }
             RECORD => {
                 let (now, ready) = (self.clock.moment(), (event.readable, event.writable));
-                self.record.ready(now, ready, self.engine.register(), &mut self.counters);
+                self.record.ready(now, ready, self.engine.idempotency(), &mut self.counters);
             }
             ADMIN => self.admin.accept(now),
             key if self.admin.has_key(key) => {
@@ -510,14 +510,14 @@
 
     /// What of the operators' settings can change while the node serves; none of it can fail.
     fn take_operators(&mut self, new: &Config) {
-        self.engine.register().set_most(new.most_kept);
+        self.engine.idempotency().set_most(new.most_kept);
         let Some(stored) = &new.operators.record else { return };
         if let Backend::Postgres { password_file, .. } = &stored.backend
             && let Ok(password) = record::password(password_file)
         {
             self.record.set_password(password);
         }
-        self.engine.register().set_limits(record::limits(stored, longest_window(new)));
+        self.engine.idempotency().set_limits(record::limits(stored, longest_window(new)));
     }
 
     // ---- The second address --------------------------------------------------------------------------
@@ -555,7 +555,7 @@
             (self.stop.is_none(), "it leaves service"),
             (self.table.address().is_some(), "it does not listen"),
             (up, "its kernel is not up"),
-            (self.engine.register().is_ready(), "keys are not in place"),
+            (self.engine.idempotency().is_ready(), "keys are not in place"),
             (self.knows_the_version(), "no majority has told it which version holds"),
         ];
         steps.into_iter().find(|step| !step.0).map_or(Ok(()), |(_, why)| Err(why))
--- a/crates/node/src/turn/accord.rs
+++ b/crates/node/src/turn/accord.rs
@@ -6,7 +6,7 @@
 use crate::fellows::{self, News};
 use crate::request::TryParams;
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::register::Register as _;
+use gaugestand_admission::idempotency::IdempotencyTable as _;
 use gaugestand_admission::{Effect, Span};
 use gaugestand_cluster::accord::Refusal;
 use gaugestand_cluster::differ::Content;
@@ -189,7 +189,7 @@
             Ruling::Barred => (true, Micros(0)),
             Ruling::OverShare | Ruling::NoLease => (false, fellows.stay_away()),
         };
-        if keyed.is_some_and(|key| self.engine.register().knows(key, moment)) {
+        if keyed.is_some_and(|key| self.engine.idempotency().knows(key, moment)) {
             return None;
         }
         let count = match ruling {
--- a/crates/node/src/turn/succeed.rs
+++ b/crates/node/src/turn/succeed.rs
@@ -214,7 +214,7 @@
                 Step::StopMirror => {
                     self.kin.down = None;
                     (self.kin.synced, self.kin.held_up) = (false, None);
-                    self.engine.register().mirror(false);
+                    self.engine.idempotency().mirror(false);
                     self.table.lend(0);
                 }
                 // The link that has just come is dropped by whoever took it in.
@@ -276,9 +276,9 @@
     fn begin_mirror(&mut self) {
         tracing::info!("a new process of this node has come");
         let moment = self.clock.moment();
-        let register = self.engine.register();
-        register.mirror(true);
-        let secret = register.secret();
+        let idempotency = self.engine.idempotency();
+        idempotency.mirror(true);
+        let secret = idempotency.secret();
         if let Some(wire) = &mut self.kin.down {
             wire.say(&Frame::Hello { moment, secret, leaving: self.leaving }, With::Listener);
         }
@@ -292,7 +292,7 @@
         let Some(wire) = &mut self.kin.down else { return true };
         if self.kin.machine.role() == Role::Elder {
             while wire.has_room() {
-                let copies = self.engine.register().copies(kin::KEYS);
+                let copies = self.engine.idempotency().copies(kin::KEYS);
                 if copies.is_empty() {
                     break;
                 }
@@ -301,7 +301,7 @@
         }
         self.write_down();
         let Some(wire) = &mut self.kin.down else { return true };
-        let all = wire.is_written() && !self.engine.register().is_behind();
+        let all = wire.is_written() && !self.engine.idempotency().is_behind();
         if self.kin.machine.role() == Role::Elder && !self.kin.synced && all {
             // From here on what is said has to be written before the kernel hears of it.
             self.kin.synced = true;
@@ -309,7 +309,7 @@
             self.write_down();
         }
         let unwritten = self.kin.down.as_ref().is_some_and(|wire| !wire.is_written());
-        let behind = unwritten || self.engine.register().is_behind();
+        let behind = unwritten || self.engine.idempotency().is_behind();
         if !behind || !self.kin.synced || self.kin.machine.role() != Role::Elder {
             self.kin.held_up = None;
             return true;
@@ -403,7 +403,7 @@
         };
         let Some(wire) = &mut self.kin.down else { return };
         loop {
-            let copies = self.engine.register().copies(kin::KEYS);
+            let copies = self.engine.idempotency().copies(kin::KEYS);
             if copies.is_empty() {
                 break;
             }
@@ -429,7 +429,7 @@
         self.figures.handed_over(self.open_tries());
         self.tries.clear();
         self.engine.retire();
-        self.engine.register().mirror(false);
+        self.engine.idempotency().mirror(false);
         self.table.retire();
         self.kin.inherited.clear();
         self.kin.door = None;
@@ -512,10 +512,10 @@
                 self.clock.read(&self.system);
                 // The clock has moved on by the elder's age: nobody has waited for that long.
                 self.admin.restart(self.clock.now());
-                self.engine.register().begin_copy(secret);
+                self.engine.idempotency().begin_copy(secret);
             }
             Frame::Keys(copies) if waits => {
-                copies.into_iter().for_each(|copy| self.engine.register().adopt(copy));
+                copies.into_iter().for_each(|copy| self.engine.idempotency().adopt(copy));
             }
             Frame::Synced if waits => self.happen(Event::Synced),
             Frame::Conn(conn) if waits => {
@@ -610,7 +610,7 @@
     fn serve(&mut self, all: bool) {
         tracing::warn!(all, "the process before this one is gone; serving with the keys that it told of");
         let (now, window) = (self.clock.moment(), longest_window(&self.config));
-        self.engine.register().orphaned(now, all, window);
+        self.engine.idempotency().orphaned(now, all, window);
         self.forget_sent();
         self.go_into_service();
         if let Some((cold, age)) = self.kin.booted {
@@ -623,9 +623,9 @@
         self.kin.up = None;
         self.kin.spare = None;
         self.forget_sent();
-        let register = self.engine.register();
-        let secret = register.secret();
-        register.begin_copy(secret);
+        let idempotency = self.engine.idempotency();
+        let secret = idempotency.secret();
+        idempotency.begin_copy(secret);
         self.kin.next_look = self.clock.now();
     }
 
--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/net.rs
@@ -5,7 +5,7 @@
 
 use gaugestand_admission::engine::Micros;
 use gaugestand_admission::page::Found;
-use gaugestand_admission::register::Moment;
+use gaugestand_admission::idempotency::Moment;
 use gaugestand_node::io::{Claim, Datagram, Kin, Listener, Passed, Ready, Stream, System, Worker};
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::Options;
