--- a/crates/admission/src/succession.rs
+++ b/crates/admission/src/handover.rs
@@ -111,20 +111,20 @@
 
 /// The machine of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Succession {
+pub struct Handover {
     role: Role,
     tried: Option<Micros>,
 }
 
-impl Succession {
+impl Handover {
     /// A process that holds the claim.
     pub fn alone() -> Self {
-        Succession { role: Role::Alone, tried: None }
+        Handover { role: Role::Alone, tried: None }
     }
 
     /// A process that has found another one.
     pub fn heir() -> Self {
-        Succession { role: Role::Heir { synced: false }, tried: None }
+        Handover { role: Role::Heir { synced: false }, tried: None }
     }
 
     /// Where it stands.
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -79,7 +79,7 @@
 mod interface;
 pub mod page;
 pub mod idempotency;
-pub mod succession;
+pub mod handover;
 
 pub use controller::Controller;
 pub use interface::*;
--- a/crates/admission/tests/succession.rs
+++ b/crates/admission/tests/handover.rs
@@ -4,7 +4,7 @@
 //! the death of the side that wrote them, and one key: what each process knows of it.
 
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::succession::{Event, Role, Step, Succession};
+use gaugestand_admission::handover::{Event, Role, Step, Handover};
 use stateright::{Checker, Model, Property};
 use std::collections::VecDeque;
 
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     /// None once it is dead or has ended.
-    machines: [Option<Succession>; 2],
+    machines: [Option<Handover>; 2],
     claim: Option<usize>,
     marks: u8,
     /// What the heir was told of the marks.
@@ -137,10 +137,10 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<State> {
-        let mut elder = Succession::alone();
+        let mut elder = Handover::alone();
         elder.step(Micros(0), Event::Linked);
         vec![State {
-            machines: [Some(elder), Some(Succession::heir())],
+            machines: [Some(elder), Some(Handover::heir())],
             claim: Some(ELDER),
             marks: 0,
             told: 0,
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -5,7 +5,7 @@
 //! the type is chosen where the node is made, and nothing here says what it is.
 
 pub mod clock;
-pub mod kin;
+pub mod handover_socket;
 pub mod link;
 pub mod poll;
 pub mod real;
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -1,6 +1,6 @@
 //! The machine that the program runs on: its sockets, clocks and signals, by polling, socket2 and rustix.
 
-use super::kin::{self, Door, Lock, UnixKin};
+use super::handover_socket::{self, Door, Lock, UnixKin};
 use super::poll::{Watched, wait};
 use super::{Datagram, Listener, Ready, Stream, System, Worker};
 use gaugestand_admission::engine::Micros;
@@ -142,15 +142,15 @@
     }
 
     fn door(&self, at: &Path, key: usize) -> io::Result<Door> {
-        kin::door(self, at, key)
+        handover_socket::door(self, at, key)
     }
 
     fn kin(&self, at: &Path, key: usize) -> io::Result<UnixKin> {
-        kin::connect(self, at, key)
+        handover_socket::connect(self, at, key)
     }
 
     fn claim(&self, at: &Path) -> io::Result<Option<Lock>> {
-        kin::claim(at)
+        handover_socket::claim(at)
     }
 
     fn align(&self, other: Moment) {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod figures;
 pub mod io;
 pub mod kernel;
-pub mod kin;
+pub mod handover_link;
 pub mod log;
 pub mod members;
 pub mod record;
--- a/crates/node/src/turn.rs
+++ b/crates/node/src/turn.rs
@@ -14,7 +14,7 @@
 use super::io::link::Change;
 use super::io::{Ready, System};
 use super::kernel::{Command, Fate, Kernel, Notice};
-use super::kin::Place;
+use super::handover_link::Place;
 use super::log::Logs;
 use super::members::Members;
 use super::record::{self, Keeper};
@@ -23,7 +23,7 @@
 use gaugestand_admission::classes::Slots;
 use gaugestand_admission::engine::{Arrival, CallEnd, Engine, Micros, Report, RunEnd, Unfit, Verdict};
 use gaugestand_admission::idempotency::IdempotencyTable as _;
-use gaugestand_admission::{Effect, RequestId, SettingsError, succession};
+use gaugestand_admission::{Effect, RequestId, SettingsError, handover::Event as HandoverEvent};
 use gaugestand_idempotency::{Breaker, Ledger};
 use gaugestand_settings::Backend;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
@@ -31,10 +31,10 @@
 use std::io::{self, Read};
 use std::rc::Rc;
 use std::{fmt, mem};
-use succeed::Kindred;
+use handover::Kindred;
 
 mod accord;
-mod succeed;
+mod handover;
 
 /// Poller keys; connections follow.
 const LISTENER: usize = 0;
@@ -405,7 +405,7 @@
                 self.drain_signal(LEAVE);
                 // Said again in a drain it says nothing new: above all it hands nothing over.
                 if !self.leaving {
-                    self.happen(succession::Event::Leave);
+                    self.happen(HandoverEvent::Leave);
                 }
             }
             PRINT => {
--- a/crates/node/src/turn/succeed.rs
+++ b/crates/node/src/turn/handover.rs
@@ -3,8 +3,8 @@
 
 use super::*;
 use crate::io::{Claim as _, Listener, Passed};
-use crate::kin::{self, Broken, Frame, Rest, Wire, With};
-use gaugestand_admission::succession::{Event, Role, Step, Succession};
+use crate::handover_link::{self, Broken, Frame, Rest, Wire, With};
+use gaugestand_admission::handover::{Event, Role, Step, Handover};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
@@ -35,7 +35,7 @@
 /// What this process has to do with others of its node.
 #[derive(Debug)]
 pub(super) struct Kindred<S: System> {
-    pub(super) machine: Succession,
+    pub(super) machine: Handover,
     /// The socket and the file of the claim; none where the node serves alone.
     paths: Option<(PathBuf, PathBuf)>,
     door: Option<S::Door>,
@@ -51,7 +51,7 @@
     behind_drain: bool,
     /// What the elder has sent at its end, and its connections' names there and here.
     conns: BTreeMap<ConnId, ConnId>,
-    places: Vec<kin::Place>,
+    places: Vec<handover_link::Place>,
     rest: Option<Box<Rest>>,
     /// Ends of calls that nobody may be told of yet.
     ends: Vec<Ended>,
@@ -84,7 +84,7 @@
 }
 
 impl<S: System> Kindred<S> {
-    fn new(machine: Succession, paths: Option<(PathBuf, PathBuf)>) -> Self {
+    fn new(machine: Handover, paths: Option<(PathBuf, PathBuf)>) -> Self {
         Kindred {
             machine,
             paths,
@@ -115,7 +115,7 @@
         let alone = |why: &str| {
             tracing::info!(why, "no other process can take over from this one");
             let listener = listen().map_err(io_error("listening"))?;
-            Ok((Kindred::new(Succession::alone(), None), Some(listener)))
+            Ok((Kindred::new(Handover::alone(), None), Some(listener)))
         };
         let (socket, lock) = match paths(config) {
             Ok(paths) => paths,
@@ -127,7 +127,7 @@
             // Who answers there is the node; otherwise whoever has the claim is, or is about to be.
             if claim.is_none() {
                 if let Ok(kin) = system.kin(&socket, UP) {
-                    let mut found = Kindred::new(Succession::heir(), Some((socket, lock)));
+                    let mut found = Kindred::new(Handover::heir(), Some((socket, lock)));
                     found.up = Some(Wire::new(kin));
                     tracing::info!("another process of this node serves; waiting to take over from it");
                     return Ok((found, None));
@@ -142,7 +142,7 @@
                 // The address may be held for a moment by a process that has just lost the claim.
                 match listen() {
                     Ok(listener) => {
-                        let mut found = Kindred::new(Succession::alone(), Some((socket, lock)));
+                        let mut found = Kindred::new(Handover::alone(), Some((socket, lock)));
                         found.claim = claim;
                         found.open_door(system);
                         return Ok((found, Some(listener)));
@@ -292,7 +292,7 @@
         let Some(wire) = &mut self.kin.down else { return true };
         if self.kin.machine.role() == Role::Elder {
             while wire.has_room() {
-                let copies = self.engine.idempotency().copies(kin::KEYS);
+                let copies = self.engine.idempotency().copies(handover_link::KEYS);
                 if copies.is_empty() {
                     break;
                 }
@@ -403,7 +403,7 @@
         };
         let Some(wire) = &mut self.kin.down else { return };
         loop {
-            let copies = self.engine.idempotency().copies(kin::KEYS);
+            let copies = self.engine.idempotency().copies(handover_link::KEYS);
             if copies.is_empty() {
                 break;
             }
