--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -77,7 +77,7 @@
 mod controller;
 pub mod engine;
 mod interface;
-pub mod page;
+pub mod log_record;
 pub mod idempotency;
 pub mod handover;
 
--- a/crates/admission/src/page.rs
+++ b/crates/admission/src/log_record.rs
@@ -2,7 +2,7 @@
 
 /// What is to be made durable, all of it or nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Page {
+pub struct LogRecord {
     /// The state of the log's library: term, vote, what is committed.
     pub state: Option<Vec<u8>>,
     /// What stands for all that is forgotten.
@@ -15,10 +15,10 @@
     pub forget: Option<u64>,
 }
 
-impl Page {
+impl LogRecord {
     /// Whether there is nothing to do.
     pub fn is_empty(&self) -> bool {
-        *self == Page::default()
+        *self == LogRecord::default()
     }
 }
 
--- a/crates/cluster/src/accord.rs
+++ b/crates/cluster/src/accord.rs
@@ -11,7 +11,7 @@
 use crate::shelf::{Shelf, raft_id, version_of};
 use crate::wire::{Answer, Ask, Body, Check, Checked, Entry as Versioned, Forward, MOST_CONTENT};
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::page::{Found, Page};
+use gaugestand_admission::log_record::{Found, LogRecord};
 use prost::Message as _;
 use protobuf::Message as _;
 use raft::prelude::{ConfChange, ConfChangeType, Entry, EntryType, Message};
@@ -141,7 +141,7 @@
     /// Say this to a node, if it can be heard.
     Send(Member, Body),
     /// Make this durable, in order, and say so with its number.
-    Write(u64, Page),
+    Write(u64, LogRecord),
     /// Say whether this node could act on this content.
     Check(Asked, Rc<[u8]>, bool),
     /// This version is agreed. It is not in effect yet: [`Accord::acts`].
@@ -630,7 +630,7 @@
         while self.raft.has_ready() {
             let mut ready = self.raft.ready();
             self.send(ready.take_messages(), out);
-            let mut page = Page::default();
+            let mut page = LogRecord::default();
             if !ready.snapshot().is_empty() {
                 let snapshot = ready.snapshot().clone();
                 if self.raft.mut_store().restore(&snapshot, &mut page).is_ok() {
--- a/crates/cluster/src/shelf.rs
+++ b/crates/cluster/src/shelf.rs
@@ -3,7 +3,7 @@
 use crate::effect::Version;
 use crate::members::{Members, Role};
 use crate::wire::{Base, Entry as Versioned};
-use gaugestand_admission::page::{Found, Page};
+use gaugestand_admission::log_record::{Found, LogRecord};
 use prost::Message as _;
 use raft::prelude::{ConfState, Entry, EntryType, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
@@ -118,7 +118,7 @@
     }
 
     /// Takes entries in; those that stood in their places and after them go.
-    pub fn append(&mut self, entries: Vec<Entry>, page: &mut Page) {
+    pub fn append(&mut self, entries: Vec<Entry>, page: &mut LogRecord) {
         let Some(first) = entries.first().map(|e| e.index) else { return };
         if first <= self.last() {
             self.entries.truncate(first.saturating_sub(self.base.index + 1) as usize);
@@ -131,13 +131,13 @@
     }
 
     /// Takes the library's state in.
-    pub fn set_hard(&mut self, hard: &HardState, page: &mut Page) {
+    pub fn set_hard(&mut self, hard: &HardState, page: &mut LogRecord) {
         self.hard = hard.clone();
         page.state = Some(bytes(hard));
     }
 
     /// Takes the place of all with what a snapshot holds.
-    pub fn restore(&mut self, snapshot: &Snapshot, page: &mut Page) -> Result<(), &'static str> {
+    pub fn restore(&mut self, snapshot: &Snapshot, page: &mut LogRecord) -> Result<(), &'static str> {
         let base = Base::decode(snapshot.get_data()).map_err(|_| "a snapshot cannot be read")?;
         let old = std::mem::replace(&mut self.base, base.clone());
         if let Err(why) = self.read_members() {
@@ -151,7 +151,7 @@
     }
 
     /// Forgets what is over the bounds, of what was applied.
-    pub fn trim(&mut self, applied: u64, page: &mut Page) {
+    pub fn trim(&mut self, applied: u64, page: &mut LogRecord) {
         let held = |e: &Entry| {
             let size = e.get_data().len() + e.get_context().len();
             (size, usize::from(size > 0))
--- a/crates/cluster/tests/accord.rs
+++ b/crates/cluster/tests/accord.rs
@@ -5,7 +5,7 @@
 
 use common::{Course, Cuts};
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::page::{Found, Page};
+use gaugestand_admission::log_record::{Found, LogRecord};
 use gaugestand_cluster::accord::{Accord, Event, Refusal, Setup, Step};
 use gaugestand_cluster::effect::{Acts, Defect, Member, Terms, Version};
 use gaugestand_cluster::members::{Change, Members};
@@ -35,11 +35,11 @@
     state: Option<Vec<u8>>,
     base: Option<Vec<u8>>,
     entries: BTreeMap<u64, Vec<u8>>,
-    unsynced: Vec<(u64, Page)>,
+    unsynced: Vec<(u64, LogRecord)>,
 }
 
 impl Disk {
-    fn make(&mut self, page: Page) {
+    fn make(&mut self, page: LogRecord) {
         if let Some(from) = page.cut {
             self.entries.retain(|at, _| *at < from);
         }
--- a/crates/idempotency/src/diary.rs
+++ b/crates/idempotency/src/diary.rs
@@ -5,7 +5,7 @@
 
 use crate::row::{Cause, Outcome, Work};
 use crate::sqlite::{Form, OpenError, Options, open_error, serve, take, transaction};
-use gaugestand_admission::page::{Found, Page};
+use gaugestand_admission::log_record::{Found, LogRecord};
 use rusqlite::{Connection, params};
 use std::fs::File;
 use std::path::Path;
@@ -87,11 +87,11 @@
     }
 
     /// Makes a page durable.
-    pub fn write(&mut self, page: &Page) -> Outcome {
+    pub fn write(&mut self, page: &LogRecord) -> Outcome {
         transaction(&self.connection, || self.make(page))
     }
 
-    fn make(&self, page: &Page) -> rusqlite::Result<()> {
+    fn make(&self, page: &LogRecord) -> rusqlite::Result<()> {
         let c = &self.connection;
         if let Some(from) = page.cut {
             c.prepare_cached("DELETE FROM entry WHERE place >= ?1")?.execute([from as i64])?;
@@ -120,7 +120,7 @@
 impl crate::worker::Backend for Diary {
     fn work(&mut self, work: &Work) -> Outcome {
         match work {
-            Work::Page(page) => self.write(page),
+            Work::LogRecord(page) => self.write(page),
             // Rows are another file's.
             Work::Commit(_) | Work::Ask(_) => Outcome::NotDone(Cause::Other),
         }
--- a/crates/idempotency/src/postgres.rs
+++ b/crates/idempotency/src/postgres.rs
@@ -282,7 +282,7 @@
         let (mut asks, mut unguarded) = (false, false);
         match &batch.work {
             // An agreed log is a file's alone.
-            Work::Page(_) => return Ok(false),
+            Work::LogRecord(_) => return Ok(false),
             Work::Ask(keys) => {
                 asks = true;
                 for key in keys {
--- a/crates/idempotency/src/row.rs
+++ b/crates/idempotency/src/row.rs
@@ -1,6 +1,6 @@
 //! What the ledger and the backends say to each other: rows, writes, batches and how they ended.
 
-use gaugestand_admission::page::Page;
+use gaugestand_admission::log_record::LogRecord;
 use std::fmt;
 
 /// What a row says of its key.
@@ -106,7 +106,7 @@
     /// Read the rows of these keys.
     Ask(Vec<String>),
     /// Make this durable, whole; of an agreed log.
-    Page(Page),
+    LogRecord(LogRecord),
 }
 
 /// Work with its number, so that an answer to an earlier one is not taken for its own.
--- a/crates/idempotency/src/sqlite.rs
+++ b/crates/idempotency/src/sqlite.rs
@@ -283,7 +283,7 @@
             Work::Commit(writes) => self.commit(writes),
             Work::Ask(keys) => self.ask(keys).map_or_else(|e| Outcome::NotDone(cause(&e)), Outcome::Rows),
             // That is another file's.
-            Work::Page(_) => Outcome::NotDone(Cause::Other),
+            Work::LogRecord(_) => Outcome::NotDone(Cause::Other),
         }
     }
 
--- a/crates/idempotency/tests/diary.rs
+++ b/crates/idempotency/tests/diary.rs
@@ -1,6 +1,6 @@
 //! A fleet's log on disk: what is written is found, and a file that is not this node's, or not whole, is left alone.
 
-use gaugestand_admission::page::Page;
+use gaugestand_admission::log_record::LogRecord;
 use gaugestand_idempotency::diary::Diary;
 use gaugestand_idempotency::row::Outcome;
 use gaugestand_idempotency::sqlite::{Options, Sqlite};
@@ -36,9 +36,9 @@
     }
 }
 
-fn page(from: u64, to: u64) -> Page {
+fn page(from: u64, to: u64) -> LogRecord {
     let put = (from..=to).map(|at| (at, format!("entry {at}").into_bytes())).collect();
-    Page { state: Some(format!("state {to}").into_bytes()), cut: Some(from), put, ..Page::default() }
+    LogRecord { state: Some(format!("state {to}").into_bytes()), cut: Some(from), put, ..LogRecord::default() }
 }
 
 #[test]
@@ -54,7 +54,7 @@
             // Another leader's entries take the place of some; said twice it is the same.
             assert_eq!(diary.write(&page(6, 7)), Outcome::Done);
             assert_eq!(diary.write(&page(6, 7)), Outcome::Done);
-            let forget = Page { forget: Some(2), base: Some(b"base".to_vec()), ..Page::default() };
+            let forget = LogRecord { forget: Some(2), base: Some(b"base".to_vec()), ..LogRecord::default() };
             assert_eq!(diary.write(&forget), Outcome::Done);
             continue;
         }
@@ -99,11 +99,11 @@
     let place = Place::new("full");
     let small = Options { most_pages: 40, ..Options::default() };
     let (mut diary, _) = Diary::open(&place.file(), OWNER, &small).expect("opened");
-    let big = |at: u64| Page { put: vec![(at, vec![7; 8_000])], ..Page::default() };
+    let big = |at: u64| LogRecord { put: vec![(at, vec![7; 8_000])], ..LogRecord::default() };
     let done = (1..100).take_while(|at| diary.write(&big(*at)) == Outcome::Done).count() as u64;
     assert!((2..60).contains(&done), "{done} pages");
     // Room again: what failed is made again, in its order.
-    assert_eq!(diary.write(&Page { forget: Some(done / 2), ..Page::default() }), Outcome::Done);
+    assert_eq!(diary.write(&LogRecord { forget: Some(done / 2), ..LogRecord::default() }), Outcome::Done);
     assert_eq!(diary.write(&big(done + 1)), Outcome::Done);
     drop(diary);
     let (_, found) = Diary::open(&place.file(), OWNER, &small).expect("opened");
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -221,7 +221,7 @@
     /// What the store does with work, by the rules that the backends follow.
     fn apply(&mut self, work: &Work) -> Outcome {
         match work {
-            Work::Page(_) => panic!("a ledger writes no log"),
+            Work::LogRecord(_) => panic!("a ledger writes no log"),
             Work::Ask(keys) => {
                 Outcome::Rows(keys.iter().filter_map(|k| self.store.get(k)).cloned().collect())
             }
--- a/crates/node/src/fellows.rs
+++ b/crates/node/src/fellows.rs
@@ -9,7 +9,7 @@
 use super::io::{Listener, Ready, System, Worker};
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::page::Page;
+use gaugestand_admission::log_record::LogRecord;
 use gaugestand_cluster::accord::{Accord, Asked, Event, Refusal, Setup, Step};
 use gaugestand_cluster::differ::Content;
 use gaugestand_cluster::effect::{Acts, Member, Terms, Version};
@@ -126,7 +126,7 @@
     /// Links that this node makes; then those that came in.
     channels: Vec<Option<Channel<S>>>,
     writer: S::Worker,
-    pages: VecDeque<(u64, Page)>,
+    pages: VecDeque<(u64, LogRecord)>,
     /// The first of them is with the worker.
     flying: bool,
     write_again: Micros,
@@ -617,7 +617,7 @@
             return;
         }
         if let Some((number, page)) = self.pages.front() {
-            let batch = Batch { number: *number, work: Work::Page(page.clone()) };
+            let batch = Batch { number: *number, work: Work::LogRecord(page.clone()) };
             self.flying = self.writer.submit(batch).is_ok();
         }
     }
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -11,7 +11,7 @@
 pub mod real;
 
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::page::Found;
+use gaugestand_admission::log_record::Found;
 use gaugestand_admission::idempotency::Moment;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::Options;
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -4,7 +4,7 @@
 use super::poll::{Watched, wait};
 use super::{Datagram, Listener, Ready, Stream, System, Worker};
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::page::Found;
+use gaugestand_admission::log_record::Found;
 use gaugestand_admission::idempotency::Moment;
 use gaugestand_idempotency::diary::Diary;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/net.rs
@@ -4,7 +4,7 @@
 //! happens between two events; a node that is not woken does nothing.
 
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::page::Found;
+use gaugestand_admission::log_record::Found;
 use gaugestand_admission::idempotency::Moment;
 use gaugestand_node::io::{Claim, Datagram, Kin, Listener, Passed, Ready, Stream, System, Worker};
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
