--- a/crates/admission/tests/engine.rs
+++ b/crates/admission/tests/engine.rs
@@ -6,7 +6,7 @@
 use gaugestand_admission::engine::{Arrival, CallEnd, Engine, Micros, Report, RunEnd, Unfit, Verdict};
 use gaugestand_admission::idempotency::Moment;
 use gaugestand_admission::{Below, RequestId, Settings};
-use gaugestand_idempotency::Ledger;
+use gaugestand_idempotency::KeyTable;
 use std::rc::Rc;
 
 const PURE: usize = 0;
@@ -14,7 +14,7 @@
 
 /// A engine whose work is up, and its clock.
 struct Desk {
-    engine: Engine<Ledger>,
+    engine: Engine<KeyTable>,
     now: Micros,
 }
 
@@ -26,7 +26,7 @@
     fn with(change: impl FnOnce(&mut Settings)) -> Self {
         let mut settings = Settings { below: Below::Tier, ..settings() };
         change(&mut settings);
-        let engine = Engine::new(settings, 1, Ledger::volatile()).expect("sound settings");
+        let engine = Engine::new(settings, 1, KeyTable::volatile()).expect("sound settings");
         let mut desk = Desk { engine, now: Micros::millis(3_600_000) };
         desk.report(Report::Booted { cold: false, age: Micros(0) });
         desk
--- a/crates/idempotency/src/diary.rs
+++ b/crates/idempotency/src/consensus_log.rs
@@ -11,7 +11,7 @@
 use std::path::Path;
 
 /// "gsfl": a fleet's log.
-const DIARY: Form = Form {
+const CONSENSUS_LOG: Form = Form {
     application: 0x6773_666c,
     migrations: &["
     CREATE TABLE life(one INTEGER PRIMARY KEY CHECK(one = 1), life INTEGER NOT NULL, owner TEXT NOT NULL) STRICT;
@@ -24,7 +24,7 @@
 
 /// A log that this process owns.
 #[derive(Debug)]
-pub struct Diary {
+pub struct ConsensusLog {
     connection: Connection,
     /// Held for as long as this lives.
     _lock: File,
@@ -39,11 +39,11 @@
     sum
 }
 
-impl Diary {
+impl ConsensusLog {
     /// Opens the log of this owner (fleet, members and node in words), makes it if there is none, and counts one more life.
     pub fn open(path: &Path, owner: &str, options: &Options) -> Result<(Self, Found), String> {
         let told = |e: OpenError| e.to_string().replacen("store of record", "agreed log", 1);
-        let (connection, lock) = take(&DIARY, path, options).map_err(told)?;
+        let (connection, lock) = take(&CONSENSUS_LOG, path, options).map_err(told)?;
         let err = |e: rusqlite::Error| told(open_error(path, &e));
         let whose: String = connection.query_row("SELECT owner FROM life", [], |r| r.get(0)).map_err(err)?;
         if !whose.is_empty() && whose != owner {
@@ -83,7 +83,7 @@
             .map_err(err)?;
         found.life = life as u64;
         serve(path, &connection).map_err(told)?;
-        Ok((Diary { connection, _lock: lock }, found))
+        Ok((ConsensusLog { connection, _lock: lock }, found))
     }
 
     /// Makes a page durable.
@@ -117,7 +117,7 @@
     }
 }
 
-impl crate::worker::Backend for Diary {
+impl crate::worker::Backend for ConsensusLog {
     fn work(&mut self, work: &Work) -> Outcome {
         match work {
             Work::LogRecord(page) => self.write(page),
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,18 +1,18 @@
 //! The store of record of a booking node.
 //!
-//! [`ledger`] decides: what must be durable before a run begins or an answer goes out, what a repeat gets, and
+//! [`table`] decides: what must be durable before a run begins or an answer goes out, what a repeat gets, and
 //! what becomes of all that when a store stalls, breaks or comes back. It does no I/O and reads no clock.
 //! [`row`] is what it says to a backend and hears from it. [`sqlite`] is one backend, with [`worker`] as the
 //! thread that it blocks; [`postgres`] is the other, as bytes in and bytes out;
-//! [`remote`] drives it for a command line. [`diary`] keeps a fleet's agreed log, in a file of its own, behind a worker as well.
+//! [`remote`] drives it for a command line. [`consensus_log`] keeps a fleet's agreed log, in a file of its own, behind a worker as well.
 #![forbid(unsafe_code)]
 
-pub mod diary;
-pub mod ledger;
+pub mod consensus_log;
+pub mod table;
 pub mod postgres;
 pub mod remote;
 pub mod row;
 pub mod sqlite;
 pub mod worker;
 
-pub use ledger::{Breaker, Copy, Figures, Ledger, Limits};
+pub use table::{Breaker, Copy, Figures, KeyTable, Limits};
--- a/crates/idempotency/src/ledger.rs
+++ b/crates/idempotency/src/table.rs
@@ -220,7 +220,7 @@
 
 /// The ledger; see the module's page.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct KeyTable {
     keys: HashMap<Rc<str>, Entry>,
     /// Keys by the time at which they are to be looked at, roughly in order.
     expiry: VecDeque<(Micros, Rc<str>)>,
@@ -241,10 +241,10 @@
 /// The longest result that the protocol knows, in bytes.
 const LONGEST_RESULT: usize = 4096;
 
-impl Ledger {
+impl KeyTable {
     /// A ledger that forgets with the process, as a node without a store of record has it.
     pub fn volatile() -> Self {
-        Ledger {
+        KeyTable {
             keys: HashMap::new(),
             expiry: VecDeque::new(),
             next_sweep: Micros(0),
@@ -258,7 +258,7 @@
         }
     }
 
-    /// A ledger with a store behind it, which takes no key before [`Ledger::load`].
+    /// A ledger with a store behind it, which takes no key before [`KeyTable::load`].
     pub fn durable(limits: Limits, seed: u64) -> Self {
         let durable = Durable {
             limits,
@@ -278,7 +278,7 @@
             number: 0,
             rng: fastrand::Rng::with_seed(seed),
         };
-        Ledger { durable: Some(durable), ..Ledger::volatile() }
+        KeyTable { durable: Some(durable), ..KeyTable::volatile() }
     }
 
     /// Without a store: first tries of keys are taken while the table, with one more result of the longest kind, takes
@@ -355,7 +355,7 @@
         }
     }
 
-    /// The link to the store is up or down. What was out on it is told by [`Ledger::outcome`].
+    /// The link to the store is up or down. What was out on it is told by [`KeyTable::outcome`].
     pub fn link(&mut self, now: Micros, up: bool) {
         let Some(d) = &mut self.durable else { return };
         d.linked = up;
@@ -610,7 +610,7 @@
     key.len() + result + ENTRY_BYTES
 }
 
-impl IdempotencyTable for Ledger {
+impl IdempotencyTable for KeyTable {
     fn print(&self, body: &[u8]) -> u128 {
         // The same after a restart where there is a store; half as long as the hash: 2^64 tries for two alike.
         let hash = match self.durable {
@@ -792,7 +792,7 @@
     }
 }
 
-impl Ledger {
+impl KeyTable {
     /// Forgets a key of which nothing was ever written.
     fn withdraw_held(&mut self, key: &str) -> Option<(RequestId, Vec<RequestId>)> {
         let (key, entry) = self.keys.remove_entry(key)?;
--- a/crates/idempotency/tests/diary.rs
+++ b/crates/idempotency/tests/consensus_log.rs
@@ -1,7 +1,7 @@
 //! A fleet's log on disk: what is written is found, and a file that is not this node's, or not whole, is left alone.
 
 use gaugestand_admission::log_record::LogRecord;
-use gaugestand_idempotency::diary::Diary;
+use gaugestand_idempotency::consensus_log::ConsensusLog;
 use gaugestand_idempotency::row::Outcome;
 use gaugestand_idempotency::sqlite::{Options, Sqlite};
 use rusqlite::Connection;
@@ -45,17 +45,17 @@
 fn what_is_written_is_found_in_the_next_life() {
     let place = Place::new("found");
     for life in 1..=3 {
-        let (mut diary, found) = Diary::open(&place.file(), OWNER, &Options::default()).expect("opened");
+        let (mut consensus_log, found) = ConsensusLog::open(&place.file(), OWNER, &Options::default()).expect("opened");
         assert_eq!(found.life, life);
-        assert!(Diary::open(&place.file(), OWNER, &Options::default()).is_err(), "it has one writer");
+        assert!(ConsensusLog::open(&place.file(), OWNER, &Options::default()).is_err(), "it has one writer");
         if life == 1 {
             assert_eq!((found.state, found.base, found.entries.len()), (None, None, 0));
-            assert_eq!(diary.write(&page(1, 9)), Outcome::Done);
+            assert_eq!(consensus_log.write(&page(1, 9)), Outcome::Done);
             // Another leader's entries take the place of some; said twice it is the same.
-            assert_eq!(diary.write(&page(6, 7)), Outcome::Done);
-            assert_eq!(diary.write(&page(6, 7)), Outcome::Done);
+            assert_eq!(consensus_log.write(&page(6, 7)), Outcome::Done);
+            assert_eq!(consensus_log.write(&page(6, 7)), Outcome::Done);
             let forget = LogRecord { forget: Some(2), base: Some(b"base".to_vec()), ..LogRecord::default() };
-            assert_eq!(diary.write(&forget), Outcome::Done);
+            assert_eq!(consensus_log.write(&forget), Outcome::Done);
             continue;
         }
         let places: Vec<u64> = found.entries.iter().map(|e| e.0).collect();
@@ -78,19 +78,19 @@
     ];
     for (i, (sql, why)) in cases.into_iter().enumerate() {
         let place = Place::new(&format!("case{i}"));
-        let (mut diary, _) = Diary::open(&place.file(), OWNER, &Options::default()).expect("opened");
-        assert_eq!(diary.write(&page(1, 3)), Outcome::Done);
-        drop(diary);
+        let (mut consensus_log, _) = ConsensusLog::open(&place.file(), OWNER, &Options::default()).expect("opened");
+        assert_eq!(consensus_log.write(&page(1, 3)), Outcome::Done);
+        drop(consensus_log);
         place.change(sql);
         let before = fs::read(place.file()).expect("there");
-        let told = Diary::open(&place.file(), OWNER, &Options::default()).map(|_| ()).expect_err(sql);
+        let told = ConsensusLog::open(&place.file(), OWNER, &Options::default()).map(|_| ()).expect_err(sql);
         assert!(told.starts_with("agreed log") && told.contains(why) && told.lines().count() == 1, "{told}");
         assert_eq!(fs::read(place.file()).expect("there"), before, "{sql}: it was changed");
     }
     // A store of record is none, nor is a log a store of record.
     let place = Place::new("store");
     drop(Sqlite::open(&place.file(), &Options::default()).expect("a store"));
-    let told = Diary::open(&place.file(), OWNER, &Options::default()).map(|_| ()).expect_err("another file");
+    let told = ConsensusLog::open(&place.file(), OWNER, &Options::default()).map(|_| ()).expect_err("another file");
     assert!(told.contains("is a file of another program"), "{told}");
 }
 
@@ -98,15 +98,15 @@
 fn a_full_disk_loses_no_page_that_was_done() {
     let place = Place::new("full");
     let small = Options { most_pages: 40, ..Options::default() };
-    let (mut diary, _) = Diary::open(&place.file(), OWNER, &small).expect("opened");
+    let (mut consensus_log, _) = ConsensusLog::open(&place.file(), OWNER, &small).expect("opened");
     let big = |at: u64| LogRecord { put: vec![(at, vec![7; 8_000])], ..LogRecord::default() };
-    let done = (1..100).take_while(|at| diary.write(&big(*at)) == Outcome::Done).count() as u64;
+    let done = (1..100).take_while(|at| consensus_log.write(&big(*at)) == Outcome::Done).count() as u64;
     assert!((2..60).contains(&done), "{done} pages");
     // Room again: what failed is made again, in its order.
-    assert_eq!(diary.write(&LogRecord { forget: Some(done / 2), ..LogRecord::default() }), Outcome::Done);
-    assert_eq!(diary.write(&big(done + 1)), Outcome::Done);
-    drop(diary);
-    let (_, found) = Diary::open(&place.file(), OWNER, &small).expect("opened");
+    assert_eq!(consensus_log.write(&LogRecord { forget: Some(done / 2), ..LogRecord::default() }), Outcome::Done);
+    assert_eq!(consensus_log.write(&big(done + 1)), Outcome::Done);
+    drop(consensus_log);
+    let (_, found) = ConsensusLog::open(&place.file(), OWNER, &small).expect("opened");
     let places: Vec<u64> = found.entries.iter().map(|e| e.0).collect();
     assert_eq!(places, (done / 2 + 1..=done + 1).collect::<Vec<_>>());
 }
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -7,7 +7,7 @@
 use gaugestand_admission::idempotency::Moment;
 use gaugestand_admission::{Below, Class, Effect, Halt, RequestId, Settings, Signal, Span, WorthBy};
 use gaugestand_idempotency::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
-use gaugestand_idempotency::{Ledger, Limits};
+use gaugestand_idempotency::{KeyTable, Limits};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -40,7 +40,7 @@
 
 /// What can be seen from outside, and what may still happen.
 struct World {
-    engine: Engine<Ledger>,
+    engine: Engine<KeyTable>,
     now: Moment,
     /// Runs begun in the present life that have not ended.
     running: Vec<RequestId>,
@@ -104,9 +104,9 @@
     }
 }
 
-fn engine() -> Engine<Ledger> {
+fn engine() -> Engine<KeyTable> {
     let limits = Limits { window: Micros::millis(29_220), ..Limits::default() };
-    Engine::new(settings(), 1, Ledger::durable(limits, 1)).expect("sound settings")
+    Engine::new(settings(), 1, KeyTable::durable(limits, 1)).expect("sound settings")
 }
 
 impl World {
--- a/crates/idempotency/tests/ledger.rs
+++ b/crates/idempotency/tests/table.rs
@@ -4,7 +4,7 @@
 use gaugestand_admission::engine::Micros;
 use gaugestand_admission::idempotency::*;
 use gaugestand_idempotency::row::{Cause, Outcome, Recovery, Row, State, Work, Write};
-use gaugestand_idempotency::{Breaker, Ledger, Limits};
+use gaugestand_idempotency::{Breaker, KeyTable, Limits};
 use std::rc::Rc;
 
 /// The window of the class: 29,220 ms, as the site has it.
@@ -12,7 +12,7 @@
 
 /// A ledger with its clocks.
 struct Book {
-    ledger: Ledger,
+    key_table: KeyTable,
     now: Moment,
 }
 
@@ -26,9 +26,9 @@
 
 impl Book {
     fn new(limits: Limits, rows: Vec<Row>) -> Self {
-        let mut book = Book { ledger: Ledger::durable(limits, 3), now: start() };
+        let mut book = Book { key_table: KeyTable::durable(limits, 3), now: start() };
         let found = rows.len() as u64;
-        book.ledger.load(book.now, Recovery { rows, found, epoch: 1 });
+        book.key_table.load(book.now, Recovery { rows, found, epoch: 1 });
         book
     }
 
@@ -37,31 +37,31 @@
     }
 
     fn find(&mut self, key: &str, at: Moment) -> Found {
-        self.ledger.find(self.now, key, 1, at)
+        self.key_table.find(self.now, key, 1, at)
     }
 
     /// A first try of a key comes and is to be run.
     fn begin(&mut self, key: &str, n: u128) -> Begin {
         assert_eq!(self.find(key, self.now), Found::Nothing, "{key}");
         let (key, until): (Rc<str>, _) = (key.into(), self.now.plus(WINDOW));
-        self.ledger.keep(&key, id(n), 1, until);
-        self.ledger.begin(self.now, &key, id(n), self.now, until)
+        self.key_table.keep(&key, id(n), 1, until);
+        self.key_table.begin(self.now, &key, id(n), self.now, until)
     }
 
     fn end(&mut self, key: &str, n: u128, result: &[u8]) -> Ended {
-        self.ledger.end(self.now, &key.into(), id(n), RunResult::Good(Rc::from(result)))
+        self.key_table.end(self.now, &key.into(), id(n), RunResult::Good(Rc::from(result)))
     }
 
     fn settled(&mut self) -> Vec<Settled> {
         let mut out = Vec::new();
-        self.ledger.settled(self.now, &mut out);
+        self.key_table.settled(self.now, &mut out);
         out
     }
 
     /// The store does what it is asked; returns the writes.
     fn commit(&mut self) -> Vec<Write> {
-        let Some(batch) = self.ledger.work(self.now.mono) else { return vec![] };
-        self.ledger.outcome(self.now.mono, batch.number, Outcome::Done);
+        let Some(batch) = self.key_table.work(self.now.mono) else { return vec![] };
+        self.key_table.outcome(self.now.mono, batch.number, Outcome::Done);
         let Work::Commit(writes) = batch.work else { panic!("asked {:?}", batch.work) };
         writes
     }
@@ -77,8 +77,8 @@
     }
 
     fn fail(&mut self, cause: Cause) {
-        let batch = self.ledger.work(self.now.mono).expect("work");
-        self.ledger.outcome(self.now.mono, batch.number, Outcome::NotDone(cause));
+        let batch = self.key_table.work(self.now.mono).expect("work");
+        self.key_table.outcome(self.now.mono, batch.number, Outcome::NotDone(cause));
     }
 }
 
@@ -127,10 +127,10 @@
     for (ms, binds) in [(0, true), (29_219, true), (29_221, false)] {
         for set in [-86_400_000i64, 0, 86_400_000] {
             let rows = vec![row("good", 1, State::Good(b"r".to_vec())), row("doubt", 2, State::Intent)];
-            let mut book = Book { ledger: Ledger::durable(limits(), 3), now: start() };
+            let mut book = Book { key_table: KeyTable::durable(limits(), 3), now: start() };
             book.now.wall = Micros(book.now.wall.0.saturating_add_signed(set * 1000));
-            book.ledger.load(book.now, Recovery { rows, found: 2, epoch: 2 });
-            assert_eq!(book.ledger.figures().in_doubt, 1);
+            book.key_table.load(book.now, Recovery { rows, found: 2, epoch: 2 });
+            assert_eq!(book.key_table.figures().in_doubt, 1);
             book.pass(ms);
             // A clock that was set back a day has the row's own end far ahead: longer, not shorter.
             let binds = binds || set < 0;
@@ -139,9 +139,9 @@
                 assert_eq!(found, if binds { Found::Prior(id(n)) } else { Found::Nothing }, "{ms} {set}");
             }
             if binds {
-                assert_eq!(book.ledger.join("good", id(9)), Join::Replay(Rc::from(*b"r")));
-                assert_eq!(book.ledger.join("doubt", id(9)), Join::Fail);
-                assert_eq!(book.ledger.find(book.now, "good", 2, book.now), Found::OtherBody);
+                assert_eq!(book.key_table.join("good", id(9)), Join::Replay(Rc::from(*b"r")));
+                assert_eq!(book.key_table.join("doubt", id(9)), Join::Fail);
+                assert_eq!(book.key_table.find(book.now, "good", 2, book.now), Found::OtherBody);
             }
         }
     }
@@ -149,8 +149,8 @@
 
 #[test]
 fn more_rows_than_there_is_room_for_shut_the_door_until_none_of_them_can_bind() {
-    let mut book = Book { ledger: Ledger::durable(limits(), 3), now: start() };
-    book.ledger.load(book.now, Recovery { rows: vec![], found: 200_000, epoch: 2 });
+    let mut book = Book { key_table: KeyTable::durable(limits(), 3), now: start() };
+    book.key_table.load(book.now, Recovery { rows: vec![], found: 200_000, epoch: 2 });
     for (ms, open) in [(0, false), (29_000, false), (15_000, true)] {
         book.pass(ms);
         book.settled();
@@ -166,13 +166,13 @@
     }
     book.pass(29_220 + 10_001);
     assert_eq!(book.settled(), []);
-    assert_eq!((book.ledger.figures().entries, book.ledger.figures().removals), (0, 300));
+    assert_eq!((book.key_table.figures().entries, book.key_table.figures().removals), (0, 300));
     // One write takes few removals along; with none, they go by the batch.
     assert_eq!(book.begin("new", 1_000), Begin::Wait);
     let writes = book.commit();
     assert!(matches!(writes[0], Write::Put(_)) && writes.len() == 17, "{}", writes.len());
     assert_eq!(book.commit().len(), 284);
-    assert_eq!((book.ledger.figures().removals, book.ledger.figures().bytes > 0), (0, true));
+    assert_eq!((book.key_table.figures().removals, book.key_table.figures().bytes > 0), (0, true));
 }
 
 #[test]
@@ -200,14 +200,14 @@
     book.commit();
     book.settled();
     book.begin("out", 2);
-    let out = book.ledger.work(book.now.mono).expect("work");
+    let out = book.key_table.work(book.now.mono).expect("work");
     book.pass(100);
     book.begin("waits", 3);
-    assert_eq!(book.ledger.join("waits", id(4)), Join::Wait);
+    assert_eq!(book.key_table.join("waits", id(4)), Join::Wait);
     assert_eq!(book.end("ran", 1, b"r"), Ended::Wait);
     book.pass(149);
-    assert_eq!((book.settled(), book.ledger.breaker()), (vec![], Breaker::Closed));
-    assert_eq!(book.ledger.wake(), Some(book.now.mono.plus(Micros::millis(1))));
+    assert_eq!((book.settled(), book.key_table.breaker()), (vec![], Breaker::Closed));
+    assert_eq!(book.key_table.wake(), Some(book.now.mono.plus(Micros::millis(1))));
     book.pass(1);
     let settled = book.settled();
     let unwritten: Vec<_> = settled
@@ -218,13 +218,13 @@
         })
         .collect();
     assert_eq!(unwritten, [(3, 1, true), (2, 0, true)]);
-    assert_eq!(book.ledger.breaker(), Breaker::Open(Cause::Stalled, book.now.mono));
+    assert_eq!(book.key_table.breaker(), Breaker::Open(Cause::Stalled, book.now.mono));
     assert!(matches!(book.find("new", book.now), Found::Closed(_)));
     // Nothing more is asked of a store that has not answered yet.
-    assert_eq!(book.ledger.work(book.now.mono), None);
+    assert_eq!(book.key_table.work(book.now.mono), None);
     // It comes through after all: what was withdrawn never begins, and its row goes.
-    book.ledger.outcome(book.now.mono, out.number, Outcome::Done);
-    assert_eq!((book.settled(), book.ledger.breaker()), (vec![], Breaker::Closed));
+    book.key_table.outcome(book.now.mono, out.number, Outcome::Done);
+    assert_eq!((book.settled(), book.key_table.breaker()), (vec![], Breaker::Closed));
     let writes = book.commit();
     assert!(matches!(&writes[0], Write::Put(r) if r.key == "ran" && r.state == State::Good(b"r".to_vec())));
     assert!(matches!(&writes[1], Write::Remove { key, .. } if key == "out"));
@@ -242,12 +242,12 @@
     book.settled();
     book.end("a", 1, b"r");
     book.fail(Cause::Full);
-    assert!(matches!(book.ledger.breaker(), Breaker::Open(Cause::Full, _)));
+    assert!(matches!(book.key_table.breaker(), Breaker::Open(Cause::Full, _)));
     let mut waits = Vec::new();
     for _ in 0..7 {
-        let at = book.ledger.wake().expect("a probe").max(book.now.mono);
+        let at = book.key_table.wake().expect("a probe").max(book.now.mono);
         waits.push(at.since(book.now.mono).0 / 1000);
-        assert_eq!(book.ledger.work(Micros(at.0 - 1)), None);
+        assert_eq!(book.key_table.work(Micros(at.0 - 1)), None);
         book.now = book.now.plus(at.since(book.now.mono));
         book.fail(Cause::Full);
     }
@@ -257,7 +257,7 @@
     }
     book.pass(10_000);
     assert_eq!(book.commit().len(), 1, "a probe is one write");
-    assert_eq!(book.ledger.breaker(), Breaker::Closed);
+    assert_eq!(book.key_table.breaker(), Breaker::Closed);
     assert_eq!(book.settled().len(), 1);
 }
 
@@ -265,9 +265,9 @@
 fn a_busy_store_is_tried_again_soon_and_counts_as_stalled_only_by_age() {
     let mut book = Book::new(limits(), vec![]);
     book.begin("a", 1);
-    while book.ledger.breaker() == Breaker::Closed {
+    while book.key_table.breaker() == Breaker::Closed {
         book.fail(Cause::Busy);
-        let wait = book.ledger.wake().expect("another try").since(book.now.mono).0 / 1000;
+        let wait = book.key_table.wake().expect("another try").since(book.now.mono).0 / 1000;
         assert!((1..=100).contains(&wait), "{wait} ms");
         book.pass(wait);
         book.settled();
@@ -284,20 +284,20 @@
     book.settled();
     book.end("a", 1, b"ra");
     book.end("b", 2, b"rb");
-    let out = book.ledger.work(book.now.mono).expect("work");
+    let out = book.key_table.work(book.now.mono).expect("work");
     let Work::Commit(writes) = &out.work else { panic!("a commit") };
     let Write::Put(first) = writes[0].clone() else { panic!("a row") };
-    book.ledger.outcome(book.now.mono, out.number, Outcome::Unknown(Cause::Link));
-    book.ledger.link(book.now.mono, false);
-    assert_eq!(book.ledger.work(book.now.mono.plus(Micros::millis(60_000))), None, "there is no link");
-    book.ledger.link(book.now.mono, true);
-    let ask = book.ledger.work(book.now.mono).expect("work");
+    book.key_table.outcome(book.now.mono, out.number, Outcome::Unknown(Cause::Link));
+    book.key_table.link(book.now.mono, false);
+    assert_eq!(book.key_table.work(book.now.mono.plus(Micros::millis(60_000))), None, "there is no link");
+    book.key_table.link(book.now.mono, true);
+    let ask = book.key_table.work(book.now.mono).expect("work");
     assert_eq!(ask.work, Work::Ask(vec!["a".into(), "b".into()]));
     // An answer to the batch before is none to this one.
-    book.ledger.outcome(book.now.mono, out.number, Outcome::Done);
+    book.key_table.outcome(book.now.mono, out.number, Outcome::Done);
     assert_eq!(book.settled(), []);
     // The first one is in, the second is not and is written again, alone, as a probe.
-    book.ledger.outcome(book.now.mono, ask.number, Outcome::Rows(vec![first]));
+    book.key_table.outcome(book.now.mono, ask.number, Outcome::Rows(vec![first]));
     assert_eq!(book.settled(), [Settled::Stored(id(1), vec![], Rc::from(*b"ra"))]);
     assert_eq!(book.commit(), writes[1..]);
     assert_eq!(book.settled(), [Settled::Stored(id(2), vec![], Rc::from(*b"rb"))]);
@@ -307,15 +307,15 @@
 fn a_caller_that_leaves_before_its_run_has_begun_takes_the_intent_back() {
     let mut book = Book::new(limits(), vec![]);
     book.begin("a", 1);
-    book.ledger.join("a", id(2));
-    let left = book.ledger.leave(book.now, &"a".into(), id(1));
+    book.key_table.join("a", id(2));
+    let left = book.key_table.leave(book.now, &"a".into(), id(1));
     assert_eq!(left, Left { waiting: vec![id(2)], withdrawn: true });
     // It was never out, so that nothing need be written at all.
     assert_eq!(book.commit(), []);
     book.begin("a", 3);
-    let out = book.ledger.work(book.now.mono).expect("work");
-    assert!(book.ledger.leave(book.now, &"a".into(), id(3)).withdrawn);
-    book.ledger.outcome(book.now.mono, out.number, Outcome::Done);
+    let out = book.key_table.work(book.now.mono).expect("work");
+    assert!(book.key_table.leave(book.now, &"a".into(), id(3)).withdrawn);
+    book.key_table.outcome(book.now.mono, out.number, Outcome::Done);
     assert_eq!(book.settled(), [], "it never begins");
     assert!(matches!(&book.commit()[..], [Write::Remove { .. }]));
 }
@@ -324,7 +324,7 @@
 fn bounds_can_change_while_it_serves() {
     let mut book = Book::new(limits(), vec![]);
     book.begin("a", 1);
-    book.ledger.set_limits(Limits { entries: 1, stall: Micros::millis(1_000), ..limits() });
+    book.key_table.set_limits(Limits { entries: 1, stall: Micros::millis(1_000), ..limits() });
     assert!(matches!(book.find("b", book.now), Found::Closed(_)));
     book.pass(999);
     assert_eq!(book.settled(), []);
@@ -336,8 +336,8 @@
 // bytes, and what is known already is still answered.
 #[test]
 fn without_a_store_results_are_kept_within_their_bytes_for_a_window_longer_than_the_room_lasts() {
-    let mut book = Book { ledger: Ledger::volatile(), now: start() };
-    book.ledger.set_most(64 << 10);
+    let mut book = Book { key_table: KeyTable::volatile(), now: start() };
+    book.key_table.set_most(64 << 10);
     let book_one = |book: &mut Book, n: u128, len: usize| {
         let key = format!("k{n}");
         match book.find(&key, book.now) {
@@ -354,7 +354,7 @@
         book.pass(10);
     }
     assert!((8..16).contains(&long), "{long} results of 4 KiB in 64 KiB");
-    assert!(book.ledger.figures().bytes <= 64 << 10);
+    assert!(book.key_table.figures().bytes <= 64 << 10);
     // What has run is still known, and the advice says when there is room again: with the end of the first window.
     assert_eq!(book.find("k0", book.now), Found::Prior(id(0)));
     let advice = book_one(&mut book, 500, 1).expect("no room");
--- a/crates/node/src/fellows.rs
+++ b/crates/node/src/fellows.rs
@@ -196,7 +196,7 @@
         let terms = planted(terms)?;
         let names: Vec<String> = settings.members.iter().map(|m| m.0.clone()).collect();
         let owner = format!("node {me} of fleet {:?} ({})", settings.name, names.join(", "));
-        let (writer, found) = system.diary(&settings.path, &owner, writer_key)?;
+        let (writer, found) = system.consensus_log(&settings.path, &owner, writer_key)?;
         let listener = settings.listen.unwrap_or(own);
         let listener =
             system.listen(listener, listener_key).map_err(|e| format!("fleet: {listener}: {e}"))?;
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -71,7 +71,7 @@
         key: usize,
     ) -> Result<(Self::Worker, Recovery), String>;
     /// Opens a fleet's log in a file, which belongs to this owner, with what an earlier life left in it.
-    fn diary(&self, path: &Path, owner: &str, key: usize) -> Result<(Self::Worker, Found), String>;
+    fn consensus_log(&self, path: &Path, owner: &str, key: usize) -> Result<(Self::Worker, Found), String>;
     /// Listens for other processes of this node, in place of a socket that nobody answers at.
     fn door(&self, at: &Path, key: usize) -> io::Result<Self::Door>;
     /// Connects to another process of this node.
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -6,7 +6,7 @@
 use gaugestand_admission::engine::Micros;
 use gaugestand_admission::log_record::Found;
 use gaugestand_admission::idempotency::Moment;
-use gaugestand_idempotency::diary::Diary;
+use gaugestand_idempotency::consensus_log::ConsensusLog;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::{Options, Sqlite};
 use gaugestand_idempotency::worker;
@@ -136,9 +136,9 @@
         Ok((self.worker(store, key).map_err(|e| format!("store of record: {e}"))?, found))
     }
 
-    fn diary(&self, path: &Path, owner: &str, key: usize) -> Result<(Thread, Found), String> {
-        let (diary, found) = Diary::open(path, owner, &Options::default())?;
-        Ok((self.worker(diary, key).map_err(|e| format!("agreed log: {e}"))?, found))
+    fn consensus_log(&self, path: &Path, owner: &str, key: usize) -> Result<(Thread, Found), String> {
+        let (consensus_log, found) = ConsensusLog::open(path, owner, &Options::default())?;
+        Ok((self.worker(consensus_log, key).map_err(|e| format!("agreed log: {e}"))?, found))
     }
 
     fn door(&self, at: &Path, key: usize) -> io::Result<Door> {
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -11,7 +11,7 @@
 use gaugestand_idempotency::postgres::{Event, Fault, Login, Session};
 use gaugestand_idempotency::row::{Batch, Cause, Outcome, Work};
 use gaugestand_idempotency::sqlite::Options;
-use gaugestand_idempotency::{Breaker, Ledger, Limits};
+use gaugestand_idempotency::{Breaker, KeyTable, Limits};
 use gaugestand_settings::{Backend, Record as Settings, Sync};
 use std::fs;
 use std::net::SocketAddr;
@@ -98,20 +98,20 @@
         key: usize,
         system: &S,
         now: Moment,
-    ) -> Result<(Self, Ledger), String> {
+    ) -> Result<(Self, KeyTable), String> {
         let Some(settings) = settings else {
-            return Ok((Keeper { way: Way::None, said: None }, Ledger::volatile()));
+            return Ok((Keeper { way: Way::None, said: None }, KeyTable::volatile()));
         };
-        let mut ledger = Ledger::durable(limits(settings, window), seed);
+        let mut key_table = KeyTable::durable(limits(settings, window), seed);
         let way = match &settings.backend {
             Backend::Sqlite { path, sync } => {
                 let began = system.moment().mono;
                 let options = Options { extra: *sync == Sync::Extra, ..Options::default() };
                 let (worker, found) = system.store(path, &options, settings.entries, key)?;
                 let (rows, epoch) = (found.found, found.epoch);
-                ledger.load(now, found);
+                key_table.load(now, found);
                 let took = system.moment().mono.since(began);
-                said_recovered(rows, epoch, ledger.figures().in_doubt, took.0);
+                said_recovered(rows, epoch, key_table.figures().in_doubt, took.0);
                 Way::Sqlite(worker)
             }
             Backend::Postgres { address, database, user, password_file } => {
@@ -124,7 +124,7 @@
                 Way::Postgres(Box::new(Remote::new(*address, login, settings.entries, seed, key, system)))
             }
         };
-        Ok((Keeper { way, said: None }, ledger))
+        Ok((Keeper { way, said: None }, key_table))
     }
 
     /// The password that is used from the next login on.
@@ -139,7 +139,7 @@
         &mut self,
         now: Moment,
         (readable, writable): (bool, bool),
-        ledger: &mut Ledger,
+        key_table: &mut KeyTable,
         counters: &mut Counters,
     ) {
         match &mut self.way {
@@ -147,29 +147,29 @@
             Way::Sqlite(worker) => {
                 worker.woken();
                 while let Some((number, outcome)) = worker.outcome() {
-                    ledger.outcome(now.mono, number, outcome);
+                    key_table.outcome(now.mono, number, outcome);
                 }
             }
-            Way::Postgres(remote) => remote.ready(now, readable, writable, ledger, counters),
+            Way::Postgres(remote) => remote.ready(now, readable, writable, key_table, counters),
         }
     }
 
     /// Hands over what the ledger wants done, and ends what is overdue.
-    pub fn pump(&mut self, now: Moment, ledger: &mut Ledger) {
+    pub fn pump(&mut self, now: Moment, key_table: &mut KeyTable) {
         match &mut self.way {
             Way::None => return,
             Way::Sqlite(worker) => {
-                if let Some(batch) = ledger.work(now.mono) {
+                if let Some(batch) = key_table.work(now.mono) {
                     // A thread that has ended proves nothing of what it had, and takes nothing more.
                     let dead = worker.is_dead();
                     if let Some(batch) = worker.submit(batch).err().filter(|_| !dead) {
-                        ledger.outcome(now.mono, batch.number, Outcome::NotDone(Cause::Other));
+                        key_table.outcome(now.mono, batch.number, Outcome::NotDone(Cause::Other));
                     }
                 }
             }
-            Way::Postgres(remote) => remote.pump(now, ledger),
+            Way::Postgres(remote) => remote.pump(now, key_table),
         }
-        self.say(now.mono, ledger.breaker());
+        self.say(now.mono, key_table.breaker());
     }
 
     /// Says when the store is given up and when it is back; never more than a line a while.
@@ -196,11 +196,11 @@
     }
 
     /// Writes what can be written.
-    pub fn flush(&mut self, now: Moment, ledger: &mut Ledger) {
+    pub fn flush(&mut self, now: Moment, key_table: &mut KeyTable) {
         if let Way::Postgres(remote) = &mut self.way
             && remote.link.flush(now.mono).is_some()
         {
-            remote.down(now.mono, ledger);
+            remote.down(now.mono, key_table);
         }
     }
 
@@ -239,7 +239,7 @@
         now: Moment,
         readable: bool,
         writable: bool,
-        ledger: &mut Ledger,
+        key_table: &mut KeyTable,
         counters: &mut Counters,
     ) {
         match self.link.ready(now.mono, readable, writable) {
@@ -251,19 +251,19 @@
                     Err(fault) => self.give_up(now.mono, fault),
                 }
             }
-            Some(_) => return self.down(now.mono, ledger),
+            Some(_) => return self.down(now.mono, key_table),
             None => {}
         }
         let Some(session) = &mut self.session else { return };
         let taken = session.take(self.link.input());
         self.link.consume(self.link.input().len());
         match taken {
-            Ok(events) => events.into_iter().for_each(|event| self.event(now, event, ledger)),
+            Ok(events) => events.into_iter().for_each(|event| self.event(now, event, key_table)),
             Err(fault) => self.give_up(now.mono, fault),
         }
     }
 
-    fn event(&mut self, now: Moment, event: Event, ledger: &mut Ledger) {
+    fn event(&mut self, now: Moment, event: Event, key_table: &mut KeyTable) {
         let since = self.asked.take().map_or(now.mono, |(since, _)| since);
         match event {
             Event::Ready(found) => {
@@ -272,12 +272,12 @@
                 self.last_fault = None;
                 if let Some(found) = found {
                     let (rows, epoch) = (found.found, found.epoch);
-                    ledger.load(now, found);
-                    said_recovered(rows, epoch, ledger.figures().in_doubt, now.mono.since(since).0);
+                    key_table.load(now, found);
+                    said_recovered(rows, epoch, key_table.figures().in_doubt, now.mono.since(since).0);
                 }
-                ledger.link(now.mono, true);
+                key_table.link(now.mono, true);
             }
-            Event::Outcome(number, outcome) => ledger.outcome(now.mono, number, outcome),
+            Event::Outcome(number, outcome) => key_table.outcome(now.mono, number, outcome),
         }
     }
 
@@ -293,34 +293,34 @@
     }
 
     /// The link is down. What was out on it is not known to have happened, nor not to have.
-    fn down(&mut self, now: Micros, ledger: &mut Ledger) {
+    fn down(&mut self, now: Micros, key_table: &mut KeyTable) {
         self.session = None;
         if let Some((_, Some(number))) = self.asked.take() {
-            ledger.outcome(now, number, Outcome::Unknown(Cause::Link));
+            key_table.outcome(now, number, Outcome::Unknown(Cause::Link));
         }
-        ledger.link(now, false);
+        key_table.link(now, false);
         self.retry_at = now.plus(Micros(self.retry_in.0 + self.rng.u64(..=self.retry_in.0 / 2)));
         self.retry_in = Micros((self.retry_in.0 * 2).min(RECONNECT.1.0));
     }
 
-    fn pump(&mut self, now: Moment, ledger: &mut Ledger) {
+    fn pump(&mut self, now: Moment, key_table: &mut KeyTable) {
         let bound = if self.epoch.is_none() { LOGIN } else { SILENT };
         if self.asked.is_some_and(|(since, _)| now.mono.since(since) >= bound) {
             self.give_up(now.mono, Fault("no answer in time".to_string()));
         }
         if self.link.tick(now.mono).is_some() {
-            self.down(now.mono, ledger);
+            self.down(now.mono, key_table);
         }
         if self.link.is_down() && now.mono >= self.retry_at && self.link.connect(now.mono).is_some() {
-            self.down(now.mono, ledger);
+            self.down(now.mono, key_table);
         }
         if let Some(session) = &mut self.session {
             if self.asked.is_none()
-                && let Some(batch) = ledger.work(now.mono)
+                && let Some(batch) = key_table.work(now.mono)
             {
                 match submitted(session, &batch) {
                     Ok(()) => self.asked = Some((now.mono, Some(batch.number))),
-                    Err(outcome) => ledger.outcome(now.mono, batch.number, outcome),
+                    Err(outcome) => key_table.outcome(now.mono, batch.number, outcome),
                 }
             }
             let output = session.output();
--- a/crates/node/src/turn.rs
+++ b/crates/node/src/turn.rs
@@ -24,7 +24,7 @@
 use gaugestand_admission::engine::{Arrival, CallEnd, Engine, Micros, Report, RunEnd, Unfit, Verdict};
 use gaugestand_admission::idempotency::IdempotencyTable as _;
 use gaugestand_admission::{Effect, RequestId, SettingsError, handover::Event as HandoverEvent};
-use gaugestand_idempotency::{Breaker, Ledger};
+use gaugestand_idempotency::{Breaker, KeyTable};
 use gaugestand_settings::Backend;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
 const UP: usize = 8;
 const DOWN: usize = 9;
 const TURNED_AWAY: usize = 10;
-const DIARY: usize = 11;
+const CONSENSUS_LOG: usize = 11;
 const INHERITED: usize = 12;
 const FIRST_CALLER: usize = 16;
 const FIRST_LANE: usize = FIRST_CALLER + admin::MOST_CALLERS;
@@ -105,7 +105,7 @@
     kernel: Kernel<S>,
     store: Store<S>,
     members: Members<S>,
-    engine: Engine<Ledger>,
+    engine: Engine<KeyTable>,
     record: Keeper<S>,
     logs: Logs,
     counters: Counters,
@@ -158,14 +158,14 @@
         // The store is read before anybody can connect.
         let who = (config.name.as_str(), config.seed, longest_window(&config));
         let stored = config.operators.record.as_ref();
-        let (record, mut ledger) =
+        let (record, mut key_table) =
             Keeper::start(stored, who, RECORD, &system, clock.moment()).map_err(NodeError::Record)?;
-        ledger.set_most(config.most_kept);
+        key_table.set_most(config.most_kept);
         let others = lanes
-            + if ledger.is_durable() { record::SOCKETS } else { 0 }
+            + if key_table.is_durable() { record::SOCKETS } else { 0 }
             + if config.admin.is_some() { admin::SOCKETS } else { 0 }
             + if config.operators.fleet.is_some() { fellows::SOCKETS } else { 0 };
-        let keys = (FELLOW_LISTENER, DIARY, FIRST_FELLOW);
+        let keys = (FELLOW_LISTENER, CONSENSUS_LOG, FIRST_FELLOW);
         let join = |fleet| Fellows::start(&system, fleet, &config.name, config.seed, keys).map(Box::new);
         let fellows = config.operators.fleet.as_ref().map(join).transpose().map_err(NodeError::Fleet)?;
         let admin = Admin::listen(&system, config.admin, ADMIN, FIRST_CALLER, fellows.is_some())
@@ -179,7 +179,7 @@
             None => table.stop(true),
         }
         let engine =
-            Engine::new(config.settings.clone(), config.seed, ledger).map_err(NodeError::Settings)?;
+            Engine::new(config.settings.clone(), config.seed, key_table).map_err(NodeError::Settings)?;
         Ok(Node {
             clock,
             record,
@@ -301,9 +301,9 @@
     }
 
     fn print_counters(&mut self) {
-        let ledger = self.engine.idempotency();
-        let open = ledger.breaker() != Breaker::Closed;
-        self.counters.record(ledger.figures(), open);
+        let key_table = self.engine.idempotency();
+        let open = key_table.breaker() != Breaker::Closed;
+        self.counters.record(key_table.figures(), open);
         self.counters.log_lines_dropped = self.logs.dropped();
         self.logs.print(&self.counters.to_string());
     }
--- a/crates/node/src/turn/accord.rs
+++ b/crates/node/src/turn/accord.rs
@@ -1,7 +1,7 @@
 //! The loop's part in what the fleet agrees on: its links and pages, the version in effect, what requests get under it, and
 //! operators' calls about it.
 
-use super::{Config, DIARY, FELLOW_LISTENER, FIRST_FELLOW, Node, Ready, System, config};
+use super::{Config, CONSENSUS_LOG, FELLOW_LISTENER, FIRST_FELLOW, Node, Ready, System, config};
 use crate::answer::Response;
 use crate::fellows::{self, News};
 use crate::request::TryParams;
@@ -25,7 +25,7 @@
 
 /// Whether a key of the poller is the fleet's.
 pub(super) fn is_key(key: usize) -> bool {
-    key == DIARY || (FELLOW_LISTENER..FIRST_FELLOW + fellows::KEYS).contains(&key)
+    key == CONSENSUS_LOG || (FELLOW_LISTENER..FIRST_FELLOW + fellows::KEYS).contains(&key)
 }
 
 /// Requests by class, as they were counted at two moments.
@@ -82,7 +82,7 @@
         let now = self.clock.now();
         let Some(fellows) = &mut self.fellows else { return };
         match event.key {
-            DIARY => fellows.written(now, &mut self.counters),
+            CONSENSUS_LOG => fellows.written(now, &mut self.counters),
             FELLOW_LISTENER => fellows.accept(now),
             _ => fellows.ready(now, event, &mut self.counters),
         }
--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/net.rs
@@ -384,7 +384,7 @@
         Err(format!("{}: there is no disk in this world yet", path.display()))
     }
 
-    fn diary(&self, path: &Path, _: &str, _: usize) -> Result<(NoStore, Found), String> {
+    fn consensus_log(&self, path: &Path, _: &str, _: usize) -> Result<(NoStore, Found), String> {
         Err(format!("{}: there is no disk in this world yet", path.display()))
     }
 
