--- a/crates/cluster/src/accord.rs
+++ b/crates/cluster/src/consensus.rs
@@ -6,9 +6,9 @@
 //! is not agreed later: [`Refusal::Unknown`] says so.
 
 use crate::differ;
-use crate::effect::{self, Acts, Effect, Member, Terms, Version};
+use crate::lease::{self, Acts, Effect, Member, Terms, Version};
 use crate::members::{Change, Members, Number, Refused, Seen};
-use crate::shelf::{Shelf, raft_id, version_of};
+use crate::log_storage::{LogStorage, raft_id, version_of};
 use crate::wire::{Answer, Ask, Body, Check, Checked, Entry as Versioned, Forward, MOST_CONTENT};
 use gaugestand_admission::engine::Micros;
 use gaugestand_admission::log_record::{Found, LogRecord};
@@ -190,11 +190,11 @@
 }
 
 /// A node's part in what the fleet agrees on.
-pub struct Accord {
+pub struct Consensus {
     setup: Setup,
     /// Of the last agreed version.
     members: Members,
-    raft: RawNode<Shelf>,
+    raft: RawNode<LogStorage>,
     effect: Effect,
     /// Agreed versions that are kept, by number.
     agreed: BTreeMap<Version, Rc<[u8]>>,
@@ -236,7 +236,7 @@
     done: bool,
 }
 
-impl fmt::Debug for Accord {
+impl fmt::Debug for Consensus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Accord").field("setup", &self.setup).field("agreed", &self.agreed.len()).finish()
     }
@@ -246,10 +246,10 @@
     Member::try_from(raft_id.checked_sub(1)?).ok()
 }
 
-impl Accord {
+impl Consensus {
     /// A node that has just started, with what it found on its disk; `found` must be of this node and this fleet.
     pub fn new(now: Micros, setup: Setup, found: &Found, out: &mut Vec<Step>) -> Result<Self, String> {
-        let shelf = Shelf::open(found, setup.members.clone())?;
+        let shelf = LogStorage::open(found, setup.members.clone())?;
         let timeout = ELECTION.0 + ELECTION.1 * usize::from(setup.me % TURNS);
         let config = Config {
             id: raft_id(setup.me),
@@ -272,7 +272,7 @@
         let applied = shelf.base_index();
         let raft = RawNode::new(&config, shelf, &quiet).map_err(|e| e.to_string())?;
         let effect = Effect::new(setup.terms, setup.me, last, setup.life << 32);
-        let mut accord = Accord {
+        let mut consensus = Consensus {
             raft,
             effect,
             agreed: BTreeMap::new(),
@@ -290,8 +290,8 @@
             setup,
         };
         // What is forgotten was agreed; the library tells of all that is not.
-        base.into_iter().for_each(|v| accord.agree(now, v, out));
-        Ok(accord)
+        base.into_iter().for_each(|v| consensus.agree(now, v, out));
+        Ok(consensus)
     }
 
     /// What it may act on at this moment; ask with a clock that was read just now, for each decision.
@@ -410,7 +410,7 @@
                 self.yield_lead();
             }
         }
-        self.effect_step(now, effect::Event::Tick, out);
+        self.effect_step(now, lease::Event::Tick, out);
         let over: Vec<u64> = self.passed.iter().filter(|p| *p.1 <= now).map(|p| *p.0).collect();
         for ticket in over {
             self.passed.remove(&ticket);
@@ -461,9 +461,9 @@
                 }
             }
             Body::Ask(Ask { version, number }) => {
-                self.effect_step(now, effect::Event::Ask { from, version, number }, out);
+                self.effect_step(now, lease::Event::Ask { from, version, number }, out);
             }
-            Body::Yes(number) => self.effect_step(now, effect::Event::Yes { from, number }, out),
+            Body::Yes(number) => self.effect_step(now, lease::Event::Yes { from, number }, out),
             Body::Check(Check { number, content, force }) => {
                 out.push(Step::Check(Asked { by: from, number }, Rc::from(content), force));
             }
@@ -685,7 +685,7 @@
             let Some(one) = self.unwritten.pop_front() else { return };
             self.raft.on_persist_ready(one.ready);
             self.send(one.messages, out);
-            self.effect_step(now, effect::Event::Last(one.last), out);
+            self.effect_step(now, lease::Event::Last(one.last), out);
         }
     }
 
@@ -711,14 +711,14 @@
         // Without the one just before it nobody knows what it differs from.
         let before = version.checked_sub(1).and_then(|before| self.agreed.get(&before));
         let same = entry.members.is_empty();
-        let immediate = same && before.is_some_and(|before| differ::is_immediate(before, &content));
+        let immediate = same && before.is_some_and(|before| diff::is_immediate(before, &content));
         if let Ok(members) = serde_json::from_slice(&entry.members) {
             self.members = members;
         }
         let voters = self.members.electorate();
         self.agreed.insert(version, content.clone());
         out.push(Step::Agreed(version, content));
-        self.effect_step(now, effect::Event::Committed { version, immediate, voters }, out);
+        self.effect_step(now, lease::Event::Committed { version, immediate, voters }, out);
         if self.work.as_ref().is_some_and(|w| w.appended == Some(version)) {
             self.end_work(Ok(version), out);
         }
@@ -739,16 +739,16 @@
         }
     }
 
-    fn effect_step(&mut self, now: Micros, event: effect::Event, out: &mut Vec<Step>) {
+    fn effect_step(&mut self, now: Micros, event: lease::Event, out: &mut Vec<Step>) {
         let mut steps = Vec::new();
         self.effect.step(now, event, &mut steps);
         for step in steps {
             match step {
-                effect::Step::Ask { version, number } => {
+                lease::Step::Ask { version, number } => {
                     let ask = |to: &Member| Step::Send(*to, Body::Ask(Ask { version, number }));
                     out.extend(self.linked.iter().map(ask));
                 }
-                effect::Step::Yes { to, number } => out.push(Step::Send(to, Body::Yes(number))),
+                lease::Step::Yes { to, number } => out.push(Step::Send(to, Body::Yes(number))),
             }
         }
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,16 +1,16 @@
 //! What the nodes of one fleet agree on, and when each of them may act on it.
 //!
 //! Pure: times are arguments, messages and writes go out as values, and nothing here owns a socket, a file or a thread.
-//! [`accord`] drives the log ([`shelf`] in memory) and proposals, [`effect`] says when a node may act on a version, [`differ`]
-//! whether two of them contradict each other, [`gate`] what a request gets, [`members`] who is in the fleet, [`sound`] whether a version would do; [`wire`] is what nodes say. The design is
+//! [`consensus`] drives the log ([`log_storage`] in memory) and proposals, [`lease`] says when a node may act on a version, [`diff`]
+//! whether two of them contradict each other, [`version_gate`] what a request gets, [`members`] who is in the fleet, [`validation`] whether a version would do; [`wire`] is what nodes say. The design is
 //! `docs/design/fleet.md`.
 #![forbid(unsafe_code)]
 
-pub mod accord;
-pub mod differ;
-pub mod effect;
-pub mod gate;
+pub mod consensus;
+pub mod diff;
+pub mod lease;
+pub mod version_gate;
 pub mod members;
-pub mod shelf;
-pub mod sound;
+pub mod log_storage;
+pub mod validation;
 pub mod wire;
--- a/crates/cluster/src/shelf.rs
+++ b/crates/cluster/src/log_storage.rs
@@ -1,6 +1,6 @@
 //! The log in memory: what the consensus library reads, and what of it goes to the disk.
 
-use crate::effect::Version;
+use crate::lease::Version;
 use crate::members::{Members, Role};
 use crate::wire::{Base, Entry as Versioned};
 use gaugestand_admission::log_record::{Found, LogRecord};
@@ -18,7 +18,7 @@
 
 /// The log and the library's state, as they are or will be on disk.
 #[derive(Debug)]
-pub struct Shelf {
+pub struct LogStorage {
     hard: HardState,
     /// Those of the script: of version 0.
     first: Members,
@@ -62,13 +62,13 @@
     Ok(message)
 }
 
-impl Shelf {
+impl LogStorage {
     /// From what was found, for a fleet that began with these members.
     pub fn open(found: &Found, first: Members) -> Result<Self, &'static str> {
         let hard: HardState = found.state.as_deref().map_or(Ok(HardState::default()), read)?;
         let base = found.base.as_deref().map_or(Ok(Base::default()), Base::decode);
         let base = base.map_err(|_| "what stands for the forgotten entries cannot be read")?;
-        let mut shelf = Shelf { hard, first, base, entries: VecDeque::new() };
+        let mut shelf = LogStorage { hard, first, base, entries: VecDeque::new() };
         shelf.read_members()?;
         for (index, entry) in &found.entries {
             let entry: Entry = read(entry)?;
@@ -181,7 +181,7 @@
     }
 }
 
-impl Storage for Shelf {
+impl Storage for LogStorage {
     fn initial_state(&self) -> raft::Result<RaftState> {
         Ok(RaftState { hard_state: self.hard.clone(), conf_state: conf(&self.base_members()) })
     }
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -4,7 +4,7 @@
 //! given once, also after its node has gone; there is always a voter, and never more than [`MOST_VOTERS`]. It does not know who can
 //! be heard: whoever asks for a change says so.
 
-use crate::effect::Voters;
+use crate::lease::Voters;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
--- a/crates/cluster/src/gate.rs
+++ b/crates/cluster/src/version_gate.rs
@@ -1,7 +1,7 @@
 //! What a request gets under what its node may act on.
 
-use crate::differ::{Content, List};
-use crate::effect::Acts;
+use crate::diff::{Content, List};
+use crate::lease::Acts;
 
 /// What a version may hold lists of; told to all nodes alike, so that one that is cut off knows what a newer version can say.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -3,7 +3,7 @@
 //! Guarantee: what is read is of this fleet, this form, these members and this life of the reader; anything else is one
 //! [`Unfit`], and the reader's state is as before. It does not guarantee that the sender is who it says: that is the link's.
 
-use crate::effect::{Member, Version};
+use crate::lease::{Member, Version};
 use prost::Message as _;
 
 /// The version of the form; another one is another language.
--- a/crates/cluster/tests/accord.rs
+++ b/crates/cluster/tests/consensus.rs
@@ -6,8 +6,8 @@
 use common::{Course, Cuts};
 use gaugestand_admission::engine::Micros;
 use gaugestand_admission::log_record::{Found, LogRecord};
-use gaugestand_cluster::accord::{Accord, Event, Refusal, Setup, Step};
-use gaugestand_cluster::effect::{Acts, Defect, Member, Terms, Version};
+use gaugestand_cluster::consensus::{Consensus, Event, Refusal, Setup, Step};
+use gaugestand_cluster::lease::{Acts, Defect, Member, Terms, Version};
 use gaugestand_cluster::members::{Change, Members};
 use std::collections::BTreeMap;
 
@@ -58,7 +58,7 @@
 }
 
 struct Node {
-    accord: Option<Accord>,
+    consensus: Option<Consensus>,
     disk: Disk,
     life: u64,
     asleep: u64,
@@ -93,7 +93,7 @@
         let rates = [1_000_000 - DRIFT, 1_000_000, 1_000_000 + DRIFT];
         let node = |rng: &mut fastrand::Rng| {
             let rate = rates[rng.usize(..3)];
-            Node { accord: None, disk: Disk::default(), life: 0, asleep: 0, rate }
+            Node { consensus: None, disk: Disk::default(), life: 0, asleep: 0, rate }
         };
         let nodes = (0..size).map(|_| node(&mut rng)).collect();
         let script: Vec<_> = (0..began as u16).map(|n| (format!("n{n}"), at(n))).collect();
@@ -147,8 +147,8 @@
         let life = self.nodes[i].life;
         let setup = Setup { me, members: self.first.clone(), terms: self.terms, life };
         let (found, mut out) = (self.nodes[i].disk.found(), Vec::new());
-        match Accord::new(now, setup, &found, &mut out) {
-            Ok(accord) => self.nodes[i].accord = Some(accord),
+        match Consensus::new(now, setup, &found, &mut out) {
+            Ok(consensus) => self.nodes[i].consensus = Some(consensus),
             Err(why) => self.broken.push(format!("node {me} cannot read its disk: {why}")),
         }
         self.carry_out(me, out);
@@ -160,8 +160,8 @@
 
     fn step(&mut self, who: Member, event: Event) {
         let (now, mut out) = (self.clock(who), Vec::new());
-        if let Some(accord) = &mut self.nodes[usize::from(who)].accord {
-            accord.step(now, event, &mut out);
+        if let Some(consensus) = &mut self.nodes[usize::from(who)].consensus {
+            consensus.step(now, event, &mut out);
         }
         self.carry_out(who, out);
         self.look(who);
@@ -216,9 +216,9 @@
     /// What a node may act on counts from now to the end of its lease.
     fn look(&mut self, who: Member) {
         let node = &self.nodes[usize::from(who)];
-        let Some(accord) = &node.accord else { return };
+        let Some(consensus) = &node.consensus else { return };
         let (now, rate) = (self.now, node.rate);
-        if let (Acts::On(version), Some((_, until))) = (accord.acts(self.clock(who)), accord.lease()) {
+        if let (Acts::On(version), Some((_, until))) = (consensus.acts(self.clock(who)), consensus.lease()) {
             self.acted.entry(version).or_insert(now);
             let end = until.0 * 1_000_000 / rate;
             let last = self.ends.entry(version).or_insert(end);
@@ -237,13 +237,13 @@
                 }
                 let life = self.nodes[i].life;
                 // One chain of ticks for each life.
-                if self.nodes[i].accord.is_some() && life > 0 {
+                if self.nodes[i].consensus.is_some() && life > 0 {
                     self.at(t, Happens::Tick(who));
                 }
             }
             Happens::Comes(who, life, event) => {
                 let node = &self.nodes[usize::from(who)];
-                if node.life != life || node.accord.is_none() {
+                if node.life != life || node.consensus.is_none() {
                     return;
                 }
                 if self.now < node.asleep {
@@ -300,7 +300,7 @@
                 let i = self.rng.usize(..size);
                 // What was not synced is lost, each page whole.
                 self.nodes[i].disk.unsynced.clear();
-                self.nodes[i].accord = None;
+                self.nodes[i].consensus = None;
                 self.course.keep(|h| !matches!(h, Happens::Tick(who) if usize::from(*who) == i));
                 self.start(i as Member);
             }
@@ -345,14 +345,14 @@
         }
         // Long after the last fault all know the same, and act on it.
         let last = self.agreed.last_key_value().map_or(0, |a| *a.0);
-        let knows_last = |node: &&Node| node.accord.as_ref().is_some_and(|a| a.last_agreed() == last);
+        let knows_last = |node: &&Node| node.consensus.as_ref().is_some_and(|a| a.last_agreed() == last);
         let members =
-            self.nodes.iter().find(knows_last).and_then(|n| Some(n.accord.as_ref()?.members().clone()));
+            self.nodes.iter().find(knows_last).and_then(|n| Some(n.consensus.as_ref()?.members().clone()));
         let members = members.unwrap_or_else(|| self.first.clone());
         for (i, node) in self.nodes.iter().enumerate() {
-            let acts = node.accord.as_ref().map(|a| a.acts(self.clock(i as Member)));
+            let acts = node.consensus.as_ref().map(|a| a.acts(self.clock(i as Member)));
             let is_in = members.get(i as Member).is_some();
-            let same = node.accord.as_ref().is_some_and(|a| *a.members() == members);
+            let same = node.consensus.as_ref().is_some_and(|a| *a.members() == members);
             if !is_in && matches!(acts, Some(Acts::On(_))) {
                 self.broken.push(format!("node {i} acts {acts:?} and is not in the fleet"));
             }
@@ -439,6 +439,6 @@
         });
         assert!(agreed, "{change:?}: {:?}", fleet.answered);
     }
-    let members = fleet.nodes[2].accord.as_ref().map(|a| a.members().voters().collect::<Vec<_>>());
+    let members = fleet.nodes[2].consensus.as_ref().map(|a| a.members().voters().collect::<Vec<_>>());
     assert_eq!(members, Some(vec![2]));
 }
--- a/crates/cluster/tests/differ.rs
+++ b/crates/cluster/tests/diff.rs
@@ -1,6 +1,6 @@
 //! The table of differences, row by row.
 
-use gaugestand_cluster::differ::{Content, Kind, differences, is_immediate, verdict};
+use gaugestand_cluster::diff::{Content, Kind, differences, is_immediate, verdict};
 use serde_json::{Value, json};
 
 fn content(change: impl FnOnce(&mut Value)) -> Content {
--- a/crates/cluster/tests/effect.rs
+++ b/crates/cluster/tests/lease.rs
@@ -6,7 +6,7 @@
 
 use common::{Course, Cuts};
 use gaugestand_admission::engine::Micros;
-use gaugestand_cluster::effect::{Acts, Defect, Effect, Event, Member, Step, Terms, Version, Voters};
+use gaugestand_cluster::lease::{Acts, Defect, Effect, Event, Member, Step, Terms, Version, Voters};
 use std::collections::BTreeMap;
 
 const LEASE: Micros = Micros::millis(1_000);
--- a/crates/node/src/fellows.rs
+++ b/crates/node/src/fellows.rs
@@ -10,10 +10,10 @@
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::Micros;
 use gaugestand_admission::log_record::LogRecord;
-use gaugestand_cluster::accord::{Accord, Asked, Event, Refusal, Setup, Step};
-use gaugestand_cluster::differ::Content;
-use gaugestand_cluster::effect::{Acts, Member, Terms, Version};
-use gaugestand_cluster::gate::{self, Ruling};
+use gaugestand_cluster::consensus::{Consensus, Asked, Event, Refusal, Setup, Step};
+use gaugestand_cluster::diff::Content;
+use gaugestand_cluster::lease::{Acts, Member, Terms, Version};
+use gaugestand_cluster::version_gate::{self, Ruling};
 use gaugestand_cluster::members::{Change as Membership, MOST_MEMBERS, Members, Role};
 use gaugestand_cluster::wire::{Body, MOST_MESSAGE, Stamp, Unfit};
 use gaugestand_idempotency::row::{Batch, Outcome, Work};
@@ -48,7 +48,7 @@
 /// Terms with the defect that the environment names.
 #[cfg(feature = "planted")]
 fn planted(terms: Terms) -> Result<Terms, String> {
-    use gaugestand_cluster::effect::Defect;
+    use gaugestand_cluster::lease::Defect;
     let Ok(name) = std::env::var("GAUGESTAND_PLANTED") else { return Ok(terms) };
     let defect = Defect::named(&name).ok_or_else(|| {
         let known: Vec<&str> = Defect::NAMED.iter().map(|d| d.0).collect();
@@ -109,7 +109,7 @@
 #[derive(Debug)]
 pub struct Fellows<S: System> {
     system: S,
-    accord: Accord,
+    consensus: Consensus,
     stamp: Stamp,
     name: String,
     /// As the script has them: of version 0, and where this node reaches them.
@@ -119,7 +119,7 @@
     peers: BTreeMap<Member, Peer>,
     /// This node is out of the fleet since this version at the latest.
     removed: Option<Version>,
-    lists: gate::Lists,
+    lists: version_gate::Lists,
     lease: Micros,
     listener: S::Listener,
     first_key: usize,
@@ -147,8 +147,8 @@
     look_at: Micros,
 }
 
-fn lists(lists: Lists) -> gate::Lists {
-    gate::Lists {
+fn lists(lists: Lists) -> version_gate::Lists {
+    version_gate::Lists {
         barred: matches!(lists, Lists::Barred | Lists::Both),
         shares: matches!(lists, Lists::Shares | Lists::Both),
     }
@@ -205,11 +205,11 @@
             Stamp { fleet: settings.name.clone(), terms: fingerprint(settings), me, life: found.life };
         let first = Members::first(&settings.members).map_err(|e| format!("fleet: `members`: {e}"))?;
         let (setup, mut steps) = (Setup { me, members: first, terms, life: found.life }, Vec::new());
-        let accord = Accord::new(system.moment().mono, setup, &found, &mut steps)
+        let consensus = Consensus::new(system.moment().mono, setup, &found, &mut steps)
             .map_err(|e| format!("agreed log {}: {e}; nothing was changed", settings.path.display()))?;
         let mut fellows = Fellows {
             system: system.clone(),
-            accord,
+            consensus,
             stamp,
             name: settings.name.clone(),
             script: settings.members.clone(),
@@ -242,7 +242,7 @@
 
     /// Takes in who is in the fleet now. A node that is not in it yet keeps those that it was told of.
     fn meet(&mut self, now: Micros) {
-        let members = self.accord.members().clone();
+        let members = self.consensus.members().clone();
         for node in members.nodes().iter().filter(|n| n.number != self.stamp.me) {
             // Where a node reaches those of its script is its own.
             let own_way = self.script.get(usize::from(node.number)).map(|s| s.1);
@@ -268,7 +268,7 @@
 
     /// Whether a node may speak to this one.
     fn admits(&self, from: Member, life: u64) -> Result<(), Unfit> {
-        let members = self.accord.members();
+        let members = self.consensus.members();
         if members.has_gone(from) {
             return Err(Unfit::Gone(from, life));
         }
@@ -296,9 +296,9 @@
 
     /// The version to put into effect now, if it is another one than before, with its content; none for version 0.
     pub fn due(&self, now: Micros) -> Option<(Version, Option<Rc<[u8]>>)> {
-        let Acts::On(version) = self.accord.acts(now) else { return None };
+        let Acts::On(version) = self.consensus.acts(now) else { return None };
         let known = self.applied == Some(version) || self.unusable.as_ref().is_some_and(|u| u.0 == version);
-        if known { None } else { Some((version, self.accord.content(version))) }
+        if known { None } else { Some((version, self.consensus.content(version))) }
     }
 
     /// The version is in effect in this node from now on, or why it cannot be.
@@ -322,15 +322,15 @@
 
     /// What a request gets by this clock, which was read for it.
     pub fn rule(&self, now: Micros, keyed: bool, subject: Option<u64>, gateway: u64) -> Ruling {
-        let acts = match self.accord.acts(now) {
+        let acts = match self.consensus.acts(now) {
             // One that has not been put into effect yet, or cannot be: until then the one before holds without a lease.
             Acts::On(version) if self.applied != Some(version) => Acts::Within(self.applied.unwrap_or(0)),
             acts => acts,
         };
         let subject = subject.filter(|_| self.lists.barred).map(|s| format!("{s:016x}"));
         let open = self.by_gateway.get(&gateway).copied().unwrap_or(0);
-        let request = gate::Request { keyed, subject: subject.as_deref(), gateway, open };
-        gate::rule(acts, self.content.as_ref(), self.lists, request)
+        let request = version_gate::Request { keyed, subject: subject.as_deref(), gateway, open };
+        version_gate::rule(acts, self.content.as_ref(), self.lists, request)
     }
 
     /// After which time a refusal for want of a lease asks to come back: one is had again, or is not, by then.
@@ -378,7 +378,7 @@
 
     /// The number of the node of this name.
     pub fn number(&self, name: &str) -> Option<Member> {
-        self.accord.members().nodes().iter().find(|n| n.name == name).map(|n| n.number)
+        self.consensus.members().nodes().iter().find(|n| n.name == name).map(|n| n.number)
     }
 
     /// What came of a check.
@@ -392,18 +392,18 @@
     }
 
     /// Which lists versions may hold.
-    pub fn lists(&self) -> gate::Lists {
+    pub fn lists(&self) -> version_gate::Lists {
         self.lists
     }
 
     /// The content of a version, if it is kept.
     pub fn content(&self, version: Version) -> Option<Rc<[u8]>> {
-        self.accord.content(version)
+        self.consensus.content(version)
     }
 
     /// How the fleet stands, as this node sees it.
     pub fn status(&self, now: Micros) -> Value {
-        let all = self.accord.members();
+        let all = self.consensus.members();
         let member = |node: &gaugestand_cluster::members::Node| {
             let peer = self.peers.get(&node.number);
             let (me, heard) = (node.number == self.stamp.me, peer.is_some_and(|p| p.over.is_some()));
@@ -412,9 +412,9 @@
                 "heard": me || heard, "votes": node.role == Role::Voter})
         };
         let members: Vec<Value> = all.nodes().iter().map(member).collect();
-        let leader = self.accord.leader().and_then(|l| all.get(l)).map(|n| &n.name);
-        let lease = self.accord.lease().map_or(0, |(_, until)| until.since(now).0 / 1_000);
-        let acts = matches!(self.accord.acts(now), Acts::On(v) if self.applied == Some(v));
+        let leader = self.consensus.leader().and_then(|l| all.get(l)).map(|n| &n.name);
+        let lease = self.consensus.lease().map_or(0, |(_, until)| until.since(now).0 / 1_000);
+        let acts = matches!(self.consensus.acts(now), Acts::On(v) if self.applied == Some(v));
         let mut open: BTreeMap<Version, (usize, u64)> = BTreeMap::new();
         for o in self.open.values() {
             let (n, oldest) = open.entry(o.version).or_default();
@@ -425,10 +425,10 @@
             .map(|(version, (n, oldest))| json!({"version": version, "open": n, "oldest_ms": oldest}))
             .collect();
         json!({
-            "fleet": self.name, "leader": leader, "term": self.accord.term(), "members": members,
-            "heard": self.accord.heard(), "majority": all.voters().count() / 2 + 1, "removed": self.removed,
+            "fleet": self.name, "leader": leader, "term": self.consensus.term(), "members": members,
+            "heard": self.consensus.heard(), "majority": all.voters().count() / 2 + 1, "removed": self.removed,
             "in_fleet": all.get(self.stamp.me).is_some(),
-            "last": self.accord.last_agreed(), "in_effect": self.applied, "acts": acts, "lease_ms": lease,
+            "last": self.consensus.last_agreed(), "in_effect": self.applied, "acts": acts, "lease_ms": lease,
             "unusable": self.unusable.as_ref().map(|(version, why)| json!({"version": version, "why": why})),
             "unwritten": self.pages.len(), "open": open,
         })
@@ -436,7 +436,7 @@
 
     /// Versions that are kept, oldest first, with their sizes.
     pub fn history(&self) -> Value {
-        let all = self.accord.agreed();
+        let all = self.consensus.agreed();
         all.map(|(version, content)| json!({"version": version, "bytes": content.len()})).collect()
     }
 
@@ -517,7 +517,7 @@
                 Err(unfit) => {
                     counters.fellow_unfit += 1;
                     if let (Unfit::Gone(_, life), Some(channel)) = (&unfit, self.channels[slot].as_mut()) {
-                        let told = Body::Gone(self.accord.last_agreed());
+                        let told = Body::Gone(self.consensus.last_agreed());
                         channel.link.send(frame(&self.stamp.seal(told, *life)));
                         let _ = channel.link.flush(now);
                     }
@@ -632,7 +632,7 @@
     fn step(&mut self, now: Micros, event: Event) {
         self.stirred = true;
         let mut out = Vec::new();
-        self.accord.step(now, event, &mut out);
+        self.consensus.step(now, event, &mut out);
         self.steps.extend(out);
     }
 
@@ -661,7 +661,7 @@
                 self.lost(now, slot);
             }
         }
-        if self.accord.wake(now) <= now {
+        if self.consensus.wake(now) <= now {
             self.step(now, Event::Tick);
         }
         self.write(now);
@@ -732,7 +732,7 @@
         let links = links.map(|c| c.since.plus(GREETING));
         let again = self.unmade().map(|(_, peer)| peer.again);
         let write = (!self.flying && !self.pages.is_empty()).then_some(self.write_again);
-        let all = links.chain(again).chain(write).chain([self.accord.wake(now)]);
+        let all = links.chain(again).chain(write).chain([self.consensus.wake(now)]);
         all.min().unwrap_or(now)
     }
 }
--- a/crates/node/src/turn.rs
+++ b/crates/node/src/turn.rs
@@ -33,7 +33,7 @@
 use std::{fmt, mem};
 use handover::Kindred;
 
-mod accord;
+mod cluster;
 mod handover;
 
 /// Poller keys; connections follow.
@@ -132,7 +132,7 @@
     /// The settings of the node's own file, while a version has others.
     local: serde_json::Value,
     /// Ends of requests by class at two moments, for the present load.
-    pace: accord::Pace,
+    pace: cluster::Pace,
 }
 
 /// The earliest of these, or the longest wait. Nothing is looked at again at once: what is overdue then waits for
@@ -203,7 +203,7 @@
             last_looks: 0,
             fellows,
             local: config.file["settings"].clone(),
-            pace: accord::Pace::default(),
+            pace: cluster::Pace::default(),
             config,
             system,
             table,
@@ -428,7 +428,7 @@
                     self.admin.answer(place, answer);
                 }
             }
-            key if accord::is_key(key) => self.take_fleet(event),
+            key if cluster::is_key(key) => self.take_fleet(event),
             key if self.store.has_key(key) => {
                 let ended = self.store.ready(now, event, &mut self.counters);
                 self.calls_ended(ended);
--- a/crates/node/src/turn/accord.rs
+++ b/crates/node/src/turn/cluster.rs
@@ -8,12 +8,12 @@
 use gaugestand_admission::engine::Micros;
 use gaugestand_admission::idempotency::IdempotencyTable as _;
 use gaugestand_admission::{Effect, Span};
-use gaugestand_cluster::accord::Refusal;
-use gaugestand_cluster::differ::Content;
-use gaugestand_cluster::effect::Version;
-use gaugestand_cluster::gate::{self, Ruling};
+use gaugestand_cluster::consensus::Refusal;
+use gaugestand_cluster::diff::Content;
+use gaugestand_cluster::lease::Version;
+use gaugestand_cluster::version_gate::{self, Ruling};
 use gaugestand_cluster::members::Change as Membership;
-use gaugestand_cluster::sound::{Class, Load, Problem, Room, problem};
+use gaugestand_cluster::validation::{Class, Load, Problem, Room, problem};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -130,7 +130,7 @@
     fn could_act(&mut self, bytes: &[u8], force: bool) -> Result<(), String> {
         let content = content_of(bytes)?;
         let lists = self.fellows.as_ref().map(|f| f.lists()).unwrap_or_default();
-        if let Some(name) = gate::unknown_list(&content, lists) {
+        if let Some(name) = version_gate::unknown_list(&content, lists) {
             return Err(format!(
                 "lists.{name}: fleet(lists = ...) of this node does not name lists of that form"
             ));
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The sub-commands about what the fleet agrees on: each asks one node, at its second address.
 
 use crate::Failure;
-use gaugestand_cluster::differ::{self, Content, Kind};
+use gaugestand_cluster::diff::{self, Content, Kind};
 use gaugestand_cluster::wire::MOST_CONTENT;
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -135,8 +135,8 @@
         }
         Task::Show(version) => println!("{}", ask(at, &format!("SHOW {version}"))?),
         Task::Diff(a, b) => {
-            let all = differ::differences(&content(at, *a)?, &content(at, *b)?);
-            let verdict = differ::verdict(&all);
+            let all = diff::differences(&content(at, *a)?, &content(at, *b)?);
+            let verdict = diff::verdict(&all);
             if whom.json {
                 println!("{}", serde_json::json!({"verdict": verdict, "differences": all}));
                 return Ok(());
