--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -23,4 +23,4 @@
 pub mod record;
 pub mod request;
 pub mod store;
-pub mod turn;
+pub mod event_loop;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -10,7 +10,7 @@
 use gaugestand_admission::engine::Micros;
 use gaugestand_node::config;
 use gaugestand_node::log::Logs;
-use gaugestand_node::turn::Node;
+use gaugestand_node::event_loop::Node;
 use serde_json::json;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/main.rs
+++ b/src/main.rs
@@ -167,7 +167,7 @@
     let system = Real::new().map_err(|e| Failure::Start(format!("poller: {e}")))?;
     let logs = Logs::start(config.operators.log);
     let mut node =
-        node::turn::Node::start(system, config, logs).map_err(|e| Failure::Start(e.to_string()))?;
+        node::event_loop::Node::start(system, config, logs).map_err(|e| Failure::Start(e.to_string()))?;
     if let Some(admin) = node.admin_address() {
         tracing::info!(node = name, %admin, "answering operators");
     }
