--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -3,7 +3,7 @@
 //! Its descriptors are its own, so that it answers while the clients' table is full. It decides nothing about
 //! requests and knows none of them; the loop says what a call is answered.
 
-use super::answer::Outbox;
+use super::response::Outbox;
 use super::io::{Listener, Ready, Stream, System};
 use gaugestand_admission::engine::Micros;
 use std::io::{self, Read as _};
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -235,15 +235,15 @@
     let operators = script.map(gaugestand_settings::load).transpose();
     let operators = operators.map_err(|e| ConfigError::Script(e.to_string()))?.unwrap_or_default();
     if let Some(Backend::Postgres { password_file, .. }) = operators.record.as_ref().map(|r| &r.backend) {
-        super::record::password(password_file).map_err(ConfigError::Script)?;
+        super::idempotency_store::password(password_file).map_err(ConfigError::Script)?;
     }
     let config = told()?;
-    if operators.record.is_some() && config.sockets < LEAST_SOCKETS + super::record::SOCKETS {
-        let least = LEAST_SOCKETS + super::record::SOCKETS;
+    if operators.record.is_some() && config.sockets < LEAST_SOCKETS + super::idempotency_store::SOCKETS {
+        let least = LEAST_SOCKETS + super::idempotency_store::SOCKETS;
         return wrong("limits.sockets", &format!("must be at least {least} with a store of record"));
     }
-    if operators.fleet.is_some() && config.sockets < LEAST_SOCKETS + super::fellows::SOCKETS {
-        let least = LEAST_SOCKETS + super::fellows::SOCKETS;
+    if operators.fleet.is_some() && config.sockets < LEAST_SOCKETS + super::peers::SOCKETS {
+        let least = LEAST_SOCKETS + super::peers::SOCKETS;
         return wrong("limits.sockets", &format!("must be at least {least} with a fleet"));
     }
     Ok(Config { operators, script: script.map(Path::to_path_buf), ..config })
--- a/crates/node/src/accept.rs
+++ b/crates/node/src/connections.rs
@@ -1,6 +1,6 @@
 //! The listener and the table of connections: descriptor budget, reading, writing, idle closing.
 
-use super::answer::Outbox;
+use super::response::Outbox;
 use super::counters::Counters;
 use super::fastcgi::{self, status};
 use super::io::{Listener, Stream, System};
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,23 +1,23 @@
 //! The loop: one turn takes in what the poller has, asks the engine, carries out its verdicts and writes.
 
-use super::accept::{self, ConnId, MOST_OPEN, Open, Table};
+use super::connections::{self, ConnId, MOST_OPEN, Open, Table};
 use super::admin::{self, Admin, Call, Said};
-use super::answer::Response;
-use super::checks::Checks;
+use super::response::Response;
+use super::health_checks::Checks;
 use super::config;
 use super::config::Config;
 use super::counters::Counters;
 use super::fastcgi::{self, Record, kind};
-use super::fellows::{self, Fellows};
-use super::figures::{End, Figures};
+use super::peers::{self, Peers};
+use super::request_metrics::{End, Figures};
 use super::io::clock::Clock;
 use super::io::link::Change;
 use super::io::{Ready, System};
 use super::kernel::{Command, Fate, Kernel, Notice};
 use super::handover_link::Place;
 use super::log::Logs;
-use super::members::Members;
-use super::record::{self, Keeper};
+use super::membership_reports::Members;
+use super::idempotency_store::{self, Keeper};
 use super::request::{Asked, Fault, TryParams};
 use super::store::{self, Ended, Store};
 use gaugestand_admission::classes::Slots;
@@ -52,9 +52,9 @@
 const INHERITED: usize = 12;
 const FIRST_CALLER: usize = 16;
 const FIRST_LANE: usize = FIRST_CALLER + admin::MOST_CALLERS;
-const FELLOW_LISTENER: usize = FIRST_LANE + store::MOST_LANES;
-const FIRST_FELLOW: usize = FELLOW_LISTENER + 1;
-const FIRST_CONN: usize = FIRST_FELLOW + fellows::KEYS;
+const PEER_LISTENER: usize = FIRST_LANE + store::MOST_LANES;
+const FIRST_PEER: usize = PEER_LISTENER + 1;
+const FIRST_CONN: usize = FIRST_PEER + peers::KEYS;
 
 /// Longest wait for the poller, so that a clock that was set wrong is noticed.
 const LONGEST_WAIT: Micros = Micros::millis(1_000);
@@ -128,7 +128,7 @@
     /// Turns since the end of the drain is near.
     last_looks: u8,
     /// The nodes that agree on versions with this one, where there are any.
-    fellows: Option<Box<Fellows<S>>>,
+    peers: Option<Box<Peers<S>>>,
     /// The settings of the node's own file, while a version has others.
     local: serde_json::Value,
     /// Ends of requests by class at two moments, for the present load.
@@ -162,13 +162,13 @@
             Keeper::start(stored, who, RECORD, &system, clock.moment()).map_err(NodeError::Record)?;
         key_table.set_most(config.most_kept);
         let others = lanes
-            + if key_table.is_durable() { record::SOCKETS } else { 0 }
+            + if key_table.is_durable() { idempotency_store::SOCKETS } else { 0 }
             + if config.admin.is_some() { admin::SOCKETS } else { 0 }
-            + if config.operators.fleet.is_some() { fellows::SOCKETS } else { 0 };
-        let keys = (FELLOW_LISTENER, CONSENSUS_LOG, FIRST_FELLOW);
-        let join = |fleet| Fellows::start(&system, fleet, &config.name, config.seed, keys).map(Box::new);
-        let fellows = config.operators.fleet.as_ref().map(join).transpose().map_err(NodeError::Fleet)?;
-        let admin = Admin::listen(&system, config.admin, ADMIN, FIRST_CALLER, fellows.is_some())
+            + if config.operators.fleet.is_some() { peers::SOCKETS } else { 0 };
+        let keys = (PEER_LISTENER, CONSENSUS_LOG, FIRST_PEER);
+        let join = |fleet| Peers::start(&system, fleet, &config.name, config.seed, keys).map(Box::new);
+        let peers = config.operators.fleet.as_ref().map(join).transpose().map_err(NodeError::Fleet)?;
+        let admin = Admin::listen(&system, config.admin, ADMIN, FIRST_CALLER, peers.is_some())
             .map_err(io_error("listening at the second address"))?;
         let mut figures = Figures::default();
         figures.list(&config.classes);
@@ -201,13 +201,13 @@
             stop: None,
             leaving: false,
             last_looks: 0,
-            fellows,
+            peers,
             local: config.file["settings"].clone(),
             pace: cluster::Pace::default(),
             config,
             system,
             table,
-            buffer: accept::buffer(),
+            buffer: connections::buffer(),
             engine,
         })
     }
@@ -223,8 +223,8 @@
     }
 
     /// The address at which other nodes of its fleet reach it.
-    pub fn fellows_address(&self) -> Option<std::net::SocketAddr> {
-        self.fellows.as_ref().and_then(|f| f.address())
+    pub fn peers_address(&self) -> Option<std::net::SocketAddr> {
+        self.peers.as_ref().and_then(|f| f.address())
     }
 
     /// Turns until the end of a drain.
@@ -360,7 +360,7 @@
             self.admin.wake(),
             self.kin.wake(),
             leaving,
-            self.fellows.as_ref().map(|f| f.wake()),
+            self.peers.as_ref().map(|f| f.wake()),
         ]);
         next_turn(now, wake)
     }
@@ -383,8 +383,8 @@
             self.connections_gone(gone);
         }
         self.flush_kin();
-        if let Some(fellows) = &mut self.fellows {
-            fellows.flush(now);
+        if let Some(peers) = &mut self.peers {
+            peers.flush(now);
         }
         let now = self.clock.moment();
         self.record.flush(now, self.engine.idempotency());
@@ -461,8 +461,8 @@
         let notice = Micros(stop.0.saturating_sub(self.config.stop.0));
         // All is answered some time before the end, so that it is also written by then.
         let by = Micros(stop.0.saturating_sub(STOP_LISTENING.0));
-        if let Some(fellows) = &mut self.fellows {
-            fellows.leave(self.clock.now());
+        if let Some(peers) = &mut self.peers {
+            peers.leave(self.clock.now());
         }
         self.report(Report::Drain { notice, stop: by });
     }
@@ -513,11 +513,11 @@
         self.engine.idempotency().set_most(new.most_kept);
         let Some(stored) = &new.operators.record else { return };
         if let Backend::Postgres { password_file, .. } = &stored.backend
-            && let Ok(password) = record::password(password_file)
+            && let Ok(password) = idempotency_store::password(password_file)
         {
             self.record.set_password(password);
         }
-        self.engine.idempotency().set_limits(record::limits(stored, longest_window(new)));
+        self.engine.idempotency().set_limits(idempotency_store::limits(stored, longest_window(new)));
     }
 
     // ---- The second address --------------------------------------------------------------------------
@@ -724,8 +724,8 @@
         let (id, class) = (t.id, t.class);
         let place = Place { id, conn, fcgi, class, body, call: Vec::new(), call_notice: 0, open: true };
         self.tries.insert(t.id, place);
-        if let Some(fellows) = &mut self.fellows {
-            fellows.taken(self.clock.now(), t.id, t.router);
+        if let Some(peers) = &mut self.peers {
+            peers.taken(self.clock.now(), t.id, t.router);
         }
         self.carry_out(verdicts);
     }
@@ -988,8 +988,8 @@
                 Verdict::Forget(id) => {
                     self.tries.remove(&id);
                     self.store.forget(id);
-                    if let Some(fellows) = &mut self.fellows {
-                        fellows.forget(id);
+                    if let Some(peers) = &mut self.peers {
+                        peers.forget(id);
                     }
                 }
                 Verdict::Gauge => {
--- a/crates/node/src/event_loop/cluster.rs
+++ b/crates/node/src/event_loop/cluster.rs
@@ -1,9 +1,9 @@
 //! The loop's part in what the fleet agrees on: its links and pages, the version in effect, what requests get under it, and
 //! operators' calls about it.
 
-use super::{Config, CONSENSUS_LOG, FELLOW_LISTENER, FIRST_FELLOW, Node, Ready, System, config};
-use crate::answer::Response;
-use crate::fellows::{self, News};
+use super::{Config, CONSENSUS_LOG, PEER_LISTENER, FIRST_PEER, Node, Ready, System, config};
+use crate::response::Response;
+use crate::peers::{self, News};
 use crate::request::TryParams;
 use gaugestand_admission::engine::Micros;
 use gaugestand_admission::idempotency::IdempotencyTable as _;
@@ -25,7 +25,7 @@
 
 /// Whether a key of the poller is the fleet's.
 pub(super) fn is_key(key: usize) -> bool {
-    key == CONSENSUS_LOG || (FELLOW_LISTENER..FIRST_FELLOW + fellows::KEYS).contains(&key)
+    key == CONSENSUS_LOG || (PEER_LISTENER..FIRST_PEER + peers::KEYS).contains(&key)
 }
 
 /// Requests by class, as they were counted at two moments.
@@ -75,36 +75,36 @@
 impl<S: System> Node<S> {
     /// Whether this node knows which version holds, or is on its own.
     pub(super) fn knows_the_version(&self) -> bool {
-        self.fellows.as_ref().is_none_or(|f| f.is_ready())
+        self.peers.as_ref().is_none_or(|f| f.is_ready())
     }
 
     pub(super) fn take_fleet(&mut self, event: Ready) {
         let now = self.clock.now();
-        let Some(fellows) = &mut self.fellows else { return };
+        let Some(peers) = &mut self.peers else { return };
         match event.key {
-            CONSENSUS_LOG => fellows.written(now, &mut self.counters),
-            FELLOW_LISTENER => fellows.accept(now),
-            _ => fellows.ready(now, event, &mut self.counters),
+            CONSENSUS_LOG => peers.written(now, &mut self.counters),
+            PEER_LISTENER => peers.accept(now),
+            _ => peers.ready(now, event, &mut self.counters),
         }
     }
 
     /// What is due by now: messages, pages, checks, the version in effect.
     pub(super) fn pass_fleet(&mut self) {
         let now = self.clock.now();
-        let Some(fellows) = self.fellows.as_mut().filter(|f| f.is_due(now)) else { return };
-        fellows.tick(now);
-        if let Some((version, bytes)) = fellows.due(now) {
+        let Some(peers) = self.peers.as_mut().filter(|f| f.is_due(now)) else { return };
+        peers.tick(now);
+        if let Some((version, bytes)) = peers.due(now) {
             let put = self.put_into_effect(bytes.as_deref());
-            if let Some(fellows) = &mut self.fellows {
-                fellows.put(version, put);
+            if let Some(peers) = &mut self.peers {
+                peers.put(version, put);
             }
         }
-        while let Some(news) = self.fellows.as_mut().and_then(|f| f.news(now, &mut self.counters)) {
+        while let Some(news) = self.peers.as_mut().and_then(|f| f.news(now, &mut self.counters)) {
             match news {
                 News::Check(asked, bytes, force) => {
                     let verdict = self.could_act(&bytes, force);
-                    if let Some(fellows) = &mut self.fellows {
-                        fellows.checked(now, asked, verdict);
+                    if let Some(peers) = &mut self.peers {
+                        peers.checked(now, asked, verdict);
                     }
                 }
                 News::Answer(caller, end) => self.admin.answer_later(caller, answer(end)),
@@ -129,7 +129,7 @@
     /// Whether this node could act on a content.
     fn could_act(&mut self, bytes: &[u8], force: bool) -> Result<(), String> {
         let content = content_of(bytes)?;
-        let lists = self.fellows.as_ref().map(|f| f.lists()).unwrap_or_default();
+        let lists = self.peers.as_ref().map(|f| f.lists()).unwrap_or_default();
         if let Some(name) = version_gate::unknown_list(&content, lists) {
             return Err(format!(
                 "lists.{name}: fleet(lists = ...) of this node does not name lists of that form"
@@ -151,13 +151,13 @@
 
     /// The configuration read again. What the fleet agrees on is not this file's to change.
     pub(super) fn read_configuration(&mut self) -> Result<Config, String> {
-        if self.fellows.is_none() {
+        if self.peers.is_none() {
             return config::reload(&self.config).map_err(|e| e.to_string());
         }
         let own =
             config::with_settings(&self.config, &self.local, &Value::Null).map_err(|e| e.to_string())?;
         let new = config::reload(&own).map_err(|e| e.to_string())?;
-        let agreed = self.fellows.as_ref().and_then(|f| f.settings()).cloned();
+        let agreed = self.peers.as_ref().and_then(|f| f.settings()).cloned();
         let is = &new.file["settings"];
         let Some(agreed) = agreed else {
             self.local = is.clone();
@@ -179,15 +179,15 @@
     /// What a try is refused with for what the fleet agrees on, or may have agreed on. A repeat of what has run here is not:
     /// it gets its result and never runs.
     pub(super) fn fleet_refuses(&mut self, t: &TryParams) -> Option<Response<'static>> {
-        let fellows = self.fellows.as_ref()?;
+        let peers = self.peers.as_ref()?;
         // This request's own clock: the turn may have begun before a pause.
         let moment = self.system.moment();
         let keyed = t.repeat_key.as_deref();
-        let ruling = fellows.rule(moment.mono, keyed.is_some(), t.row, t.router);
+        let ruling = peers.rule(moment.mono, keyed.is_some(), t.row, t.router);
         let (give_up, throttle) = match ruling {
             Ruling::Pass => return None,
             Ruling::Barred => (true, Micros(0)),
-            Ruling::OverShare | Ruling::NoLease => (false, fellows.stay_away()),
+            Ruling::OverShare | Ruling::NoLease => (false, peers.stay_away()),
         };
         if keyed.is_some_and(|key| self.engine.idempotency().knows(key, moment)) {
             return None;
@@ -207,21 +207,21 @@
     pub(super) fn tell_of_fleet(&mut self, place: usize, words: &str) -> Option<String> {
         let now = self.clock.now();
         let caller = self.admin.caller(place)?;
-        let Some(fellows) = &mut self.fellows else { return Some("error there is no fleet\n".into()) };
+        let Some(peers) = &mut self.peers else { return Some("error there is no fleet\n".into()) };
         let mut words = words.splitn(4, ' ');
         let (call, first) = (words.next().unwrap_or_default(), words.next());
         let number = |word: Option<&str>| word.and_then(|w| w.parse::<Version>().ok());
-        let kept = |version: Option<Version>| version.and_then(|v| fellows.content(v));
+        let kept = |version: Option<Version>| version.and_then(|v| peers.content(v));
         let said = match (call, first) {
-            ("STATUS", None) => Ok(fellows.status(now).to_string()),
-            ("HISTORY", None) => Ok(fellows.history().to_string()),
+            ("STATUS", None) => Ok(peers.status(now).to_string()),
+            ("HISTORY", None) => Ok(peers.history().to_string()),
             ("SHOW", version) => kept(number(version))
                 .map(|c| String::from_utf8_lossy(&c).into_owned())
                 .ok_or("no such version is kept"),
             ("ROLLBACK", version) => match kept(number(version)) {
                 Some(content) => {
                     let force = words.next() == Some("force");
-                    fellows.propose(now, caller, content.to_vec(), None, force);
+                    peers.propose(now, caller, content.to_vec(), None, force);
                     return None;
                 }
                 None => Err("no such version is kept"),
@@ -231,13 +231,13 @@
                 let Ok(address) = address.parse() else {
                     return Some("error JOIN takes a name and an address, as in n4=10.0.0.4:7000\n".into());
                 };
-                fellows.change(now, caller, Membership::Join { name: name.into(), address });
+                peers.change(now, caller, Membership::Join { name: name.into(), address });
                 return None;
             }
-            ("REMOVE", Some(name)) => match fellows.number(name) {
+            ("REMOVE", Some(name)) => match peers.number(name) {
                 Some(number) => {
                     let force = words.next() == Some("force");
-                    fellows.change(now, caller, Membership::Leave { number, force });
+                    peers.change(now, caller, Membership::Leave { number, force });
                     return None;
                 }
                 None => Err("no node of the fleet has that name"),
@@ -248,7 +248,7 @@
                 if expect.is_some() && number(expect).is_none() || content.is_empty() {
                     return Some("error PROPOSE takes a version or -, force or -, and the content\n".into());
                 }
-                fellows.propose(now, caller, content.into(), number(expect), force);
+                peers.propose(now, caller, content.into(), number(expect), force);
                 return None;
             }
             _ => Err("there are STATUS, HISTORY, SHOW, PROPOSE, ROLLBACK, JOIN and REMOVE"),
@@ -258,7 +258,7 @@
 }
 
 /// Requests of each class that have been answered.
-fn counts(figures: &crate::figures::Figures, names: &[String]) -> BTreeMap<String, u64> {
+fn counts(figures: &crate::request_metrics::Figures, names: &[String]) -> BTreeMap<String, u64> {
     let all = |name: &String| {
         let ends = figures.of(name);
         (name.clone(), ends.success + ends.overload + ends.error)
--- a/crates/node/src/handover_link.rs
+++ b/crates/node/src/handover_link.rs
@@ -1,7 +1,7 @@
 //! What two processes of one node say to each other: frames of CBOR with a length before them, and sockets that go
 //! along with some. Who is the node, and when that changes, is `gaugestand_admission::succession`'s.
 
-use super::accept::{self, ConnId};
+use super::connections::{self, ConnId};
 use super::io::{Kin, Passed, System};
 use super::kernel;
 use gaugestand_admission::RequestId;
@@ -41,7 +41,7 @@
     /// All keys were sent; from now on a change of one is sent before the command that it is about.
     Synced,
     /// A connection, with its socket.
-    Conn(Box<accept::Carried>),
+    Conn(Box<connections::Carried>),
     /// An open try, or one whose run goes on.
     Try(Box<Place>),
     /// What is left.
--- a/crates/node/src/checks.rs
+++ b/crates/node/src/health_checks.rs
@@ -4,7 +4,7 @@
 //! checks alone would fill the cores. So one is done at a time, everyone who asks meanwhile waits for it, and what it
 //! showed holds for [`FRESH`].
 
-use super::accept::ConnId;
+use super::connections::ConnId;
 use super::counters::Counters;
 use super::io::System;
 use super::kernel::Kernel;
--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -1,7 +1,7 @@
 //! A connection of ours to a peer that may be absent, late or drop: used for the kernel and the store.
 
 use super::{Stream, System};
-use crate::answer::Outbox;
+use crate::response::Outbox;
 use gaugestand_admission::engine::Micros;
 use std::io::{self, Read};
 use std::net::SocketAddr;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,23 +4,23 @@
 //! decides anything about requests.
 #![deny(unsafe_code)]
 
-pub mod accept;
+pub mod connections;
 pub mod admin;
-pub mod answer;
-pub mod checks;
+pub mod response;
+pub mod health_checks;
 pub mod config;
 pub mod counters;
 #[cfg(test)]
 mod cuts;
 pub mod fastcgi;
-pub mod fellows;
-pub mod figures;
+pub mod peers;
+pub mod request_metrics;
 pub mod io;
 pub mod kernel;
 pub mod handover_link;
 pub mod log;
-pub mod members;
-pub mod record;
+pub mod membership_reports;
+pub mod idempotency_store;
 pub mod request;
 pub mod store;
 pub mod event_loop;
--- a/crates/node/src/fellows.rs
+++ b/crates/node/src/peers.rs
@@ -107,7 +107,7 @@
 
 /// The fleet, as far as this node reaches it.
 #[derive(Debug)]
-pub struct Fellows<S: System> {
+pub struct Peers<S: System> {
     system: S,
     consensus: Consensus,
     stamp: Stamp,
@@ -163,7 +163,7 @@
     told.bytes().fold(0xcbf2_9ce4_8422_2325, step)
 }
 
-impl<S: System> Fellows<S> {
+impl<S: System> Peers<S> {
     /// Opens the log and listens; links are made by the loop.
     pub fn start(
         system: &S,
@@ -207,7 +207,7 @@
         let (setup, mut steps) = (Setup { me, members: first, terms, life: found.life }, Vec::new());
         let consensus = Consensus::new(system.moment().mono, setup, &found, &mut steps)
             .map_err(|e| format!("agreed log {}: {e}; nothing was changed", settings.path.display()))?;
-        let mut fellows = Fellows {
+        let mut peers = Peers {
             system: system.clone(),
             consensus,
             stamp,
@@ -236,8 +236,8 @@
             stirred: true,
             look_at: Micros(0),
         };
-        fellows.meet(system.moment().mono);
-        Ok(fellows)
+        peers.meet(system.moment().mono);
+        Ok(peers)
     }
 
     /// Takes in who is in the fleet now. A node that is not in it yet keeps those that it was told of.
@@ -555,7 +555,7 @@
                 let peer = self.peers.entry(from).or_insert_with(|| Peer::new(format!("node {from}")));
                 // The newest link counts: an older one may be half dead.
                 let before = peer.over.replace(slot);
-                tracing::info!(fellow = peer.name, "linked");
+                tracing::info!(peer = peer.name, "linked");
                 if let Some(before) = before.filter(|b| *b != slot) {
                     self.channels[before] = None;
                 }
@@ -580,7 +580,7 @@
         let Some((who, _)) = channel.who else { return };
         let Some(peer) = self.peers.get_mut(&who).filter(|p| p.over == Some(slot)) else { return };
         peer.over = None;
-        tracing::warn!(fellow = peer.name, "its link is gone, which proves nothing");
+        tracing::warn!(peer = peer.name, "its link is gone, which proves nothing");
         self.step(now, Event::Linked(who, false));
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -171,7 +171,7 @@
     if let Some(admin) = node.admin_address() {
         tracing::info!(node = name, %admin, "answering operators");
     }
-    if let Some(fellows) = node.fellows_address() {
+    if let Some(fellows) = node.peers_address() {
         tracing::info!(node = name, %fellows, "listening for its fellows");
     }
     if let Some(address) = node.address() {
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,7 +1,7 @@
 //! The sub-commands that look after a store of record.
 
 use crate::Failure;
-use gaugestand_node::record::password;
+use gaugestand_node::idempotency_store::password;
 use gaugestand_idempotency::postgres::Login;
 use gaugestand_idempotency::remote::Remote;
 use gaugestand_idempotency::row::{Outcome, Row, State};
