--- a/crates/simulation/src/standins/fares.rs
+++ b/crates/simulation/src/fakes/fares.rs
@@ -1,6 +1,6 @@
 //! The tier below: answers calls after a while, or turns them away.
 
-use crate::net::Dice;
+use crate::network::Dice;
 use gaugestand_admission::engine::Micros;
 
 /// Calls read from one connection, and what is left of the input.
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -4,9 +4,9 @@
 #![forbid(unsafe_code)]
 
 pub mod checkers;
-pub mod fleet;
+pub mod process_cluster;
 pub mod guard;
-pub mod net;
+pub mod network;
 pub mod site;
-pub mod standins;
+pub mod fakes;
 pub mod world;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -78,7 +78,7 @@
         let most = long("most")
             .help("Longest contradiction that is let pass; what is stated else. Leases leave none, but for pauses")
             .argument("MS")
-            .fallback(fleet::CONTRADICT_MS);
+            .fallback(process_cluster::CONTRADICT_MS);
         construct!(Command::Fleet { nodes, seed, runs, secs, faults, program, most, json })
             .to_options()
             .descr("Start several real processes, throw faults between them, and check what they do")
@@ -145,7 +145,7 @@
 
 /// What a fleet costs that nothing is asked of, and what a request costs in it.
 fn rest(nodes: usize, secs: u64, program: Option<PathBuf>) -> Result<bool, String> {
-    let (mean, most, with, without) = fleet::rest(&node_program(program)?, nodes, secs, 200_000)?;
+    let (mean, most, with, without) = process_cluster::rest(&node_program(program)?, nodes, secs, 200_000)?;
     println!(
         "{nodes} processes at rest: {mean:.1} ms of CPU a second each, {most:.1} at most; a read {with:.2} us of CPU, \
          {without:.2} on its own ({:.3})",
@@ -166,10 +166,10 @@
     let (mut violations, first) = (0, seeds.start);
     let mut digest = blake3::Hasher::new();
     for seed in seeds {
-        let plan = fleet::plan(seed, nodes, secs.saturating_mul(1000));
+        let plan = process_cluster::plan(seed, nodes, secs.saturating_mul(1000));
         // Of the plan: when real processes do what is not the seed's.
         digest.update(format!("{plan:?}").as_bytes());
-        let outcome = fleet::play(&program, nodes, seed, &plan, most)?;
+        let outcome = process_cluster::play(&program, nodes, seed, &plan, most)?;
         println!("seed {seed}, {nodes} processes: {outcome}");
         // The same thing seen again and again is told a few times.
         for v in outcome.violations.iter().take(5) {
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/process_cluster.rs
@@ -7,7 +7,7 @@
 //! one was seen for the last time at another, but for the stated time.
 
 use crate::guard::Guard;
-use crate::standins::gateway::{Gateway, Verdict};
+use crate::fakes::gateway::{Gateway, Verdict};
 use gaugestand_fakes::kernel::AutoKernel;
 use gaugestand_fakes::relay::{Relay, Way};
 use serde_json::{Value, json};
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -1,7 +1,7 @@
 //! Sites of no operator: what a site may tell, allow or leave out, drawn by seed, so that no rule of the node depends on
 //! the form of one.
 
-use crate::net::Dice;
+use crate::network::Dice;
 use gaugestand_admission::engine::Micros;
 use serde_json::{Value, json};
 use std::fmt;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -2,11 +2,11 @@
 //! plan of faults, all drawn from one seed. Every event is followed by a look at the rules.
 
 use crate::checkers::{Rules, Violation};
-use crate::net::{Dice, Net, Side, Virtual};
+use crate::network::{Dice, Net, Side, Virtual};
 use crate::site::{CORES, Site};
-use crate::standins::fares;
-use crate::standins::fastcgi::{self, Reader};
-use crate::standins::kernel::{Kernel, Known, Seen};
+use crate::fakes::fares;
+use crate::fakes::fastcgi::{self, Reader};
+use crate::fakes::kernel::{Kernel, Known, Seen};
 use gaugestand_admission::engine::Micros;
 use gaugestand_node::config;
 use gaugestand_node::log::Logs;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Several real processes of the node that agree on versions, with faults thrown between them.
 
-use gaugestand_simulation::fleet::{CONTRADICT_MS, Fault, Rig, bars, plan, play, subject};
-use gaugestand_simulation::standins::gateway::Verdict;
+use gaugestand_simulation::process_cluster::{CONTRADICT_MS, Fault, Rig, bars, plan, play, subject};
+use gaugestand_simulation::fakes::gateway::Verdict;
 use gaugestand_fakes::relay::Way;
 use serde_json::{Value, json};
 use std::io::Write;
