--- a/benches/record.rs
+++ b/benches/record.rs
@@ -6,12 +6,12 @@
 #[path = "../tests/peers/mod.rs"]
 mod peers;
 
+use gaugestand_fakes::kernel::AutoKernel;
+use gaugestand_fakes::postgres::Postgres;
 use gaugestand_idempotency::postgres::Login;
 use gaugestand_idempotency::remote::Remote;
 use gaugestand_idempotency::row::{Batch, Outcome, Row, State, Work, Write};
 use gaugestand_idempotency::sqlite::{Options, Sqlite};
-use gaugestand_fakes::kernel::AutoKernel;
-use gaugestand_fakes::postgres::Postgres;
 use hdrhistogram::Histogram;
 use peers::*;
 use rusqlite::Connection;
--- a/crates/admission/src/classes.rs
+++ b/crates/admission/src/classes.rs
@@ -102,11 +102,21 @@
     use crate::interface::{Effect, Span};
 
     fn class(deadline: u64) -> Class {
-        let (aim, worth, late_worth) = (Span::millis(1), 1.0, 0.0);
+        let (latency_objective, priority_weight, late_weight) = (Span::millis(1), 1.0, 0.0);
         let (effect, dedup_window) = (Effect::Pure, Span(0));
-        let (aim_stretch, calls, skip_worth) = (0.0, false, 0.0);
+        let (objective_stretch, calls, skipped_call_weight) = (0.0, false, 0.0);
         let deadline = Span::millis(deadline);
-        Class { aim, aim_stretch, deadline, worth, late_worth, effect, dedup_window, calls, skip_worth }
+        Class {
+            latency_objective,
+            objective_stretch,
+            deadline,
+            priority_weight,
+            late_weight,
+            effect,
+            dedup_window,
+            calls,
+            skipped_call_weight,
+        }
     }
 
     fn names(names: &[&str]) -> Vec<String> {
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -102,11 +102,13 @@
     reached: Time,
     /// An answer after this is worth nothing: the aim; once that is out of reach and late answers count, the
     /// due time.
-    aim: Time,
+    #[serde(rename = "aim")]
+    latency_objective: Time,
     /// Must be answered by now, margin taken off.
     due: Time,
     caller: u64,
-    held_kb: f64,
+    #[serde(rename = "held_kb")]
+    queued_kb: f64,
     /// Expected work where hinted, else one unit.
     size: f64,
     /// Order of worth, higher is better: twice the level, more where others share it, less for further tries.
@@ -200,7 +202,8 @@
     /// The same for runs that ended while no more ran than there are cores.
     uncrowded: f64,
     /// Mean aim of the arrivals, in seconds.
-    aim: f64,
+    #[serde(rename = "aim")]
+    latency_objective: f64,
     /// Share of the latest decisions that were refusals; by events, so that quiet spells say nothing.
     refused_share: f64,
     /// Mean number of callers that have a request in hand here.
@@ -227,8 +230,8 @@
 
 /// Calls have no bound where no dependency is shared.
 fn bounded(s: Settings) -> Settings {
-    let shared = s.below == Below::Shared && s.calls_out > 0.0;
-    Settings { calls_out: if shared { s.calls_out } else { f64::INFINITY }, ..s }
+    let shared = s.downstream == Downstream::Shared && s.outbound_call_limit > 0.0;
+    Settings { outbound_call_limit: if shared { s.outbound_call_limit } else { f64::INFINITY }, ..s }
 }
 
 impl Controller {
@@ -246,16 +249,17 @@
             return bad(key, why);
         }
         for (i, c) in s.classes.iter().enumerate() {
-            if c.aim.0 == 0 || c.deadline.0 == 0 {
+            if c.latency_objective.0 == 0 || c.deadline.0 == 0 {
                 return bad(&format!("classes.{i}"), "aim and deadline must be above 0");
             }
         }
-        let aim = s.classes.iter().map(|c| c.aim.secs()).sum::<f64>() / s.classes.len() as f64;
+        let latency_objective =
+            s.classes.iter().map(|c| c.latency_objective.secs()).sum::<f64>() / s.classes.len() as f64;
         let est = Estimators {
-            period: Span::from_secs(aim / PERIODS_PER_AIM),
-            latency: aim * LMAX_SHARE,
-            uncrowded: aim * LMAX_SHARE,
-            aim,
+            period: Span::from_secs(latency_objective / PERIODS_PER_AIM),
+            latency: latency_objective * LMAX_SHARE,
+            uncrowded: latency_objective * LMAX_SHARE,
+            latency_objective,
             runs: vec![None; s.classes.len()],
             slowdown: 1.0,
             ..Estimators::default()
@@ -310,11 +314,11 @@
         for event in events {
             match event {
                 Event::Request(r) => self.on_request(r, out),
-                Event::Gone(id) => self.on_gone(*id, out),
+                Event::CallerGone(id) => self.on_gone(*id, out),
                 Event::Drain(stop) => self.on_drain(*stop, out),
-                Event::Done(id, outcome) => self.on_done(*id, *outcome),
-                Event::AtCall(id) => self.set_phase(*id, Phase::AtCall),
-                Event::Called(id, outcome, lag) => self.on_called(*id, *outcome, *lag, out),
+                Event::RunEnded(id, outcome) => self.on_done(*id, *outcome),
+                Event::CallRequested(id) => self.set_phase(*id, Phase::AtCall),
+                Event::CallEnded(id, outcome, lag) => self.on_called(*id, *outcome, *lag, out),
                 Event::Timer(TIMER, gauges) => self.on_timer(gauges, out),
                 Event::Timer(..) => {}
             }
@@ -341,7 +345,7 @@
         let Some(e) = self.requests.get(&id) else { return };
         let key = e.hold_key(id);
         let waits = matches!(e.phase, Phase::Held | Phase::Reusing);
-        let kb = e.held_kb * if waits { 1.0 } else { self.s.run_factor.max(1.0) };
+        let kb = e.queued_kb * if waits { 1.0 } else { self.s.running_memory_factor.max(1.0) };
         self.memory_kb += if add { kb } else { -kb };
         let n = if add { 1 } else { usize::MAX };
         match e.phase {
@@ -382,7 +386,7 @@
     fn remove(&mut self, id: RequestId) -> Option<Entry> {
         self.count(id, false);
         let e = self.requests.remove(&id)?;
-        self.watch.remove(&(e.aim, id));
+        self.watch.remove(&(e.latency_objective, id));
         self.watch.remove(&(e.due, id));
         Some(e)
     }
@@ -398,7 +402,7 @@
     }
 
     fn lmax(&self) -> f64 {
-        (self.est.aim * LMAX_SHARE).min(self.est.uncrowded * KNEE)
+        (self.est.latency_objective * LMAX_SHARE).min(self.est.uncrowded * KNEE)
     }
 
     /// L of formula (5). Only good ends shorten it; the ages of runs under way can lengthen it, so that a
@@ -493,10 +497,10 @@
         blend(&mut e.ti, e.arrivals / dt, 0.3);
         (e.ne_integral, e.arrivals, e.period_began) = (0.0, 0.0, self.now);
         for (tokens, t) in self.tokens.iter_mut().zip(&self.s.tenants) {
-            let rate = t.quota_per_s / f64::from(self.s.fleet_size.max(1));
+            let rate = t.quota_per_s / f64::from(self.s.cluster_size.max(1));
             *tokens = (*tokens + rate * dt).min((rate * BURST.0).max(BURST.1));
         }
-        let served = Span::from_secs(4.0 * (self.s.fresh_for.secs() + self.est.latency));
+        let served = Span::from_secs(4.0 * (self.s.cache_ttl.secs() + self.est.latency));
         self.popular.retain(|_, p| p.1 + served > self.now);
         self.reset_cap();
     }
@@ -533,17 +537,17 @@
         let class = r.class.min(self.s.classes.len() - 1);
         let c = &self.s.classes[class];
         let (effect, window) = (c.effect, c.dedup_window);
-        let reached = self.now - r.unread_for;
+        let reached = self.now - r.read_delay;
         let mut due = self.with_margin(r.deadline.unwrap_or(reached + c.deadline)).max(self.now);
         if let Some((_, end)) = self.drain {
             due = due.min(end).max(self.now);
         }
-        let size = r.hint.map_or(1.0, |h| h.secs().max(1e-4));
-        let stretch = r.hint.map_or(0.0, |h| h.secs() * c.aim_stretch);
-        let aim = (reached + c.aim + Span::from_secs(stretch)).min(due);
+        let size = r.work_hint.map_or(1.0, |h| h.secs().max(1e-4));
+        let stretch = r.work_hint.map_or(0.0, |h| h.secs() * c.objective_stretch);
+        let latency_objective = (reached + c.latency_objective + Span::from_secs(stretch)).min(due);
         self.est.arrivals += 1.0;
-        self.note_unread(r.unread_for);
-        blend(&mut self.est.aim, (aim - reached).secs(), 0.02);
+        self.note_unread(r.read_delay);
+        blend(&mut self.est.latency_objective, (latency_objective - reached).secs(), 0.02);
         // Within its tenant's share if that has a token left; gives it back if it is turned away.
         let in_share = match self.tokens.get_mut(r.tenant) {
             Some(t) if *t < 1.0 => false,
@@ -562,10 +566,10 @@
             tenant: r.tenant,
             phase: Phase::Held,
             reached,
-            aim,
+            latency_objective,
             due,
             caller: r.caller,
-            held_kb: r.held_kb.max(0.0),
+            queued_kb: r.queued_kb.max(0.0),
             size,
             level,
             in_share,
@@ -581,8 +585,8 @@
         };
         self.requests.insert(r.id, entry);
         self.count(r.id, true);
-        self.watch.insert((aim, r.id));
-        if let Some(prior) = r.prior.filter(|_| effect != Effect::Unsafe) {
+        self.watch.insert((latency_objective, r.id));
+        if let Some(prior) = r.original.filter(|_| effect != Effect::Unsafe) {
             if let Some(p) = self.requests.get_mut(&prior) {
                 p.waited_for = true;
             }
@@ -591,21 +595,21 @@
             if self.now >= due {
                 return self.turn_away(r.id, out);
             }
-            return out.push(Action::Reuse(r.id));
+            return out.push(Action::Coalesce(r.id));
         }
         let late_arrival = self.drain.is_some_and(|(last, _)| reached > last);
         let keep = match effect {
             Effect::Keyed => Some(window),
-            Effect::Pure if self.s.fresh_for.0 > 0 && r.key.is_some() => {
-                Some(Span(self.s.fresh_for.0 + (due - self.now).0))
+            Effect::Pure if self.s.cache_ttl.0 > 0 && r.key.is_some() => {
+                Some(Span(self.s.cache_ttl.0 + (due - self.now).0))
             }
             Effect::Pure | Effect::Unsafe => None,
         };
         if let Some(span) = keep {
-            let room = (self.kept.len() + 1) as f64 * self.s.key_kb <= MEMORY_SHARE.1 * self.s.memory_kb;
+            let room = (self.kept.len() + 1) as f64 * self.s.entry_kb <= MEMORY_SHARE.1 * self.s.memory_kb;
             if room && !late_arrival {
                 self.kept.insert((self.now + span, r.id));
-                out.push(Action::Keep(r.id, span));
+                out.push(Action::Remember(r.id, span));
                 if let Some(e) = self.requests.get_mut(&r.id) {
                     e.kept = true;
                 }
@@ -633,23 +637,23 @@
         let ahead = self.calls.waiting.iter().take_while(|k| k.0 <= -e.level).count();
         let calls = self.s.classes[e.class].calls;
         let expected = run + if calls { self.call_wait_s(ahead) + self.call_s() } else { 0.0 };
-        self.now + Span::from_secs(expected) >= e.aim
+        self.now + Span::from_secs(expected) >= e.latency_objective
     }
 
     /// What can no longer make its aim gets its final answer at once; where a late answer counts and a held
     /// one finds room on the cores, it stays, ranked by what that is worth.
     fn miss_aim(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(e) = self.requests.get(&id).cloned().filter(|e| !e.answered) else { return };
-        let late = self.s.classes[e.class].late_worth;
-        if late <= 0.0 || e.aim >= e.due || e.phase == Phase::Held && self.est.busy >= BUSY {
+        let late = self.s.classes[e.class].late_weight;
+        if late <= 0.0 || e.latency_objective >= e.due || e.phase == Phase::Held && self.est.busy >= BUSY {
             return self.turn_away(id, out);
         }
         self.count(id, false);
-        self.watch.remove(&(e.aim, id));
+        self.watch.remove(&(e.latency_objective, id));
         self.watch.insert((e.due, id));
         if let Some(e) = self.requests.get_mut(&id) {
             e.level += 2 * late.log2().round() as i32;
-            e.aim = e.due;
+            e.latency_objective = e.due;
         }
         self.count(id, true);
     }
@@ -661,7 +665,7 @@
         // and each further try costs a reading. One that leaves or hangs speaks for itself alone.
         // Hurts where this worker alone draws too much.
         let wave = self.drain.is_none() && !self.struck() && self.est.refused_share > WAVE;
-        let stay_away = self.stay_away();
+        let retry_after = self.retry_after();
         let Some(e) = self.requests.get_mut(&id).filter(|e| !e.answered) else { return };
         e.answered = true;
         let effectful = self.s.classes[e.class].effect != Effect::Pure;
@@ -670,7 +674,7 @@
             return self.let_go(id, out);
         }
         // What comes after its aim is worth nothing elsewhere either.
-        let give_up = wave || e.aim <= self.now;
+        let no_retry_elsewhere = wave || e.latency_objective <= self.now;
         if !e.ran {
             blend(&mut self.est.refused_share, 1.0, DECISION_BLEND);
             if let Some(t) = self.tokens.get_mut(e.tenant).filter(|_| e.in_share) {
@@ -681,7 +685,7 @@
                 out.push(Action::Forget(id));
             }
         }
-        out.push(Action::Refuse { id, stay_away, give_up });
+        out.push(Action::Reject { id, retry_after, no_retry_elsewhere });
         self.let_go(id, out);
     }
 
@@ -690,11 +694,11 @@
         let Some(e) = self.requests.get(&id) else { return };
         let keyed = self.s.classes[e.class].effect == Effect::Keyed;
         match e.phase {
-            Phase::Running if self.s.halt != Halt::Never && !keyed && !e.waited_for => {
+            Phase::Running if self.s.preemption != Preemption::Never && !keyed && !e.waited_for => {
                 let run = e.clone();
                 self.note_end(&run, false);
                 self.set_phase(id, Phase::Stopping);
-                out.push(Action::Halt(id));
+                out.push(Action::Preempt(id));
             }
             Phase::Held | Phase::Reusing => drop(self.remove(id)),
             _ => {}
@@ -724,7 +728,7 @@
         let on_cores = matches!(e.phase, Phase::Running | Phase::Stopping);
         if e.phase == Phase::Calling {
             // Its call is given up with it, and may stay in the dependency's hands like any given-up one.
-            self.calls.lingering.push(self.now + self.s.call_lingers);
+            self.calls.lingering.push(self.now + self.s.abandoned_call_duration);
         }
         if let Some(e) = self.remove(id).filter(|_| outcome == Outcome::Ok && on_cores) {
             self.note_end(&e, true);
@@ -748,7 +752,7 @@
                 continue;
             }
             let Some(e) = self.requests.get(&id) else { break };
-            let more = e.held_kb * (self.s.run_factor - 1.0).max(0.0);
+            let more = e.queued_kb * (self.s.running_memory_factor - 1.0).max(0.0);
             if self.memory() + more > MEMORY_SHARE.0 * self.s.memory_kb {
                 break;
             }
@@ -769,7 +773,7 @@
             while let Some(id) = self.least_worth() {
                 let Some(e) = self.requests.get(&id) else { break };
                 let wait = (self.hold.len() as f64 - 1.0) / rate + self.run_s(e.class, e.size);
-                if self.hold.len() <= room && self.now + Span::from_secs(wait) < e.aim {
+                if self.hold.len() <= room && self.now + Span::from_secs(wait) < e.latency_objective {
                     break;
                 }
                 self.turn_away(id, out);
@@ -779,7 +783,7 @@
 
     /// Places in the hold while the cores are busy.
     fn room(&self) -> f64 {
-        (self.cap / self.l() * WAIT_SHARE * self.est.aim).max(LINE)
+        (self.cap / self.l() * WAIT_SHARE * self.est.latency_objective).max(LINE)
     }
 
     /// The held request to turn away first: least worth, newest, nobody waiting for it.
@@ -789,14 +793,14 @@
 
     /// Steps of a factor of two in worth, over-share traffic at what it counts.
     fn level(&self, class: usize, in_share: bool) -> i32 {
-        let share = if in_share { 1.0 } else { self.s.over_share_worth };
-        (self.s.classes[class].worth * share).max(1e-9).log2().round() as i32
+        let share = if in_share { 1.0 } else { self.s.over_quota_weight };
+        (self.s.classes[class].priority_weight * share).max(1e-9).log2().round() as i32
     }
 
     /// Requests that one run of this read is likely to serve.
     fn sharers(&mut self, key: Option<u64>, class: usize) -> f64 {
-        let Some(key) = key.filter(|_| self.s.fresh_for.0 > 0) else { return 1.0 };
-        let (now, served) = (self.now, self.s.fresh_for.secs() + self.est.latency);
+        let Some(key) = key.filter(|_| self.s.cache_ttl.0 > 0) else { return 1.0 };
+        let (now, served) = (self.now, self.s.cache_ttl.secs() + self.est.latency);
         let (n, last) = self.popular.entry((key, class)).or_insert((0.0, now));
         *n = *n * (-(now - *last).secs() / served).exp() + 1.0;
         *last = now;
@@ -813,22 +817,22 @@
             *best = best.min(*late);
         }
         if outcome == Outcome::TimedOut {
-            self.calls.lingering.push(self.now + self.s.call_lingers);
+            self.calls.lingering.push(self.now + self.s.abandoned_call_duration);
         }
         let Some(e) = self.requests.get(&id) else { return };
         if e.phase != Phase::Calling {
             return;
         }
         let c = &self.s.classes[e.class];
-        let again = c.effect == Effect::Pure || matches!(outcome, Outcome::Full | Outcome::Unreachable);
+        let again = c.effect == Effect::Pure || matches!(outcome, Outcome::Overloaded | Outcome::Unreachable);
         match outcome {
             Outcome::Ok => self.set_phase(id, Phase::Running),
             _ if e.answered => {}
-            _ if c.skip_worth > 0.0 => {
+            _ if c.skipped_call_weight > 0.0 => {
                 self.set_phase(id, Phase::Running);
                 out.push(Action::SkipCall(id));
             }
-            _ if again && self.now < e.aim => {
+            _ if again && self.now < e.latency_objective => {
                 self.pause_calls(id);
                 self.set_phase(id, Phase::AtCall);
             }
@@ -844,20 +848,20 @@
         let Some(e) = self.requests.get_mut(&id) else { return };
         let share = (first * 2f64.powi(e.calls_lost.min(16) as i32)).min(longest);
         e.calls_lost += 1;
-        e.call_at = self.now + Span::from_secs(share * self.est.aim);
+        e.call_at = self.now + Span::from_secs(share * self.est.latency_objective);
     }
 
     /// Most calls in hand at once. Slow calls are a sign of a crowd there: the bound shrinks with them.
     fn most_calls(&self) -> f64 {
         let ease = self.calls.lag.map_or(1.0, |(late, best)| best / late.max(1e-6));
-        (CALL_SHARE.1 * self.s.calls_out * ease).max(1.0)
+        (CALL_SHARE.1 * self.s.outbound_call_limit * ease).max(1.0)
     }
 
     /// Expected wait for a call's turn behind so many. Guard for a dependency that is slow or down: what
     /// could not make its call in time is turned away before it runs, not after.
     fn call_wait_s(&self, ahead: usize) -> f64 {
         // In the long run the mean in hand binds, not the most at once.
-        let most = self.most_calls().min(CALL_SHARE.0 * self.s.calls_out);
+        let most = self.most_calls().min(CALL_SHARE.0 * self.s.outbound_call_limit);
         self.calls.lag.map_or(0.0, |(late, _)| ahead as f64 * late / most)
     }
 
@@ -870,11 +874,12 @@
     /// Call-seconds taken of late and promised to calls in hand, as a share of what the dependency survives.
     fn call_load(&self) -> f64 {
         let out = self.requests.values().filter(|e| e.phase == Phase::Calling);
-        let until =
-            out.map(|e| e.call_until + self.s.call_lingers).chain(self.calls.lingering.iter().copied());
+        let until = out
+            .map(|e| e.call_until + self.s.abandoned_call_duration)
+            .chain(self.calls.lingering.iter().copied());
         let promised: f64 = until.map(|t| (t - self.now).secs()).sum();
         let spent = self.calls.spent - self.calls.marks.front().map_or(0.0, |m| m.1);
-        (spent + promised) / (self.s.calls_out * self.s.call_window.secs()).max(1e-6)
+        (spent + promised) / (self.s.outbound_call_limit * self.s.call_window.secs()).max(1e-6)
     }
 
     /// Sends calls by worth, then age, while this worker's share of the dependency has room. A call gets no
@@ -892,15 +897,18 @@
                 continue;
             }
             // Guards against work below for answers that come too late: what cannot be back is not sent.
-            if self.now + Span::from_secs(CALL_LEFT * self.call_s()) >= e.aim {
+            if self.now + Span::from_secs(CALL_LEFT * self.call_s()) >= e.latency_objective {
                 self.miss_aim(id, out);
                 continue;
             }
             let in_hand = (self.calls.out + self.calls.lingering.len() + 1) as f64;
-            let room = (CALL_SHARE.2 - self.call_load()) * self.s.calls_out * window;
-            let longest = room - self.s.call_lingers.secs();
+            let room = (CALL_SHARE.2 - self.call_load()) * self.s.outbound_call_limit * window;
+            let longest = room - self.s.abandoned_call_duration.secs();
             let usual = self.calls.lag.map_or(self.s.tick.secs(), |(late, _)| late);
-            if in_hand > most || self.calls.mean > CALL_SHARE.0 * self.s.calls_out || longest < usual {
+            if in_hand > most
+                || self.calls.mean > CALL_SHARE.0 * self.s.outbound_call_limit
+                || longest < usual
+            {
                 break;
             }
             // One of which nothing is heard for long may never be answered: where it may be made again there
@@ -908,7 +916,8 @@
             let patience = PATIENCE * usual * 2f64.powi(e.calls_lost.min(16) as i32);
             let again = self.s.classes[e.class].effect == Effect::Pure && self.calls.lag.is_some();
             let longest = if again { longest.min(patience) } else { longest };
-            let until = e.aim.max(self.now + self.s.tick).min(self.now + Span::from_secs(longest));
+            let until =
+                e.latency_objective.max(self.now + self.s.tick).min(self.now + Span::from_secs(longest));
             if let Some(e) = self.requests.get_mut(&id) {
                 e.call_until = until;
             }
@@ -920,7 +929,7 @@
     // ---- Memory and crowd guards ---------------------------------------------------------------------
 
     fn memory(&self) -> f64 {
-        self.memory_kb + self.kept.len() as f64 * self.s.key_kb
+        self.memory_kb + self.kept.len() as f64 * self.s.entry_kb
     }
 
     /// When no held request is left to turn away, those that others wait for and repeats go, newest first.
@@ -936,13 +945,13 @@
     /// Highest cap: a share of the crowd that the worker survives, less while it may be cold.
     fn crowd(&self) -> f64 {
         let warm = match self.born {
-            Some(born) if self.s.cold && self.s.cold_for.0 > 0 => {
-                let part = ((self.now - born).secs() / self.s.cold_for.secs()).min(1.0);
-                self.s.cold_share + (1.0 - self.s.cold_share) * part
+            Some(born) if self.s.cold && self.s.warmup_duration.0 > 0 => {
+                let part = ((self.now - born).secs() / self.s.warmup_duration.secs()).min(1.0);
+                self.s.cold_speed_share + (1.0 - self.s.cold_speed_share) * part
             }
             _ => 1.0,
         };
-        let per_core = 1.0 + (self.s.crowd_multiple - 1.0).max(0.0) * warm;
+        let per_core = 1.0 + (self.s.survivable_runs_per_core - 1.0).max(0.0) * warm;
         CROWD_SHARE * per_core * f64::from(self.s.cores)
     }
 
@@ -954,10 +963,10 @@
     fn note_unread(&mut self, unread: Span) {
         let (on, off) = SWAMPED;
         blend(&mut self.est.unread, unread.secs(), 3.0 * BLEND);
-        if unread.secs() < off * self.est.aim {
-            self.est.unread = self.est.unread.min(off * self.est.aim);
+        if unread.secs() < off * self.est.latency_objective {
+            self.est.unread = self.est.unread.min(off * self.est.latency_objective);
         }
-        let limit = self.est.aim * if self.est.swamped { off } else { on };
+        let limit = self.est.latency_objective * if self.est.swamped { off } else { on };
         self.est.swamped = self.est.unread > limit;
     }
 
@@ -965,7 +974,7 @@
     /// is the one that is slow.
     fn beyond(&self) -> bool {
         let quotas: f64 = self.s.tenants.iter().map(|t| t.quota_per_s).sum();
-        self.est.ti * f64::from(self.s.fleet_size) > BEYOND * quotas
+        self.est.ti * f64::from(self.s.cluster_size) > BEYOND * quotas
     }
 
     /// Nothing that comes is of use here. Within the grace after the notice to leave it still is: callers
@@ -974,9 +983,9 @@
         self.drain.is_some_and(|(last, _)| self.now >= last) || self.struck() || self.est.swamped
     }
 
-    fn stay_away(&self) -> Span {
+    fn retry_after(&self) -> Span {
         let part = if self.leaving() { 1.0 } else { self.est.refused_share.powi(2).max(0.05) };
-        Span::from_secs(self.s.max_stay_away.unwrap_or_default().secs() * part)
+        Span::from_secs(self.s.max_retry_after.unwrap_or_default().secs() * part)
     }
 
     fn signal(&mut self, out: &mut Vec<Action>) {
@@ -984,22 +993,22 @@
         // Where every list follows, a wave that swamps all would send each one's traffic to the rest and
         // back: there only what this worker knows of itself alone counts.
         let lone = self.drain.is_some() || self.struck();
-        let good = !lone && (!leaving || self.s.list_follows && self.beyond());
+        let good = !lone && (!leaving || self.s.list_follows_health && self.beyond());
         if self.healthy != good {
             self.healthy = good;
             out.push(Action::Health { good, shallow: true });
         }
         let open = if leaving { 0.0 } else { 1.0 - SIGNAL * self.est.refused_share };
-        let value = match self.s.signal {
-            Signal::Silent => return,
-            Signal::Floor => 1.0 - open,
-            Signal::Weight => open,
+        let value = match self.s.backpressure_signal {
+            BackpressureSignal::Silent => return,
+            BackpressureSignal::Floor => 1.0 - open,
+            BackpressureSignal::Weight => open,
             // Where few callers hold what is in hand, each may have its part of twice the cap; where each
             // holds one at most, an allowance under one is a weight. A part of a few is a mean, about which
             // what each sends scatters: while little is refused there is room for that as far as the cores
             // have time or the hold has places, or callers turn away what this worker could still take.
             // Hurts as a wave begins.
-            Signal::Allowance => {
+            BackpressureSignal::Allowance => {
                 let part = open * (2.0 * self.cap / self.est.senders.max(1.0)).max(1.0);
                 let taken = if self.est.busy < BUSY { 0.0 } else { self.hold.len() as f64 / self.room() };
                 let roomy = self.est.refused_share < WAVE;
@@ -1009,7 +1018,7 @@
         };
         if (value - self.announced).abs() > 0.01 * self.announced.abs() {
             self.announced = value;
-            out.push(Action::Announce(value));
+            out.push(Action::AnnounceCapacity(value));
         }
     }
 
@@ -1021,7 +1030,7 @@
         let (idle, told) = &mut self.idle;
         let longest = self.s.caller_idle.secs();
         let reused = self.est.ti * longest > REUSED * f64::from(self.s.callers);
-        let unread = self.est.unread / self.est.aim;
+        let unread = self.est.unread / self.est.latency_objective;
         if reused || unread > high {
             *idle *= longer;
         } else if unread < low {
@@ -1030,7 +1039,7 @@
         *idle = idle.clamp(least * longest, longest);
         if (*idle / *told - 1.0).abs() > 0.05 {
             *told = *idle;
-            out.push(Action::IdleLimit(Span::from_secs(*idle).max(Span::millis(10))));
+            out.push(Action::SetIdleTimeout(Span::from_secs(*idle).max(Span::millis(10))));
         }
     }
 
@@ -1044,9 +1053,9 @@
         self.watch.clear();
         for (id, e) in &mut self.requests {
             e.due = e.due.min(end);
-            e.aim = e.aim.min(e.due);
+            e.latency_objective = e.latency_objective.min(e.due);
             if !e.answered {
-                self.watch.insert((e.aim, *id));
+                self.watch.insert((e.latency_objective, *id));
             }
         }
     }
--- a/crates/admission/src/engine.rs
+++ b/crates/admission/src/engine.rs
@@ -7,8 +7,8 @@
 
 use crate::classes::Plan;
 use crate::controller::Controller;
+use crate::idempotency::{Begin, Ended, Found, IdempotencyTable, Join, Moment, RunResult, Settled};
 use crate::interface::*;
-use crate::idempotency::{Begin, Ended, Found, Join, Moment, IdempotencyTable, RunResult, Settled};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -72,11 +72,11 @@
     /// Unix time at which it reached the machine, as it says itself.
     pub ingress: Micros,
     /// Expected work on one core.
-    pub hint: Option<Micros>,
+    pub work_hint: Option<Micros>,
     /// Memory while held, in kilobytes.
-    pub held_kb: f64,
+    pub queued_kb: f64,
     /// Place in the order of worth, from 0 to under 1.
-    pub rank: f64,
+    pub shed_order: f64,
     /// The number of its caller.
     pub caller: u64,
     /// How long its caller waits, counted from `ingress`, where that is told. More than the class's deadline counts
@@ -165,22 +165,22 @@
     /// Give up its call; nothing is expected of it any more.
     DropCall(RequestId),
     /// Answer it: never run, with when to come back and whether to try elsewhere meanwhile.
-    Refuse {
+    Reject {
         /// The try.
         id: RequestId,
         /// How long to keep away; zero for no advice.
-        stay_away: Micros,
+        retry_after: Micros,
         /// Asks the caller to try nowhere else.
-        give_up: bool,
+        no_retry_elsewhere: bool,
     },
     /// Answer it: failed, no promise; the advice is as with a refusal.
     Fail {
         /// The try.
         id: RequestId,
         /// How long to keep away; zero for no advice.
-        stay_away: Micros,
+        retry_after: Micros,
         /// Asks the caller to try nowhere else.
-        give_up: bool,
+        no_retry_elsewhere: bool,
     },
     /// Answer it with the result of its own run.
     Serve(RequestId, Rc<[u8]>),
@@ -390,8 +390,8 @@
         }
         if self.controller.is_none() {
             // Nothing can be run before the work is up, so nothing was.
-            let stay_away = self.settings.max_stay_away.unwrap_or_default().into();
-            self.turn_back(a.id, stay_away, out);
+            let retry_after = self.settings.max_retry_after.unwrap_or_default().into();
+            self.turn_back(a.id, retry_after, out);
             return Ok(());
         }
         let class = a.class.min(self.settings.classes.len() - 1);
@@ -407,15 +407,15 @@
             Some(Found::OtherBody) => return Err(Unfit::OtherBody),
             Some(Found::Closed(advice)) => {
                 // It can't be recorded, so it is not run: told at once, with when to come back.
-                let most = self.settings.max_stay_away.unwrap_or_default().into();
+                let most = self.settings.max_retry_after.unwrap_or_default().into();
                 self.turn_back(a.id, advice.min(most), out);
                 return Ok(());
             }
             Some(Found::Prior(id)) => Some(id),
             // The grace was over as it came.
             Some(Found::Nothing) | None if self.is_past(ingress.mono) => {
-                let stay_away = self.settings.max_stay_away.unwrap_or_default().into();
-                self.turn_back(a.id, stay_away, out);
+                let retry_after = self.settings.max_retry_after.unwrap_or_default().into();
+                self.turn_back(a.id, retry_after, out);
                 return Ok(());
             }
             // The class takes no requests any more: this one never runs.
@@ -435,13 +435,13 @@
             tenant: 0,
             key: a.subject.filter(|_| !keyed),
             deadline: a.patience.map(|_| due.time()),
-            hint: a.hint.map(Micros::span),
-            held_kb: a.held_kb,
-            rank: a.rank,
+            work_hint: a.work_hint.map(Micros::span),
+            queued_kb: a.queued_kb,
+            shed_order: a.shed_order,
             caller: a.caller,
             is_retry: a.again,
-            unread_for: a.age.span(),
-            prior,
+            read_delay: a.age.span(),
+            original,
         };
         self.pending.push(Event::Request(request));
         self.step(now, out);
@@ -455,8 +455,8 @@
     }
 
     /// Refuses a try of which the controller never hears.
-    fn turn_back(&mut self, id: RequestId, stay_away: Micros, out: &mut Vec<Verdict>) {
-        out.push(Verdict::Refuse { id, stay_away, give_up: false });
+    fn turn_back(&mut self, id: RequestId, retry_after: Micros, out: &mut Vec<Verdict>) {
+        out.push(Verdict::Reject { id, retry_after, no_retry_elsewhere: false });
         out.push(Verdict::Forget(id));
     }
 
@@ -469,11 +469,11 @@
                 self.asked = None;
             }
             Report::Ended(id, end) => self.ended(now, id, end, out),
-            Report::WantsCall(id) => self.pending.push(Event::AtCall(id)),
+            Report::WantsCall(id) => self.pending.push(Event::CallRequested(id)),
             Report::Called(id, end, lag) => self.called(id, end, lag),
             Report::CannotSkip(id) => {
                 // It would wait for a call that nobody makes.
-                self.pending.push(Event::Gone(id));
+                self.pending.push(Event::CallerGone(id));
                 self.fail(now, id, out);
             }
             Report::Aborted(id) => self.aborted(now, id, out),
@@ -551,9 +551,9 @@
         for action in actions {
             match action {
                 Action::Run(id) => self.run(now, id, out),
-                Action::Halt(id) => self.halt(now, id, out),
-                Action::Refuse { id, stay_away, give_up } => {
-                    self.turn_away(now, id, stay_away.into(), give_up, out);
+                Action::Preempt(id) => self.halt(now, id, out),
+                Action::Reject { id, retry_after, no_retry_elsewhere } => {
+                    self.turn_away(now, id, retry_after.into(), no_retry_elsewhere, out);
                 }
                 Action::Fail(id) => self.fail(now, id, out),
                 Action::SkipCall(id) => {
@@ -561,8 +561,8 @@
                         out.push(Verdict::SkipCall(id));
                     }
                 }
-                Action::Reuse(id) => self.reuse(id, out),
-                Action::Keep(id, span) => self.keep(id, now.plus(span.into()), out),
+                Action::Coalesce(id) => self.reuse(id, out),
+                Action::Remember(id, span) => self.keep(id, now.plus(span.into()), out),
                 Action::Forget(id) => self.forget(now, id, out),
                 Action::Call(id, until) => {
                     if let Some(t) = self.tries.get_mut(&id) {
@@ -570,9 +570,9 @@
                         out.push(Verdict::Call(id, Micros(until.0 / 1000).since(now.mono)));
                     }
                 }
-                Action::Announce(value) => self.capacity = Some(value),
+                Action::AnnounceCapacity(value) => self.capacity = Some(value),
                 Action::Health { good, .. } => self.good = good,
-                Action::IdleLimit(span) => out.push(Verdict::IdleLimit(span.into())),
+                Action::SetIdleTimeout(span) => out.push(Verdict::IdleLimit(span.into())),
                 Action::SetTimer(name, span) => drop(self.timers.insert((now.mono.plus(span.into()), name))),
                 Action::Log(_) => {}
             }
@@ -610,7 +610,7 @@
             Begin::Wait => t.awaits = true,
             // Guards against an effect twice, whatever was decided.
             Begin::Never => {
-                self.pending.push(Event::Done(id, Outcome::Moot));
+                self.pending.push(Event::RunEnded(id, Outcome::NeverStarted));
                 self.fail(now, id, out);
             }
         }
@@ -625,7 +625,7 @@
         let key = t.repeat_key.clone();
         let waiting = key.map(|key| self.idempotency.leave(now, &key, id).waiting);
         self.answer_waiting(waiting.unwrap_or_default(), None, out);
-        self.pending.push(Event::Done(id, Outcome::Cancelled));
+        self.pending.push(Event::RunEnded(id, Outcome::Cancelled));
         self.close(id, out);
     }
 
@@ -642,12 +642,12 @@
                     }
                 }
                 Settled::Unwritten(id, waiting, advice) => {
-                    let most = self.settings.max_stay_away.unwrap_or_default().into();
+                    let most = self.settings.max_retry_after.unwrap_or_default().into();
                     let advice = advice.min(most);
                     for id in std::iter::once(id).chain(waiting) {
                         let awaited = self.tries.get_mut(&id).is_some_and(|t| std::mem::take(&mut t.awaits));
-                        let end = if awaited { Outcome::Moot } else { Outcome::Error };
-                        self.pending.push(Event::Done(id, end));
+                        let end = if awaited { Outcome::NeverStarted } else { Outcome::Error };
+                        self.pending.push(Event::RunEnded(id, end));
                         self.turn_away(now, id, advice, false, out);
                     }
                 }
@@ -667,15 +667,15 @@
         &mut self,
         now: Moment,
         id: RequestId,
-        stay_away: Micros,
-        give_up: bool,
+        retry_after: Micros,
+        no_retry_elsewhere: bool,
         out: &mut Vec<Verdict>,
     ) {
         let ran = self.tries.get(&id).is_some_and(|t| t.ran);
         if self.settle(id) {
             out.push(match ran {
-                true => Verdict::Fail { id, stay_away, give_up },
-                false => Verdict::Refuse { id, stay_away, give_up },
+                true => Verdict::Fail { id, retry_after, no_retry_elsewhere },
+                false => Verdict::Reject { id, retry_after, no_retry_elsewhere },
             });
         }
         self.leave(now, id, out);
@@ -683,7 +683,7 @@
 
     fn fail(&mut self, now: Moment, id: RequestId, out: &mut Vec<Verdict>) {
         if self.settle(id) {
-            out.push(Verdict::Fail { id, stay_away: Micros(0), give_up: false });
+            out.push(Verdict::Fail { id, retry_after: Micros(0), no_retry_elsewhere: false });
         }
         self.leave(now, id, out);
     }
@@ -694,7 +694,7 @@
         if let (Some(key), false) = (t.repeat_key.clone(), t.running) {
             let left = self.idempotency.leave(now, &key, id);
             if std::mem::take(&mut t.awaits) || left.withdrawn {
-                self.pending.push(Event::Done(id, Outcome::Moot));
+                self.pending.push(Event::RunEnded(id, Outcome::NeverStarted));
             }
             self.answer_waiting(left.waiting, None, out);
         }
@@ -704,11 +704,11 @@
     fn answer_waiting(&mut self, ids: Vec<RequestId>, result: Option<&Rc<[u8]>>, out: &mut Vec<Verdict>) {
         for id in ids {
             let outcome = if result.is_some() { Outcome::Ok } else { Outcome::Error };
-            self.pending.push(Event::Done(id, outcome));
+            self.pending.push(Event::RunEnded(id, outcome));
             if self.settle(id) {
                 out.push(match result {
                     Some(r) => Verdict::Replay(id, r.clone()),
-                    None => Verdict::Fail { id, stay_away: Micros(0), give_up: false },
+                    None => Verdict::Fail { id, retry_after: Micros(0), no_retry_elsewhere: false },
                 });
             }
             self.close(id, out);
@@ -751,9 +751,9 @@
             RunEnd::Good(_) => Outcome::Ok,
             RunEnd::Bad => Outcome::Error,
             RunEnd::Cut => Outcome::Cancelled,
-            RunEnd::NeverRan => Outcome::Moot,
+            RunEnd::NeverRan => Outcome::NeverStarted,
         };
-        self.pending.push(Event::Done(id, outcome));
+        self.pending.push(Event::RunEnded(id, outcome));
         let result = match end {
             RunEnd::Good(result) => RunResult::Good(result),
             RunEnd::Bad | RunEnd::Cut => RunResult::None,
@@ -770,7 +770,7 @@
         if self.settle(id) {
             out.push(match result {
                 Some(result) => Verdict::Serve(id, result),
-                None => Verdict::Fail { id, stay_away: Micros(0), give_up: false },
+                None => Verdict::Fail { id, retry_after: Micros(0), no_retry_elsewhere: false },
             });
         }
         self.close(id, out);
@@ -781,18 +781,18 @@
         t.calling = false;
         let outcome = match end {
             CallEnd::Good => Outcome::Ok,
-            CallEnd::Busy => Outcome::Full,
+            CallEnd::Busy => Outcome::Overloaded,
             CallEnd::Unreachable => Outcome::Unreachable,
             CallEnd::Failed => Outcome::Error,
             CallEnd::Late => Outcome::TimedOut,
             CallEnd::Broken => Outcome::Reset,
         };
-        self.pending.push(Event::Called(id, outcome, lag.span()));
+        self.pending.push(Event::CallEnded(id, outcome, lag.span()));
     }
 
     fn aborted(&mut self, now: Moment, id: RequestId, out: &mut Vec<Verdict>) {
         if self.settle(id) {
-            self.pending.push(Event::Gone(id));
+            self.pending.push(Event::CallerGone(id));
             self.leave(now, id, out);
         }
     }
@@ -807,7 +807,7 @@
     fn fail_overdue(&mut self, now: Moment, out: &mut Vec<Verdict>) {
         while let Some((due, id)) = self.owed.first().copied().filter(|(t, _)| t.plus(OVERDUE) <= now.mono) {
             self.owed.remove(&(due, id));
-            self.pending.push(Event::Gone(id));
+            self.pending.push(Event::CallerGone(id));
             self.fail(now, id, out);
         }
     }
--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -71,15 +71,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// An answer within this time of the first try earns the full worth.
-    pub aim: Span,
+    #[serde(rename = "aim")]
+    pub latency_objective: Span,
     /// The aim grows by this multiple of the request's own work (0: not at all).
-    pub aim_stretch: f64,
+    #[serde(rename = "aim_stretch")]
+    pub objective_stretch: f64,
     /// The caller gives up after this long.
     pub deadline: Span,
     /// What a request is worth.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// Share of the worth for an answer between aim and deadline.
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub late_weight: f64,
     /// Whether a request may run again.
     pub effect: Effect,
     /// For [`Effect::Keyed`]: how long after its arrival a request may come back.
@@ -87,7 +91,8 @@
     /// Whether its requests may call the dependency.
     pub calls: bool,
     /// Share of the worth where a call was left out; 0 where leaving it out is not allowed.
-    pub skip_worth: f64,
+    #[serde(rename = "skip_worth")]
+    pub skipped_call_weight: f64,
 }
 
 /// One tenant.
@@ -101,7 +106,7 @@
 
 /// What stopping a run does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Halt {
+pub enum Preemption {
     /// Runs cannot be stopped.
     Never,
     /// The work done is lost and the request is held again.
@@ -112,7 +117,7 @@
 
 /// What callers take the announced value to mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Signal {
+pub enum BackpressureSignal {
     /// No value can be announced.
     Silent,
     /// Callers send nothing with a rank below the value.
@@ -125,7 +130,7 @@
 
 /// What lies below the workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Below {
+pub enum Downstream {
     /// Nothing.
     Nothing,
     /// One dependency that all workers share.
@@ -136,7 +141,7 @@
 
 /// Whether worth counts by request or by unit of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum WorthBy {
+pub enum WeightBy {
     /// Each request counts its class's worth.
     Request,
     /// Each unit of work counts its class's worth.
@@ -151,11 +156,14 @@
     /// Tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
     /// What traffic beyond its tenant's share is worth, as a share.
-    pub over_share_worth: f64,
+    #[serde(rename = "over_share_worth")]
+    pub over_quota_weight: f64,
     /// How worth is counted.
-    pub worth_by: WorthBy,
+    #[serde(rename = "worth_by")]
+    pub weight_by: WeightBy,
     /// Workers listed at this start.
-    pub fleet_size: u32,
+    #[serde(rename = "fleet_size")]
+    pub cluster_size: u32,
     /// Callers at this start.
     pub callers: u32,
     /// Cores of this worker.
@@ -163,43 +171,59 @@
     /// Memory, in kilobytes.
     pub memory_kb: f64,
     /// A running request's memory over a held one's.
-    pub run_factor: f64,
+    #[serde(rename = "run_factor")]
+    pub running_memory_factor: f64,
     /// Memory of one kept entry, in kilobytes.
-    pub key_kb: f64,
+    #[serde(rename = "key_kb")]
+    pub entry_kb: f64,
     /// What lies below.
-    pub below: Below,
+    #[serde(rename = "below")]
+    pub downstream: Downstream,
     /// This worker's share of the calls that the dependency survives.
-    pub calls_out: f64,
+    #[serde(rename = "calls_out")]
+    pub outbound_call_limit: f64,
     /// Span over which calls in hand are averaged.
     pub call_window: Span,
     /// How long a given-up call may stay in the dependency's hands.
-    pub call_lingers: Span,
+    #[serde(rename = "call_lingers")]
+    pub abandoned_call_duration: Span,
     /// What stopping a run does.
-    pub halt: Halt,
+    #[serde(rename = "halt")]
+    pub preemption: Preemption,
     /// What the announced value means.
-    pub signal: Signal,
+    #[serde(rename = "signal")]
+    pub backpressure_signal: BackpressureSignal,
     /// How long a caller remembers the announced value.
-    pub heeded: Span,
+    #[serde(rename = "heeded")]
+    pub signal_retention: Span,
     /// The longest advice to stay away that callers follow; `None` where it is not passed on.
-    pub max_stay_away: Option<Span>,
+    #[serde(rename = "max_stay_away")]
+    pub max_retry_after: Option<Span>,
     /// Callers close idle connections after this.
     pub caller_idle: Span,
     /// How long a read's answer may serve other requests; 0 means never.
-    pub fresh_for: Span,
+    #[serde(rename = "fresh_for")]
+    pub cache_ttl: Span,
     /// Health checks do real work unless answered from store.
-    pub full_checks: bool,
+    #[serde(rename = "full_checks")]
+    pub deep_health_checks: bool,
     /// Every caller's list of workers follows their health, a little later.
-    pub list_follows: bool,
+    #[serde(rename = "list_follows")]
+    pub list_follows_health: bool,
     /// The worker starts cold.
     pub cold: bool,
     /// Fully warm after this time or sooner.
-    pub cold_for: Span,
+    #[serde(rename = "cold_for")]
+    pub warmup_duration: Span,
     /// A cold worker starts at this share of its speed or more.
-    pub cold_share: f64,
+    #[serde(rename = "cold_share")]
+    pub cold_speed_share: f64,
     /// Span over which the crowd on the cores is averaged.
-    pub crowd_window: Span,
+    #[serde(rename = "crowd_window")]
+    pub concurrency_window: Span,
     /// Requests on the cores, for each core, that a warm worker survives.
-    pub crowd_multiple: f64,
+    #[serde(rename = "crowd_multiple")]
+    pub survivable_runs_per_core: f64,
     /// Nothing that arrives more than this after the drain notice is run.
     pub drain_grace: Span,
     /// Time past the due time in which an answer still counts.
@@ -218,23 +242,23 @@
     /// Index into [`Settings::tenants`]; 0 where there are none.
     pub tenant: usize,
     /// What it concerns, where told: the same number for the same thing.
-    pub key: Option<u64>,
+    pub resource_key: Option<u64>,
     /// When its caller stops waiting, where told.
     pub deadline: Option<Time>,
     /// Expected work on a standard core, where told.
-    pub hint: Option<Span>,
+    pub work_hint: Option<Span>,
     /// Memory while held, in kilobytes.
-    pub held_kb: f64,
+    pub queued_kb: f64,
     /// Place in the order of worth, from 0 to under 1.
-    pub rank: f64,
+    pub shed_order: f64,
     /// The number of its caller; 0 where callers are not told apart.
     pub caller: u64,
     /// Known to be a further try or a second copy.
     pub is_retry: bool,
     /// How long ago it reached the machine.
-    pub unread_for: Span,
+    pub read_delay: Span,
     /// The kept request that this one repeats.
-    pub prior: Option<RequestId>,
+    pub original: Option<RequestId>,
 }
 
 /// How a run or a call ended.
@@ -245,7 +269,7 @@
     /// It failed, perhaps after its effect.
     Error,
     /// The call was turned away unseen.
-    Full,
+    Overloaded,
     /// The call was given up; it may have had its effect.
     TimedOut,
     /// What lies below was out of reach; the call never ran.
@@ -255,7 +279,7 @@
     /// The run was stopped.
     Cancelled,
     /// Nothing started, since the request was already over.
-    Moot,
+    NeverStarted,
 }
 
 /// The worker's own gauges; those it lacks are `None`.
@@ -277,15 +301,15 @@
     /// A request was read.
     Request(Request),
     /// The caller has stopped waiting.
-    Gone(RequestId),
+    CallerGone(RequestId),
     /// The worker leaves service; its process stops at the time given.
     Drain(Time),
     /// A run or a reuse is over, or a stop took effect.
-    Done(RequestId, Outcome),
+    RunEnded(RequestId, Outcome),
     /// A running request stands at a call.
-    AtCall(RequestId),
+    CallRequested(RequestId),
     /// A call ended after this long.
-    Called(RequestId, Outcome, Span),
+    CallEnded(RequestId, Outcome, Span),
     /// A timer set earlier is due.
     Timer(u64, Gauges),
 }
@@ -296,22 +320,22 @@
     /// Start a held request or go on with a paused one.
     Run(RequestId),
     /// Stop a run.
-    Halt(RequestId),
+    Preempt(RequestId),
     /// Final answer: turned away, never run.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// How long the caller should keep away; zero for no advice.
-        stay_away: Span,
+        retry_after: Span,
         /// Asks the caller not to try elsewhere.
-        give_up: bool,
+        no_retry_elsewhere: bool,
     },
     /// Final answer: an error, with no promise.
     Fail(RequestId),
     /// Answer a held request from the run of the one it repeats.
-    Reuse(RequestId),
+    Coalesce(RequestId),
     /// Remember a request so that repeats are recognised.
-    Keep(RequestId, Span),
+    Remember(RequestId, Span),
     /// Drop a request's entry.
     Forget(RequestId),
     /// Make the call a request waits for; it is given up at the time.
@@ -319,7 +343,7 @@
     /// Go on without the call.
     SkipCall(RequestId),
     /// Set the value sent with every answer.
-    Announce(f64),
+    AnnounceCapacity(f64),
     /// What health checks hear from now on.
     Health {
         /// In service.
@@ -328,7 +352,7 @@
         shallow: bool,
     },
     /// Close connections idle for this long.
-    IdleLimit(Span),
+    SetIdleTimeout(Span),
     /// Ask for a timer after this time.
     SetTimer(u64, Span),
     /// A line for the log.
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -76,10 +76,10 @@
 pub mod classes;
 mod controller;
 pub mod engine;
+pub mod handover;
+pub mod idempotency;
 mod interface;
 pub mod log_record;
-pub mod idempotency;
-pub mod handover;
 
 pub use controller::Controller;
 pub use interface::*;
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -6,15 +6,15 @@
 
 pub fn class(effect: Effect) -> Class {
     Class {
-        aim: Span::millis(1000),
-        aim_stretch: 0.0,
+        latency_objective: Span::millis(1000),
+        objective_stretch: 0.0,
         deadline: Span::millis(3000),
-        worth: 1.0,
-        late_worth: 0.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
         effect,
         dedup_window: Span::millis(5000),
         calls: true,
-        skip_worth: 0.0,
+        skipped_call_weight: 0.0,
     }
 }
 
@@ -23,31 +23,31 @@
     Settings {
         classes: vec![class(Effect::Pure), class(Effect::Keyed), class(Effect::Unsafe)],
         tenants: vec![],
-        over_share_worth: 0.1,
-        worth_by: WorthBy::Request,
-        fleet_size: 4,
+        over_quota_weight: 0.1,
+        weight_by: WeightBy::Request,
+        cluster_size: 4,
         callers: 2,
         cores: 2,
         memory_kb: 8000.0,
-        run_factor: 8.0,
-        key_kb: 4.0,
-        below: Below::Nothing,
-        calls_out: 0.0,
+        running_memory_factor: 8.0,
+        entry_kb: 4.0,
+        downstream: Downstream::Nothing,
+        outbound_call_limit: 0.0,
         call_window: Span::millis(5000),
-        call_lingers: Span::millis(200),
-        halt: Halt::Discard,
-        signal: Signal::Silent,
-        heeded: Span::millis(1000),
-        max_stay_away: Some(Span::millis(1000)),
+        abandoned_call_duration: Span::millis(200),
+        preemption: Preemption::Discard,
+        backpressure_signal: BackpressureSignal::Silent,
+        signal_retention: Span::millis(1000),
+        max_retry_after: Some(Span::millis(1000)),
         caller_idle: Span::millis(30000),
-        fresh_for: Span(0),
-        full_checks: false,
-        list_follows: false,
+        cache_ttl: Span(0),
+        deep_health_checks: false,
+        list_follows_health: false,
         cold: false,
-        cold_for: Span::millis(10000),
-        cold_share: 0.3,
-        crowd_window: Span::millis(2000),
-        crowd_multiple: 6.0,
+        warmup_duration: Span::millis(10000),
+        cold_speed_share: 0.3,
+        concurrency_window: Span::millis(2000),
+        survivable_runs_per_core: 6.0,
         drain_grace: Span::millis(1000),
         answer_slack: Span::millis(60),
         tick: Span::millis(5),
@@ -61,13 +61,13 @@
         tenant: 0,
         key: None,
         deadline: None,
-        hint: None,
-        held_kb: 20.0,
-        rank: 0.5,
+        work_hint: None,
+        queued_kb: 20.0,
+        shed_order: 0.5,
         caller: 0,
         is_retry: false,
-        unread_for: Span(0),
-        prior: None,
+        read_delay: Span(0),
+        original: None,
     }
 }
 
@@ -81,7 +81,7 @@
     pub refused: bool,
     pub gone: bool,
     pub runs: u32,
-    pub prior: Option<RequestId>,
+    pub original: Option<RequestId>,
     pub on_cores: bool,
     pub over: bool,
     pub call_out: bool,
@@ -117,7 +117,7 @@
         for e in &events {
             match e {
                 Event::Request(r) => {
-                    let reached = now - r.unread_for;
+                    let reached = now - r.read_delay;
                     let due = r.deadline.unwrap_or(reached + self.s.classes[r.class].deadline).max(now);
                     let (class, last_call) = (r.class, None);
                     let (answers, runs) = (0, 0);
@@ -129,7 +129,7 @@
                         refused: false,
                         gone: false,
                         runs,
-                        prior: r.prior,
+                        original: r.original,
                         on_cores: false,
                         over: false,
                         call_out: false,
@@ -137,8 +137,8 @@
                     };
                     self.seen.insert(r.id, seen);
                 }
-                Event::Gone(id) => self.see(*id).gone = true,
-                Event::Done(id, outcome) => {
+                Event::CallerGone(id) => self.see(*id).gone = true,
+                Event::RunEnded(id, outcome) => {
                     let e = self.see(*id);
                     e.on_cores = false;
                     if matches!(outcome, Outcome::Ok | Outcome::Error) {
@@ -146,8 +146,8 @@
                     }
                     e.over = *outcome != Outcome::Cancelled || e.answers > 0 || e.gone;
                 }
-                Event::AtCall(id) => self.see(*id).on_cores = false,
-                Event::Called(id, outcome, _) => {
+                Event::CallRequested(id) => self.see(*id).on_cores = false,
+                Event::CallEnded(id, outcome, _) => {
                     let e = self.see(*id);
                     e.call_out = false;
                     e.last_call = Some(*outcome);
@@ -199,12 +199,12 @@
                 e.runs += 1;
                 e.on_cores = true;
                 assert!(effect == Effect::Pure || e.runs == 1, "an effect twice");
-                assert!(effect != Effect::Keyed || e.prior.is_none(), "a keyed repeat run");
+                assert!(effect != Effect::Keyed || e.original.is_none(), "a keyed repeat run");
                 if let Some(d) = drained {
                     assert!(e.reached <= d + grace, "ran what came after the grace");
                 }
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let effect = self.effect(*id);
                 let e = self.see(*id);
                 e.answers += 1;
@@ -221,24 +221,34 @@
             Action::Call(id, _) => {
                 let effect = self.effect(*id);
                 let e = self.see(*id);
-                let safe =
-                    matches!(e.last_call, None | Some(Outcome::Ok | Outcome::Full | Outcome::Unreachable));
+                let safe = matches!(
+                    e.last_call,
+                    None | Some(Outcome::Ok | Outcome::Overloaded | Outcome::Unreachable)
+                );
                 assert!(effect == Effect::Pure || safe, "a call repeated that may have run");
                 e.call_out = true;
             }
-            Action::Halt(_) => assert_ne!(self.s.halt, Halt::Never, "stopped where that is a fault"),
+            Action::Preempt(_) => {
+                assert_ne!(self.s.preemption, Preemption::Never, "stopped where that is a fault")
+            }
             Action::SkipCall(id) => {
                 let class = self.see(*id).class;
-                assert!(self.s.classes[class].skip_worth > 0.0, "left a call out where that is a fault");
+                assert!(
+                    self.s.classes[class].skipped_call_weight > 0.0,
+                    "left a call out where that is a fault"
+                );
             }
-            Action::Announce(x) => {
-                assert!(self.s.signal != Signal::Silent && *x >= 0.0, "announced where that is a fault");
+            Action::AnnounceCapacity(x) => {
+                assert!(
+                    self.s.backpressure_signal != BackpressureSignal::Silent && *x >= 0.0,
+                    "announced where that is a fault"
+                );
             }
-            Action::Reuse(_)
-            | Action::Keep(..)
+            Action::Coalesce(_)
+            | Action::Remember(..)
             | Action::Forget(_)
             | Action::Health { .. }
-            | Action::IdleLimit(_)
+            | Action::SetIdleTimeout(_)
             | Action::Log(_) => {}
         }
     }
--- a/crates/admission/tests/engine.rs
+++ b/crates/admission/tests/engine.rs
@@ -5,7 +5,7 @@
 use common::settings;
 use gaugestand_admission::engine::{Arrival, CallEnd, Engine, Micros, Report, RunEnd, Unfit, Verdict};
 use gaugestand_admission::idempotency::Moment;
-use gaugestand_admission::{Below, RequestId, Settings};
+use gaugestand_admission::{Downstream, RequestId, Settings};
 use gaugestand_idempotency::KeyTable;
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
     }
 
     fn with(change: impl FnOnce(&mut Settings)) -> Self {
-        let mut settings = Settings { below: Below::Tier, ..settings() };
+        let mut settings = Settings { downstream: Downstream::Tier, ..settings() };
         change(&mut settings);
         let engine = Engine::new(settings, 1, KeyTable::volatile()).expect("sound settings");
         let mut desk = Desk { engine, now: Micros::millis(3_600_000) };
@@ -55,9 +55,9 @@
             body: b"body",
             age: Micros::millis(age),
             ingress: self.moment().wall.since(Micros::millis(age)),
-            hint: None,
-            held_kb: 20.0,
-            rank: 0.5,
+            work_hint: None,
+            queued_kb: 20.0,
+            shed_order: 0.5,
             caller: 1,
             patience: None,
             again: false,
@@ -106,9 +106,9 @@
     // The aim is a second; the due time, two more.
     let out = desk.pass(1100);
     let fails =
-        |v: &Verdict| matches!(v, Verdict::Fail { id: RequestId(1), stay_away, .. } if stay_away.0 > 0);
+        |v: &Verdict| matches!(v, Verdict::Fail { id: RequestId(1), retry_after, .. } if retry_after.0 > 0);
     assert!(out.iter().any(fails) && out.contains(&Verdict::Stop(id(1))), "{out:?}");
-    assert!(!out.iter().any(|v| matches!(v, Verdict::Refuse { .. })), "{out:?}");
+    assert!(!out.iter().any(|v| matches!(v, Verdict::Reject { .. })), "{out:?}");
     assert_eq!(desk.engine.owed(), 0);
     assert_eq!(desk.report(Report::Ended(id(1), RunEnd::Cut)), [Verdict::Forget(id(1))]);
 }
@@ -117,7 +117,7 @@
 fn what_comes_too_late_to_be_run_is_refused_at_once() {
     let mut desk = Desk::new();
     let out = desk.pick(1, PURE, 990);
-    let refused = |v: &Verdict| matches!(v, Verdict::Refuse { stay_away, .. } if stay_away.0 > 0);
+    let refused = |v: &Verdict| matches!(v, Verdict::Reject { retry_after, .. } if retry_after.0 > 0);
     // With idle cores one run is tried; with busy ones the aim is out of reach.
     assert_eq!(out, [Verdict::Run(id(1))]);
     let out = desk.pick(2, PURE, 990);
@@ -212,7 +212,7 @@
     assert!(!desk.engine.healthy());
     desk.pass(740);
     let out = desk.pick(2, PURE, 0);
-    assert!(out.iter().any(|v| matches!(v, Verdict::Refuse { id: RequestId(2), .. })), "{out:?}");
+    assert!(out.iter().any(|v| matches!(v, Verdict::Reject { id: RequestId(2), .. })), "{out:?}");
     desk.pass(1140);
     assert!(desk.now < stop);
     assert_eq!(desk.engine.owed(), 0);
@@ -224,7 +224,7 @@
     let began = desk.now;
     let told = |a: &mut Arrival<'_>| a.patience = patience.map(Micros::millis);
     let mut out = desk.pick_try(1, PURE, age, told).expect("it is taken in");
-    while !out.iter().any(|v| matches!(v, Verdict::Refuse { .. } | Verdict::Fail { .. })) {
+    while !out.iter().any(|v| matches!(v, Verdict::Reject { .. } | Verdict::Fail { .. })) {
         out = desk.pass(4);
     }
     age + desk.now.since(began).0 / 1000
@@ -256,7 +256,7 @@
 fn a_keyed_try_whose_patience_is_spent_never_runs_and_leaves_its_key_free() {
     let mut desk = Desk::new();
     let out = desk.pick_try(1, KEYED, 500, |a| a.patience = Some(Micros::millis(400))).expect("taken in");
-    assert!(matches!(out[0], Verdict::Refuse { id: RequestId(1), .. }), "{out:?}");
+    assert!(matches!(out[0], Verdict::Reject { id: RequestId(1), .. }), "{out:?}");
     assert_eq!(desk.pick(2, KEYED, 0), [Verdict::Run(id(2))]);
 }
 
@@ -283,7 +283,7 @@
         (CallEnd::Unreachable, true),
         (CallEnd::Good, false),
     ] {
-        let mut desk = Desk::with(|s| s.classes[PURE].skip_worth = 0.3);
+        let mut desk = Desk::with(|s| s.classes[PURE].skipped_call_weight = 0.3);
         desk.pick(1, PURE, 0);
         desk.report(Report::WantsCall(id(1)));
         let out = desk.report(Report::Called(id(1), end, Micros(900)));
@@ -295,7 +295,7 @@
         assert_eq!(served, [Verdict::Serve(id(1), result()), Verdict::Forget(id(1))]);
     }
     // Where the kernel will not have it the try is failed at once, and only once.
-    let mut desk = Desk::with(|s| s.classes[PURE].skip_worth = 0.3);
+    let mut desk = Desk::with(|s| s.classes[PURE].skipped_call_weight = 0.3);
     desk.pick(1, PURE, 0);
     desk.report(Report::WantsCall(id(1)));
     desk.report(Report::Called(id(1), CallEnd::Busy, Micros(900)));
--- a/crates/admission/tests/handover.rs
+++ b/crates/admission/tests/handover.rs
@@ -4,7 +4,7 @@
 //! the death of the side that wrote them, and one key: what each process knows of it.
 
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::handover::{Event, Role, Step, Handover};
+use gaugestand_admission::handover::{Event, Handover, Role, Step};
 use stateright::{Checker, Model, Property};
 use std::collections::VecDeque;
 
--- a/crates/admission/tests/law.rs
+++ b/crates/admission/tests/law.rs
@@ -19,7 +19,7 @@
         for (id, _) in h.seen.iter().filter(|(_, e)| e.on_cores) {
             let began = *since.entry(*id).or_insert(h.now);
             if h.now - began >= Span::millis(ms) {
-                events.push(Event::Done(*id, end));
+                events.push(Event::RunEnded(*id, end));
             }
         }
         n += 1;
@@ -57,7 +57,7 @@
 /// once.
 fn steady_cap(gone: u128, ms: u64) -> f64 {
     let mut s = settings();
-    s.signal = Signal::Allowance;
+    s.backpressure_signal = BackpressureSignal::Allowance;
     s.callers = 1;
     let mut h = Host::new(s);
     h.gauges = Gauges { cpu_busy: Some(0.8), runnable: Some(2.0), ..Gauges::default() };
@@ -65,18 +65,19 @@
     for n in 1..=400u128 {
         let mut events = vec![];
         if n > 2 {
-            events.push(Event::Done(RequestId(100 * (n - 2)), Outcome::Ok));
+            events.push(Event::RunEnded(RequestId(100 * (n - 2)), Outcome::Ok));
         }
         events.push(Event::Request(request(100 * n, 0)));
         for k in 1..=gone {
             events.push(Event::Request(request(100 * n + k, 0)));
-            events.push(Event::Gone(RequestId(100 * n + k)));
+            events.push(Event::CallerGone(RequestId(100 * n + k)));
         }
         said.extend(h.step(events));
         said.extend(h.pass(ms / 2 - 5));
         h.now = h.now + Span::millis(5);
     }
-    let last = said.iter().rev().find_map(|a| if let Action::Announce(x) = a { Some(*x) } else { None });
+    let last =
+        said.iter().rev().find_map(|a| if let Action::AnnounceCapacity(x) = a { Some(*x) } else { None });
     // The part x of a caller, of which x and two of its roots are announced.
     ((last.expect("something is announced") + 1.0).sqrt() - 1.0).powi(2) / 2.0
 }
--- a/crates/admission/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -9,15 +9,15 @@
 }
 
 fn refused(out: &[Action], n: u128) -> bool {
-    out.iter().any(|a| matches!(a, Action::Refuse { id, .. } if *id == RequestId(n)))
+    out.iter().any(|a| matches!(a, Action::Reject { id, .. } if *id == RequestId(n)))
 }
 
 #[test]
 fn a_running_request_is_answered_by_its_due_time() {
-    for halt in [Halt::Never, Halt::Discard, Halt::Freeze] {
+    for halt in [Preemption::Never, Preemption::Discard, Preemption::Freeze] {
         for class in 0..3 {
             let mut s = settings();
-            s.halt = halt;
+            s.preemption = halt;
             let mut h = Host::new(s);
             assert!(h.arrive(request(1, class)).contains(&Action::Run(id(1))));
             h.pass(3060);
@@ -53,7 +53,7 @@
 fn a_request_read_after_its_due_time_is_answered_at_once() {
     let mut h = Host::new(settings());
     let mut r = request(1, 0);
-    r.unread_for = Span::millis(4000);
+    r.read_delay = Span::millis(4000);
     assert!(refused(&h.arrive(r), 1));
 }
 
@@ -63,9 +63,9 @@
     for n in 1..=3 {
         h.arrive(request(n, 0));
     }
-    let out = h.step(vec![Event::Gone(id(1)), Event::Gone(id(3))]);
-    assert!(out.contains(&Action::Halt(id(1))), "work for nobody is stopped");
-    let out = h.step(vec![Event::Done(id(1), Outcome::Cancelled)]);
+    let out = h.step(vec![Event::CallerGone(id(1)), Event::CallerGone(id(3))]);
+    assert!(out.contains(&Action::Preempt(id(1))), "work for nobody is stopped");
+    let out = h.step(vec![Event::RunEnded(id(1), Outcome::Cancelled)]);
     assert!(!out.contains(&Action::Run(id(3))) && !h.pass(50).contains(&Action::Run(id(3))));
 }
 
@@ -73,15 +73,17 @@
 fn a_keyed_repeat_is_answered_from_the_first_run() {
     let mut h = Host::new(settings());
     let mut repeat = request(2, 1);
-    repeat.prior = Some(id(1));
+    repeat.original = Some(id(1));
     let out = h.step(vec![Event::Request(request(1, 1)), Event::Request(repeat)]);
-    assert!(out.iter().any(|a| matches!(a, Action::Keep(k, w) if *k == id(1) && *w >= Span::millis(5000))));
-    assert!(out.contains(&Action::Run(id(1))) && out.contains(&Action::Reuse(id(2))));
-    h.step(vec![Event::Done(id(1), Outcome::Ok), Event::Done(id(2), Outcome::Ok)]);
+    assert!(
+        out.iter().any(|a| matches!(a, Action::Remember(k, w) if *k == id(1) && *w >= Span::millis(5000)))
+    );
+    assert!(out.contains(&Action::Run(id(1))) && out.contains(&Action::Coalesce(id(2))));
+    h.step(vec![Event::RunEnded(id(1), Outcome::Ok), Event::RunEnded(id(2), Outcome::Ok)]);
     let mut late = request(3, 1);
-    late.prior = Some(id(1));
+    late.original = Some(id(1));
     let out = h.arrive(late);
-    assert!(out.contains(&Action::Reuse(id(3))) && !out.contains(&Action::Run(id(3))));
+    assert!(out.contains(&Action::Coalesce(id(3))) && !out.contains(&Action::Run(id(3))));
 }
 
 #[test]
@@ -89,7 +91,7 @@
     let mut h = Host::new(settings());
     h.arrive(request(1, 2));
     h.pass(3000);
-    h.step(vec![Event::Done(id(1), Outcome::Cancelled)]);
+    h.step(vec![Event::RunEnded(id(1), Outcome::Cancelled)]);
     h.pass(500);
     assert_eq!((h.seen[&id(1)].runs, h.seen[&id(1)].refused), (1, false));
     h.check_due();
@@ -98,7 +100,7 @@
 #[test]
 fn an_effectful_call_is_repeated_only_after_proof_that_it_never_ran() {
     for (outcome, again) in [
-        (Outcome::Full, true),
+        (Outcome::Overloaded, true),
         (Outcome::Unreachable, true),
         (Outcome::Error, false),
         (Outcome::TimedOut, false),
@@ -106,8 +108,8 @@
     ] {
         let mut h = Host::new(settings());
         h.arrive(request(1, 2));
-        h.step(vec![Event::AtCall(id(1))]);
-        let mut out = h.step(vec![Event::Called(id(1), outcome, Span::millis(10))]);
+        h.step(vec![Event::CallRequested(id(1))]);
+        let mut out = h.step(vec![Event::CallEnded(id(1), outcome, Span::millis(10))]);
         // The repeat follows a pause.
         out.extend(h.pass(50));
         assert_eq!(out.iter().any(|a| matches!(a, Action::Call(..))), again, "{outcome:?}");
@@ -154,14 +156,14 @@
 fn the_crowd_on_the_cores_stays_below_what_the_worker_survives_even_cold() {
     let mut s = settings();
     s.cold = true;
-    s.cold_for = Span::millis(600_000);
-    s.classes[0].aim = Span::millis(20_000);
+    s.warmup_duration = Span::millis(600_000);
+    s.classes[0].latency_objective = Span::millis(20_000);
     s.classes[0].deadline = Span::millis(60_000);
     s.memory_kb = 1e6;
     let mut h = Host::new(s.clone());
     h.gauges.cpu_busy = Some(0.1);
     h.gauges.runnable = Some(0.0);
-    let survives = f64::from(s.cores) * (1.0 + (s.crowd_multiple - 1.0) * s.cold_share);
+    let survives = f64::from(s.cores) * (1.0 + (s.survivable_runs_per_core - 1.0) * s.cold_speed_share);
     for n in 1..=2000 {
         h.arrive(request(n, 0));
         h.pass(20);
@@ -172,8 +174,8 @@
 #[test]
 fn calls_stay_under_a_share_below_one() {
     let mut s = settings();
-    s.below = Below::Shared;
-    s.calls_out = 0.4;
+    s.downstream = Downstream::Shared;
+    s.outbound_call_limit = 0.4;
     let mut h = Host::new(s);
     let (mut held, mut n, mut ms) = (0u64, 0, 0u64);
     for _ in 0..400 {
@@ -181,13 +183,13 @@
         let mut events = vec![Event::Request(request(n, 0))];
         for (k, e) in &h.seen {
             if e.on_cores && e.answers == 0 {
-                events.push(Event::AtCall(*k));
+                events.push(Event::CallRequested(*k));
             }
         }
         let out: Vec<u64> = h.seen.values().filter(|e| e.call_out).map(|_| 50).collect();
         held += out.iter().sum::<u64>();
         let ended: Vec<RequestId> = h.seen.iter().filter(|(_, e)| e.call_out).map(|(k, _)| *k).collect();
-        events.extend(ended.iter().map(|k| Event::Called(*k, Outcome::Ok, Span::millis(50))));
+        events.extend(ended.iter().map(|k| Event::CallEnded(*k, Outcome::Ok, Span::millis(50))));
         h.step(events);
         h.pass(50);
         ms += 50;
@@ -207,10 +209,10 @@
     for n in 1..=30 {
         out.extend(h.arrive(request(n, 0)));
     }
-    let refusals = out.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+    let refusals = out.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
     assert!(refusals >= 24, "{refusals} refused");
     let advised = |a: &Action| match a {
-        Action::Refuse { stay_away, .. } => stay_away.0 > 0,
+        Action::Reject { retry_after, .. } => retry_after.0 > 0,
         _ => true,
     };
     assert!(out.iter().all(advised));
@@ -219,7 +221,7 @@
 #[test]
 fn a_worthy_arrival_takes_the_place_of_a_less_worthy_held_one() {
     let mut s = settings();
-    s.classes[2].worth = 10.0;
+    s.classes[2].priority_weight = 10.0;
     let mut h = Host::new(s);
     h.gauges.cpu_busy = Some(1.0);
     h.step(vec![]);
@@ -228,7 +230,7 @@
         h.arrive(request(n, 0));
     }
     let out = h.arrive(request(99, 2));
-    assert!(!refused(&out, 99) && out.iter().any(|a| matches!(a, Action::Refuse { .. })));
+    assert!(!refused(&out, 99) && out.iter().any(|a| matches!(a, Action::Reject { .. })));
 }
 
 #[test]
@@ -236,13 +238,13 @@
     let mut h = Host::new(settings());
     for n in 1..=60 {
         let mut r = request(n, 0);
-        r.hint = Some(if n % 4 == 0 { Span::millis(1) } else { Span::millis(200) });
+        r.work_hint = Some(if n % 4 == 0 { Span::millis(1) } else { Span::millis(200) });
         h.arrive(r);
         h.pass(100);
-        h.step(vec![Event::Done(id(n), Outcome::Ok)]);
+        h.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
     }
     let mut big = request(100, 0);
-    big.hint = Some(Span::millis(300));
+    big.work_hint = Some(Span::millis(300));
     h.arrive(request(99, 0));
     assert!(h.arrive(big).contains(&Action::Run(id(100))));
 }
@@ -253,14 +255,14 @@
     for n in 1..=20 {
         h.arrive(request(n, 0));
         h.pass(100);
-        h.step(vec![Event::Done(id(n), Outcome::Ok)]);
+        h.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
     }
     for n in 21..=60 {
         h.arrive(request(n, 0));
         h.pass(100);
     }
     let mut last = request(99, 0);
-    last.unread_for = Span::millis(300);
+    last.read_delay = Span::millis(300);
     assert!(refused(&h.arrive(last), 99));
 }
 
@@ -276,7 +278,7 @@
         out.extend(h.arrive(request(n, 0)));
     }
     out.extend(h.pass(100));
-    let ill = |a: &Action| matches!(a, Action::Refuse { .. } | Action::Health { good: false, .. });
+    let ill = |a: &Action| matches!(a, Action::Reject { .. } | Action::Health { good: false, .. });
     assert!(!out.iter().any(ill), "{out:?}");
     assert!(h.pass(900).contains(&Action::Health { good: false, shallow: true }), "now it hangs");
     assert!(refused(&h.arrive(request(4, 0)), 4));
@@ -285,20 +287,20 @@
 #[test]
 fn unread_backlog_closes_the_floor_and_one_prompt_read_opens_it() {
     let mut s = settings();
-    s.signal = Signal::Floor;
+    s.backpressure_signal = BackpressureSignal::Floor;
     let mut h = Host::new(s);
     h.step(vec![]);
     let mut said = vec![];
     for n in 1..=20 {
         let mut r = request(n, 0);
-        r.unread_for = Span::millis(700);
+        r.read_delay = Span::millis(700);
         h.arrive(r);
         said.extend(h.pass(20));
     }
-    assert!(said.contains(&Action::Announce(1.0)));
+    assert!(said.contains(&Action::AnnounceCapacity(1.0)));
     h.arrive(request(50, 0));
     let said = h.pass(200);
-    assert!(said.iter().any(|a| matches!(a, Action::Announce(x) if *x < 0.5)));
+    assert!(said.iter().any(|a| matches!(a, Action::AnnounceCapacity(x) if *x < 0.5)));
 }
 
 #[test]
@@ -320,7 +322,7 @@
     h.pass(40);
     for n in 1..=12 {
         h.arrive(request(n, 0));
-        h.step(vec![Event::Done(id(n), Outcome::Ok)]);
+        h.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
     }
     for n in 13..=20 {
         h.arrive(request(n, 0));
@@ -337,10 +339,10 @@
     h.pass(200);
     let mut out = vec![];
     let events = [
-        Event::Gone(id(77)),
-        Event::Done(id(78), Outcome::Ok),
-        Event::AtCall(id(79)),
-        Event::Called(id(80), Outcome::Reset, Span(1)),
+        Event::CallerGone(id(77)),
+        Event::RunEnded(id(78), Outcome::Ok),
+        Event::CallRequested(id(79)),
+        Event::CallEnded(id(80), Outcome::Reset, Span(1)),
     ];
     h.controller.step(h.now, &events, &mut out);
     assert!(out.is_empty());
@@ -353,8 +355,8 @@
         ("a thousand callers", |s| s.callers = 1000),
         ("no caller told", |s| s.callers = 0),
         ("one core", |s| s.cores = 1),
-        ("a fleet of one", |s| s.fleet_size = 1),
-        ("a tenth of a call", |s| (s.below, s.calls_out) = (Below::Shared, 0.1)),
+        ("a fleet of one", |s| s.cluster_size = 1),
+        ("a tenth of a call", |s| (s.downstream, s.outbound_call_limit) = (Downstream::Shared, 0.1)),
         ("no quota", |s| s.tenants = vec![Tenant { quota_per_s: 0.0, share: 0.0 }]),
     ];
     for (name, set) in extremes {
@@ -365,10 +367,10 @@
         for n in 1..=30 {
             assert!(h.arrive(request(n, 0)).contains(&Action::Run(id(n))), "{name}: {n} is begun at once");
             h.pass(100);
-            h.step(vec![Event::Done(id(n), Outcome::Ok)]);
+            h.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
         }
         h.arrive(request(99, 0));
-        let out = h.step(vec![Event::AtCall(id(99))]);
+        let out = h.step(vec![Event::CallRequested(id(99))]);
         assert!(out.iter().any(|a| matches!(a, Action::Call(..))), "{name}: a first call is made");
     }
 }
@@ -383,23 +385,23 @@
     assert_eq!(key(|s| s.cores = 0), "cores");
     assert_eq!(key(|s| s.classes.clear()), "classes");
     assert_eq!(key(|s| s.tick = Span(0)), "tick");
-    assert_eq!(key(|s| s.classes[1].aim = Span(0)), "classes.1");
+    assert_eq!(key(|s| s.classes[1].latency_objective = Span(0)), "classes.1");
 }
 
 /// A dependency that has become slow, with many runs standing at calls.
 fn choked(calls_of_class_2: bool) -> Host {
     let mut s = settings();
-    s.below = Below::Shared;
-    s.calls_out = 1.0;
+    s.downstream = Downstream::Shared;
+    s.outbound_call_limit = 1.0;
     s.cores = 8;
     s.classes[2].calls = calls_of_class_2;
     let mut h = Host::new(s);
     for n in 1..=7 {
         h.arrive(request(n, 0));
     }
-    h.step(vec![Event::AtCall(id(1))]);
-    h.step(vec![Event::Called(id(1), Outcome::Ok, Span::millis(400))]);
-    h.step((1..=7).map(|n| Event::AtCall(id(n))).collect());
+    h.step(vec![Event::CallRequested(id(1))]);
+    h.step(vec![Event::CallEnded(id(1), Outcome::Ok, Span::millis(400))]);
+    h.step((1..=7).map(|n| Event::CallRequested(id(n))).collect());
     h.arrive(request(8, 2));
     h
 }
@@ -432,13 +434,13 @@
                     .seen
                     .iter()
                     .filter(|(_, e)| e.on_cores)
-                    .map(|(k, _)| Event::Done(*k, Outcome::Ok))
+                    .map(|(k, _)| Event::RunEnded(*k, Outcome::Ok))
                     .collect();
                 out.extend(h.step(ended));
             }
             for a in &out {
-                if let Action::Refuse { stay_away, .. } = a {
-                    longest = longest.max(stay_away.0);
+                if let Action::Reject { retry_after, .. } = a {
+                    longest = longest.max(retry_after.0);
                 }
             }
         }
@@ -456,14 +458,14 @@
     let mut said = None;
     for n in 1..=100 {
         let mut r = request(n, 0);
-        r.unread_for = Span::millis(unread);
+        r.read_delay = Span::millis(unread);
         h.arrive(r);
         for a in h.pass(100) {
-            if let Action::IdleLimit(span) = a {
+            if let Action::SetIdleTimeout(span) = a {
                 said = Some(span);
             }
         }
-        h.step(vec![Event::Done(id(n), Outcome::Ok)]);
+        h.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
     }
     said
 }
@@ -478,7 +480,7 @@
 #[test]
 fn scatter_within_a_small_quota_is_not_taken_for_excess() {
     let mut s = settings();
-    s.fleet_size = 300;
+    s.cluster_size = 300;
     s.tenants = vec![Tenant { quota_per_s: 300.0, share: 0.7 }, Tenant { quota_per_s: 150.0, share: 0.3 }];
     let mut h = beyond_its_share(s);
     let small = |n| Request { tenant: 1, ..request(n, 0) };
@@ -492,7 +494,7 @@
     h.arrive(request(1, 1));
     h.step(vec![Event::Drain(h.now + Span::millis(500))]);
     h.pass(490);
-    h.arrive(Request { prior: Some(id(1)), ..request(2, 1) });
+    h.arrive(Request { original: Some(id(1)), ..request(2, 1) });
     assert_eq!(h.seen[&id(2)].answers, 1);
 }
 
@@ -504,13 +506,13 @@
     h.step(vec![]);
     for n in 1..=13 {
         h.arrive(request(n, 0));
-        h.step(vec![Event::Done(id(n), Outcome::Ok)]);
+        h.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
     }
     h.gauges.cpu_busy = Some(1.0);
     h.pass(1500);
     let other = |n| Request { tenant: 1, ..request(n, 0) };
     h.arrive(other(19));
-    h.step(vec![Event::Done(id(19), Outcome::Ok)]);
+    h.step(vec![Event::RunEnded(id(19), Outcome::Ok)]);
     h.arrive(other(20));
     h.arrive(other(21));
     h.arrive(request(22, 0));
@@ -529,7 +531,7 @@
     h.arrive(request(1, 0));
     h.arrive(request(2, 0));
     assert_eq!(h.on_cores(), 1, "a run takes 160 of 300 kB");
-    let out = h.step(vec![Event::Done(id(1), Outcome::Ok)]);
+    let out = h.step(vec![Event::RunEnded(id(1), Outcome::Ok)]);
     assert!(out.contains(&Action::Run(id(2))));
 }
 
@@ -548,15 +550,15 @@
 #[test]
 fn a_call_given_up_with_its_request_still_counts_against_the_dependency() {
     let mut s = settings();
-    s.below = Below::Shared;
-    s.calls_out = 1.0;
+    s.downstream = Downstream::Shared;
+    s.outbound_call_limit = 1.0;
     let mut h = Host::new(s);
     let calls = |out: &[Action]| out.iter().any(|a| matches!(a, Action::Call(..)));
     h.arrive(request(1, 0));
     h.arrive(request(2, 0));
-    assert!(calls(&h.step(vec![Event::AtCall(id(1))])));
-    h.step(vec![Event::Gone(id(1)), Event::Done(id(1), Outcome::Cancelled)]);
-    assert!(!calls(&h.step(vec![Event::AtCall(id(2))])), "the first may still be in its hands");
+    assert!(calls(&h.step(vec![Event::CallRequested(id(1))])));
+    h.step(vec![Event::CallerGone(id(1)), Event::RunEnded(id(1), Outcome::Cancelled)]);
+    assert!(!calls(&h.step(vec![Event::CallRequested(id(2))])), "the first may still be in its hands");
     assert!(calls(&h.pass(250)));
 }
 
@@ -571,7 +573,7 @@
     for n in 1..=6 {
         out.extend(h.arrive(request(n, 0)));
     }
-    assert!(!out.iter().any(|a| matches!(a, Action::Refuse { .. })));
+    assert!(!out.iter().any(|a| matches!(a, Action::Reject { .. })));
 }
 
 #[test]
@@ -580,14 +582,14 @@
     for n in 1..=60 {
         h.arrive(request(n, 0));
         h.pass(300);
-        h.step(vec![Event::Done(id(n), Outcome::Ok)]);
+        h.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
     }
     h.arrive(request(97, 0));
     let mut r = request(98, 0);
-    r.unread_for = Span::millis(760);
+    r.read_delay = Span::millis(760);
     assert!(refused(&h.arrive(r.clone()), 98), "less than a mean run is left");
     r.id = id(99);
-    r.unread_for = Span::millis(200);
+    r.read_delay = Span::millis(200);
     assert!(h.arrive(r).contains(&Action::Run(id(99))));
 }
 
@@ -600,7 +602,7 @@
     h.pass(40);
     let asks = |out: &[Action]| -> Vec<bool> {
         let asked = out.iter().map(|a| match a {
-            Action::Refuse { give_up, .. } => Some(*give_up),
+            Action::Reject { no_retry_elsewhere, .. } => Some(*no_retry_elsewhere),
             _ => None,
         });
         asked.flatten().collect()
@@ -617,30 +619,30 @@
 #[test]
 fn a_swamped_worker_that_nobody_calls_any_more_comes_back() {
     let mut s = settings();
-    s.signal = Signal::Allowance;
+    s.backpressure_signal = BackpressureSignal::Allowance;
     let mut h = Host::new(s);
     h.gauges.runnable = Some(5.0);
     h.step(vec![]);
     let mut said = vec![];
     for n in 1..=20 {
         let mut r = request(n, 0);
-        r.unread_for = Span::millis(900);
+        r.read_delay = Span::millis(900);
         said.extend(h.arrive(r));
         said.extend(h.pass(20));
     }
     let off = Action::Health { good: false, shallow: true };
-    assert!(said.contains(&off) && said.contains(&Action::Announce(0.0)));
+    assert!(said.contains(&off) && said.contains(&Action::AnnounceCapacity(0.0)));
     h.gauges.runnable = Some(0.0);
     let said = h.pass(1000);
     assert!(said.contains(&Action::Health { good: true, shallow: true }));
-    assert!(said.iter().any(|a| matches!(a, Action::Announce(x) if *x > 0.5)));
+    assert!(said.iter().any(|a| matches!(a, Action::AnnounceCapacity(x) if *x > 0.5)));
 }
 
 /// Whether a worker that reads everything 0.9 s late goes off a list that follows health, at this quota; then
 /// whether it does on a drain.
 fn leaves_the_list(quota_per_s: f64) -> (bool, bool) {
     let mut s = settings();
-    s.list_follows = true;
+    s.list_follows_health = true;
     s.tenants = vec![Tenant { quota_per_s, share: 1.0 }];
     let mut h = Host::new(s);
     h.gauges.runnable = Some(5.0);
@@ -648,7 +650,7 @@
     let mut said = vec![];
     for n in 1..=40 {
         let mut r = request(n, 0);
-        r.unread_for = Span::millis(900);
+        r.read_delay = Span::millis(900);
         said.extend(h.arrive(r));
         said.extend(h.pass(50));
     }
@@ -674,7 +676,7 @@
     for n in 1..=20 {
         h.arrive(request(n, 0));
         h.pass(600);
-        h.step(vec![Event::Done(id(n), Outcome::Ok)]);
+        h.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
     }
     // Two run, for 0.6 s; of four in line the last would start after more than its aim of a second.
     let turned: Vec<bool> = (21..=26).map(|n| refused(&h.arrive(request(n, 0)), n)).collect();
@@ -684,9 +686,9 @@
 /// The lowest allowance announced while each of the callers has one request in hand.
 fn allowance(all: u32, senders: u64) -> f64 {
     let mut s = settings();
-    s.signal = Signal::Allowance;
+    s.backpressure_signal = BackpressureSignal::Allowance;
     s.callers = all;
-    s.classes[0].aim = Span::millis(10_000);
+    s.classes[0].latency_objective = Span::millis(10_000);
     s.classes[0].deadline = Span::millis(30_000);
     let mut h = Host::new(s);
     let mut lowest = f64::INFINITY;
@@ -697,9 +699,9 @@
         h.gauges.runnable = Some(h.on_cores() as f64);
         out.extend(h.pass(150));
         let running: Vec<RequestId> = h.seen.iter().filter(|(_, e)| e.on_cores).map(|(k, _)| *k).collect();
-        out.extend(h.step(running.iter().map(|k| Event::Done(*k, Outcome::Ok)).collect()));
+        out.extend(h.step(running.iter().map(|k| Event::RunEnded(*k, Outcome::Ok)).collect()));
         for a in out {
-            if let Action::Announce(x) = a {
+            if let Action::AnnounceCapacity(x) = a {
                 lowest = lowest.min(x);
             }
         }
@@ -720,7 +722,7 @@
 #[test]
 fn an_allowance_has_room_for_scatter_while_the_cores_have_time_or_the_hold_has_places() {
     for (busy, held, least, most) in [(0.5, 0, 8.0, 8.0), (1.0, 0, 8.0, 8.0), (1.0, 2, 4.1, 7.0)] {
-        let mut h = Host::new(Settings { signal: Signal::Allowance, ..settings() });
+        let mut h = Host::new(Settings { backpressure_signal: BackpressureSignal::Allowance, ..settings() });
         h.gauges = Gauges { cpu_busy: Some(busy), runnable: Some(2.0), ..Gauges::default() };
         h.pass(20);
         let taken = if held > 0 { held + 2 } else { 0 };
@@ -728,7 +730,7 @@
             assert!(!refused(&h.arrive(request(n, 0)), n));
         }
         let mut said = h.pass(150).into_iter().filter_map(|a| match a {
-            Action::Announce(x) => Some(x),
+            Action::AnnounceCapacity(x) => Some(x),
             _ => None,
         });
         // Twice the cap, which is the two cores, for the one caller that there may be; and two deviations.
@@ -741,12 +743,12 @@
 /// comes is still run, so that nobody need be told to keep it away.
 #[test]
 fn a_worker_that_leaves_offers_its_room_until_the_grace_is_over() {
-    let mut h = Host::new(Settings { signal: Signal::Allowance, ..settings() });
+    let mut h = Host::new(Settings { backpressure_signal: BackpressureSignal::Allowance, ..settings() });
     h.gauges = Gauges { cpu_busy: Some(0.5), runnable: Some(1.0), ..Gauges::default() };
     h.pass(400);
     let out = h.step(vec![Event::Drain(h.now + Span::millis(4000))]);
     assert!(out.contains(&Action::Health { good: false, shallow: true }));
-    let nothing_left = |out: &[Action]| out.contains(&Action::Announce(0.0));
+    let nothing_left = |out: &[Action]| out.contains(&Action::AnnounceCapacity(0.0));
     assert!(!nothing_left(&out) && !nothing_left(&h.pass(800)));
     assert!(h.arrive(request(1, 0)).contains(&Action::Run(id(1))));
     assert!(nothing_left(&h.pass(600)));
@@ -755,10 +757,10 @@
 #[test]
 fn a_run_that_cannot_be_stopped_is_answered_at_its_aim() {
     let mut s = settings();
-    s.halt = Halt::Never;
+    s.preemption = Preemption::Never;
     let mut h = Host::new(s);
     assert!(h.arrive(request(1, 0)).contains(&Action::Run(id(1))));
-    let answered = |out: &[Action]| out.iter().any(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)));
+    let answered = |out: &[Action]| out.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)));
     assert!(!answered(&h.pass(960)));
     assert!(answered(&h.pass(60)));
 }
@@ -768,8 +770,8 @@
     let mut h = Host::new(settings());
     h.arrive(request(1, 1));
     let mut r = request(2, 1);
-    r.prior = Some(id(1));
-    assert!(h.arrive(r).contains(&Action::Reuse(id(2))));
+    r.original = Some(id(1));
+    assert!(h.arrive(r).contains(&Action::Coalesce(id(2))));
     assert!(h.pass(1020).contains(&Action::Fail(id(2))));
 }
 
@@ -777,7 +779,7 @@
 fn late_worth_keeps_a_request_only_while_cores_are_free() {
     for (busy, kept) in [(0.2, true), (1.0, false)] {
         let mut s = settings();
-        s.classes[0].late_worth = 0.2;
+        s.classes[0].late_weight = 0.2;
         let mut h = Host::new(s);
         h.gauges.cpu_busy = Some(busy);
         h.gauges.runnable = Some(2.0);
@@ -811,10 +813,10 @@
 /// are quick for a while and then each hangs until it is given up, and a while longer.
 fn highest_call_load(share: f64) -> (f64, usize) {
     let mut s = settings();
-    (s.below, s.calls_out) = (Below::Shared, share);
-    s.classes[0].aim = Span::millis(3000);
+    (s.downstream, s.outbound_call_limit) = (Downstream::Shared, share);
+    s.classes[0].latency_objective = Span::millis(3000);
     s.classes[0].deadline = Span::millis(9000);
-    let (window, lingers) = (s.call_window, s.call_lingers);
+    let (window, lingers) = (s.call_window, s.abandoned_call_duration);
     let mut h = Host::new(s);
     h.gauges = Gauges { cpu_busy: Some(0.1), runnable: Some(0.0), ..Gauges::default() };
     let (mut out, mut gone): (Vec<(RequestId, Time, Time)>, Vec<Time>) = (vec![], vec![]);
@@ -826,7 +828,7 @@
             .seen
             .iter()
             .filter(|(_, e)| e.on_cores && e.last_call.is_none())
-            .map(|(k, _)| Event::AtCall(*k))
+            .map(|(k, _)| Event::CallRequested(*k))
             .collect();
         let now = h.now;
         for (id, began, until) in out.extract_if(.., |c| c.2 <= now || quick && c.1 + Span::millis(20) <= now)
@@ -836,7 +838,7 @@
                 gone.push(now + lingers);
             }
             if h.seen[&id].answers == 0 {
-                events.push(Event::Called(id, outcome, now - began));
+                events.push(Event::CallEnded(id, outcome, now - began));
             }
         }
         let ended: Vec<RequestId> = h
@@ -845,7 +847,7 @@
             .filter(|(_, e)| e.on_cores && e.last_call == Some(Outcome::Ok))
             .map(|(k, _)| *k)
             .collect();
-        events.extend(ended.iter().map(|k| Event::Done(*k, Outcome::Ok)));
+        events.extend(ended.iter().map(|k| Event::RunEnded(*k, Outcome::Ok)));
         if n % 20 == 0 {
             events.push(Event::Request(request(n, 0)));
         }
@@ -880,22 +882,22 @@
 #[test]
 fn the_wait_for_a_call_counts_with_the_mean_that_is_allowed_not_the_most_at_once() {
     let mut s = settings();
-    (s.below, s.calls_out) = (Below::Shared, 0.5);
-    s.halt = Halt::Never;
-    s.classes[0].aim = Span::millis(4000);
+    (s.downstream, s.outbound_call_limit) = (Downstream::Shared, 0.5);
+    s.preemption = Preemption::Never;
+    s.classes[0].latency_objective = Span::millis(4000);
     s.classes[0].deadline = Span::millis(9000);
     let mut h = Host::new(s);
     h.gauges = Gauges { cpu_busy: Some(0.1), runnable: Some(0.0), ..Gauges::default() };
     for n in 1..=10 {
         h.arrive(request(n, 0));
         h.pass(50);
-        h.step(vec![Event::AtCall(id(n)), Event::Called(id(n), Outcome::Ok, Span::millis(500))]);
-        h.step(vec![Event::Done(id(n), Outcome::Ok)]);
+        h.step(vec![Event::CallRequested(id(n)), Event::CallEnded(id(n), Outcome::Ok, Span::millis(500))]);
+        h.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
     }
     // Three wait; at a quarter of a call in hand, of half a second each, a fourth waits for over six seconds.
     for n in 11..=14 {
         h.arrive(request(n, 0));
-        h.step(vec![Event::AtCall(id(n))]);
+        h.step(vec![Event::CallRequested(id(n))]);
     }
     assert!(refused(&h.arrive(request(15, 0)), 15));
 }
@@ -903,7 +905,7 @@
 /// A worker where one answer serves other reads of the same key, both cores taken and a line of four.
 fn crowded_with_reads() -> (Host, Request) {
     let mut s = settings();
-    s.fresh_for = Span::millis(600);
+    s.cache_ttl = Span::millis(600);
     s.callers = 10;
     let mut h = Host::new(s);
     h.gauges = Gauges { cpu_busy: Some(1.0), runnable: Some(4.0), ..Gauges::default() };
@@ -931,19 +933,19 @@
 fn a_read_that_others_wait_for_is_not_stopped_when_its_own_time_is_over() {
     for waited in [false, true] {
         let mut s = settings();
-        s.fresh_for = Span::millis(600);
+        s.cache_ttl = Span::millis(600);
         let mut h = Host::new(s);
         let mut r = request(1, 0);
         r.key = Some(7);
         assert!(h.arrive(r.clone()).contains(&Action::Run(id(1))));
         h.pass(500);
         if waited {
-            (r.id, r.prior) = (id(2), Some(id(1)));
-            assert!(h.arrive(r).contains(&Action::Reuse(id(2))));
+            (r.id, r.original) = (id(2), Some(id(1)));
+            assert!(h.arrive(r).contains(&Action::Coalesce(id(2))));
         }
         let out = h.pass(520);
         assert!(refused(&out, 1));
-        assert_eq!(out.contains(&Action::Halt(id(1))), !waited);
+        assert_eq!(out.contains(&Action::Preempt(id(1))), !waited);
     }
 }
 
@@ -951,14 +953,14 @@
 fn repeats_that_wait_for_a_hung_run_do_not_fill_the_memory() {
     for class in [0, 1] {
         let mut s = settings();
-        (s.memory_kb, s.fresh_for) = (1000.0, Span::millis(600));
-        s.classes[class].aim = Span::millis(3000);
+        (s.memory_kb, s.cache_ttl) = (1000.0, Span::millis(600));
+        s.classes[class].latency_objective = Span::millis(3000);
         let mut h = Host::new(s);
         let mut first = request(1, class);
         first.key = Some(1);
         assert!(h.arrive(first.clone()).contains(&Action::Run(id(1))));
         for n in 2..=100 {
-            (first.id, first.prior) = (id(n), Some(id(1)));
+            (first.id, first.original) = (id(n), Some(id(1)));
             h.arrive(first.clone());
             let open = h.seen.values().filter(|e| e.answers == 0 && !e.on_cores).count();
             assert!(open as f64 * 20.0 + 160.0 <= 1000.0, "{open} wait");
@@ -970,7 +972,7 @@
 #[test]
 fn keyed_requests_with_a_long_window_fill_neither_memory_nor_run_unkept() {
     let mut s = settings();
-    (s.memory_kb, s.run_factor, s.key_kb) = (1000.0, 16.0, 10.0);
+    (s.memory_kb, s.running_memory_factor, s.entry_kb) = (1000.0, 16.0, 10.0);
     s.classes[1].dedup_window = Span::millis(32_000);
     let mut h = Host::new(s);
     let mut kept: Vec<(RequestId, Time)> = vec![];
@@ -978,12 +980,12 @@
     for n in 1..=600u128 {
         let mut events = vec![];
         for (k, _) in h.seen.iter().filter(|(_, e)| e.on_cores) {
-            events.push(Event::Done(*k, if n % 2 == 0 { Outcome::Ok } else { Outcome::Error }));
+            events.push(Event::RunEnded(*k, if n % 2 == 0 { Outcome::Ok } else { Outcome::Error }));
         }
         // A burst of three, one of them a second try in the same batch.
         for k in 0..3 {
             let mut r = request(10 * n + k, 1);
-            r.prior = (k == 2).then(|| id(10 * n));
+            r.original = (k == 2).then(|| id(10 * n));
             events.push(Event::Request(r));
         }
         let now = h.now;
@@ -991,7 +993,7 @@
         out.extend(h.pass(100));
         for a in out {
             match a {
-                Action::Keep(k, span) => kept.push((k, now + span)),
+                Action::Remember(k, span) => kept.push((k, now + span)),
                 Action::Forget(k) => kept.retain(|e| e.0 != k),
                 Action::Run(k) => {
                     runs += 1;
@@ -1013,16 +1015,16 @@
 /// thousands of calls in seconds.
 #[test]
 fn a_call_that_came_to_nothing_is_made_again_after_a_pause_that_grows() {
-    let mut host = Host::new(Settings { below: Below::Tier, ..settings() });
+    let mut host = Host::new(Settings { downstream: Downstream::Tier, ..settings() });
     host.arrive(request(1, 0));
     let mut made = 0;
     let called = |out: Vec<Action>| out.iter().any(|a| matches!(a, Action::Call(RequestId(1), _)));
-    let mut waits = called(host.step(vec![Event::AtCall(RequestId(1))]));
+    let mut waits = called(host.step(vec![Event::CallRequested(RequestId(1))]));
     assert!(waits, "the first call is made at once");
     for _ in 0..100 {
         if std::mem::take(&mut waits) {
             made += 1;
-            let refused = Event::Called(RequestId(1), Outcome::Unreachable, Span(0));
+            let refused = Event::CallEnded(RequestId(1), Outcome::Unreachable, Span(0));
             assert!(!called(host.step(vec![refused])), "made again at once");
         }
         waits = called(host.pass(5));
@@ -1033,7 +1035,7 @@
 /// Guards against a reply that never comes: a call that may be made again gave all its time to wait for it.
 #[test]
 fn a_call_that_may_be_made_again_waits_a_few_mean_calls_and_twice_as_long_the_next_time() {
-    let mut host = Host::new(Settings { below: Below::Tier, ..settings() });
+    let mut host = Host::new(Settings { downstream: Downstream::Tier, ..settings() });
     let wait = |host: &mut Host, event| {
         let now = host.now;
         let until = |a: &Action| match a {
@@ -1042,31 +1044,34 @@
         };
         host.step(vec![event]).iter().find_map(until).expect("a call is made")
     };
-    let (aim, few) = (Span::millis(1000), Span::millis(80));
+    let (latency_objective, few) = (Span::millis(1000), Span::millis(80));
     host.arrive(request(1, 0));
-    assert_eq!(wait(&mut host, Event::AtCall(id(1))), aim, "nothing is known yet");
-    host.step(vec![Event::Called(id(1), Outcome::Ok, Span::millis(10)), Event::Done(id(1), Outcome::Ok)]);
+    assert_eq!(wait(&mut host, Event::CallRequested(id(1))), latency_objective, "nothing is known yet");
+    host.step(vec![
+        Event::CallEnded(id(1), Outcome::Ok, Span::millis(10)),
+        Event::RunEnded(id(1), Outcome::Ok),
+    ]);
     host.arrive(request(2, 0));
-    assert_eq!(wait(&mut host, Event::AtCall(id(2))), few);
-    host.step(vec![Event::Called(id(2), Outcome::TimedOut, Span::millis(10))]);
+    assert_eq!(wait(&mut host, Event::CallRequested(id(2))), few);
+    host.step(vec![Event::CallEnded(id(2), Outcome::TimedOut, Span::millis(10))]);
     let again = host.pass(40).into_iter().find_map(|a| match a {
         Action::Call(_, until) => Some(until),
         _ => None,
     });
     assert!(again.expect("made again") - host.now > few, "{again:?}");
     host.arrive(request(3, 1));
-    assert!(wait(&mut host, Event::AtCall(id(3))) > few, "a keyed one is made once");
+    assert!(wait(&mut host, Event::CallRequested(id(3))) > few, "a keyed one is made once");
 }
 
 /// A tier below whose calls have taken 0.6 s of late, and a run that stands at one that is out.
 fn slow_below() -> Host {
     let mut s = settings();
-    (s.below, s.cores) = (Below::Tier, 8);
+    (s.downstream, s.cores) = (Downstream::Tier, 8);
     let mut h = Host::new(s);
     h.arrive(request(1, 1));
-    h.step(vec![Event::AtCall(id(1))]);
-    h.step(vec![Event::Called(id(1), Outcome::Ok, Span::millis(600))]);
-    h.step(vec![Event::AtCall(id(1))]);
+    h.step(vec![Event::CallRequested(id(1))]);
+    h.step(vec![Event::CallEnded(id(1), Outcome::Ok, Span::millis(600))]);
+    h.step(vec![Event::CallRequested(id(1))]);
     h
 }
 
@@ -1074,11 +1079,11 @@
 #[test]
 fn what_could_not_have_its_reply_in_time_is_refused_before_it_runs() {
     let mut h = slow_below();
-    let late = |n| Request { unread_for: Span::millis(350), ..request(n, 1) };
+    let late = |n| Request { read_delay: Span::millis(350), ..request(n, 1) };
     assert!(h.arrive(request(2, 1)).contains(&Action::Run(id(2))), "all of its aim is left");
     assert!(refused(&h.arrive(late(3)), 3));
     // With no call out one is tried: it shows when they are quick again.
-    h.step(vec![Event::Called(id(1), Outcome::Ok, Span::millis(600))]);
+    h.step(vec![Event::CallEnded(id(1), Outcome::Ok, Span::millis(600))]);
     assert!(h.arrive(late(4)).contains(&Action::Run(id(4))));
 }
 
@@ -1090,8 +1095,8 @@
     h.arrive(request(2, 0));
     h.arrive(request(3, 0));
     h.pass(600);
-    assert!(calls(&h.step(vec![Event::AtCall(id(2))])), "some calls are quicker than the mean");
+    assert!(calls(&h.step(vec![Event::CallRequested(id(2))])), "some calls are quicker than the mean");
     h.pass(150);
-    let out = h.step(vec![Event::AtCall(id(3))]);
+    let out = h.step(vec![Event::CallRequested(id(3))]);
     assert!(!calls(&out) && h.seen[&id(3)].answers == 1, "{out:?}");
 }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -9,8 +9,8 @@
 pub mod consensus;
 pub mod diff;
 pub mod lease;
-pub mod version_gate;
-pub mod members;
 pub mod log_storage;
+pub mod members;
 pub mod validation;
+pub mod version_gate;
 pub mod wire;
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -8,11 +8,11 @@
 #![forbid(unsafe_code)]
 
 pub mod consensus_log;
-pub mod table;
 pub mod postgres;
 pub mod remote;
 pub mod row;
 pub mod sqlite;
+pub mod table;
 pub mod worker;
 
 pub use table::{Breaker, Copy, Figures, KeyTable, Limits};
--- a/crates/idempotency/src/postgres.rs
+++ b/crates/idempotency/src/postgres.rs
@@ -53,7 +53,8 @@
 WHERE excluded.stamp > gaugestand_idempotency.stamp \
 OR excluded.stamp = gaugestand_idempotency.stamp AND gaugestand_idempotency.state = 0";
     /// Removes a row: node, key, its latest stamp.
-    pub const REMOVE: &str = "DELETE FROM gaugestand_idempotency WHERE node = $1 AND key = $2 AND stamp <= $3";
+    pub const REMOVE: &str =
+        "DELETE FROM gaugestand_idempotency WHERE node = $1 AND key = $2 AND stamp <= $3";
     /// The row of a key: node, key.
     pub const ASK: &str = "SELECT key, holder, print, ran, until, stamp, state, result FROM gaugestand_idempotency \
 WHERE node = $1 AND key = $2";
--- a/crates/idempotency/tests/consensus_log.rs
+++ b/crates/idempotency/tests/consensus_log.rs
@@ -38,14 +38,20 @@
 
 fn page(from: u64, to: u64) -> LogRecord {
     let put = (from..=to).map(|at| (at, format!("entry {at}").into_bytes())).collect();
-    LogRecord { state: Some(format!("state {to}").into_bytes()), cut: Some(from), put, ..LogRecord::default() }
+    LogRecord {
+        state: Some(format!("state {to}").into_bytes()),
+        cut: Some(from),
+        put,
+        ..LogRecord::default()
+    }
 }
 
 #[test]
 fn what_is_written_is_found_in_the_next_life() {
     let place = Place::new("found");
     for life in 1..=3 {
-        let (mut consensus_log, found) = ConsensusLog::open(&place.file(), OWNER, &Options::default()).expect("opened");
+        let (mut consensus_log, found) =
+            ConsensusLog::open(&place.file(), OWNER, &Options::default()).expect("opened");
         assert_eq!(found.life, life);
         assert!(ConsensusLog::open(&place.file(), OWNER, &Options::default()).is_err(), "it has one writer");
         if life == 1 {
@@ -78,7 +84,8 @@
     ];
     for (i, (sql, why)) in cases.into_iter().enumerate() {
         let place = Place::new(&format!("case{i}"));
-        let (mut consensus_log, _) = ConsensusLog::open(&place.file(), OWNER, &Options::default()).expect("opened");
+        let (mut consensus_log, _) =
+            ConsensusLog::open(&place.file(), OWNER, &Options::default()).expect("opened");
         assert_eq!(consensus_log.write(&page(1, 3)), Outcome::Done);
         drop(consensus_log);
         place.change(sql);
@@ -90,7 +97,8 @@
     // A store of record is none, nor is a log a store of record.
     let place = Place::new("store");
     drop(Sqlite::open(&place.file(), &Options::default()).expect("a store"));
-    let told = ConsensusLog::open(&place.file(), OWNER, &Options::default()).map(|_| ()).expect_err("another file");
+    let told =
+        ConsensusLog::open(&place.file(), OWNER, &Options::default()).map(|_| ()).expect_err("another file");
     assert!(told.contains("is a file of another program"), "{told}");
 }
 
@@ -103,7 +111,10 @@
     let done = (1..100).take_while(|at| consensus_log.write(&big(*at)) == Outcome::Done).count() as u64;
     assert!((2..60).contains(&done), "{done} pages");
     // Room again: what failed is made again, in its order.
-    assert_eq!(consensus_log.write(&LogRecord { forget: Some(done / 2), ..LogRecord::default() }), Outcome::Done);
+    assert_eq!(
+        consensus_log.write(&LogRecord { forget: Some(done / 2), ..LogRecord::default() }),
+        Outcome::Done
+    );
     assert_eq!(consensus_log.write(&big(done + 1)), Outcome::Done);
     drop(consensus_log);
     let (_, found) = ConsensusLog::open(&place.file(), OWNER, &small).expect("opened");
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -5,7 +5,9 @@
 
 use gaugestand_admission::engine::{Arrival, Engine, Micros, Report, RunEnd, Verdict};
 use gaugestand_admission::idempotency::Moment;
-use gaugestand_admission::{Below, Class, Effect, Halt, RequestId, Settings, Signal, Span, WorthBy};
+use gaugestand_admission::{
+    BackpressureSignal, Class, Downstream, Effect, Preemption, RequestId, Settings, Span, WeightBy,
+};
 use gaugestand_idempotency::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
 use gaugestand_idempotency::{KeyTable, Limits};
 use stateright::{Checker, Model, Property};
@@ -60,44 +62,44 @@
 
 fn settings() -> Settings {
     let class = Class {
-        aim: Span::millis(1_500),
-        aim_stretch: 0.0,
+        latency_objective: Span::millis(1_500),
+        objective_stretch: 0.0,
         deadline: Span::millis(2_000),
-        worth: 1.0,
-        late_worth: 0.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
         effect: Effect::Keyed,
         dedup_window: Span::millis(29_220),
         calls: false,
-        skip_worth: 0.0,
+        skipped_call_weight: 0.0,
     };
     Settings {
         classes: vec![class],
         tenants: vec![],
-        over_share_worth: 1.0,
-        worth_by: WorthBy::Request,
-        fleet_size: 1,
+        over_quota_weight: 1.0,
+        weight_by: WeightBy::Request,
+        cluster_size: 1,
         callers: 1,
         cores: 4,
         memory_kb: 65536.0,
-        run_factor: 8.0,
-        key_kb: 1.0,
-        below: Below::Nothing,
-        calls_out: 0.0,
+        running_memory_factor: 8.0,
+        entry_kb: 1.0,
+        downstream: Downstream::Nothing,
+        outbound_call_limit: 0.0,
         call_window: Span::millis(5000),
-        call_lingers: Span(0),
-        halt: Halt::Discard,
-        signal: Signal::Silent,
-        heeded: Span(0),
-        max_stay_away: Some(Span::millis(1000)),
+        abandoned_call_duration: Span(0),
+        preemption: Preemption::Discard,
+        backpressure_signal: BackpressureSignal::Silent,
+        signal_retention: Span(0),
+        max_retry_after: Some(Span::millis(1000)),
         caller_idle: Span::millis(30000),
-        fresh_for: Span(0),
-        full_checks: false,
-        list_follows: false,
+        cache_ttl: Span(0),
+        deep_health_checks: false,
+        list_follows_health: false,
         cold: false,
-        cold_for: Span::millis(10000),
-        cold_share: 0.3,
-        crowd_window: Span::millis(3000),
-        crowd_multiple: 8.0,
+        warmup_duration: Span::millis(10000),
+        cold_speed_share: 0.3,
+        concurrency_window: Span::millis(3000),
+        survivable_runs_per_core: 8.0,
         drain_grace: Span::millis(2000),
         answer_slack: Span::millis(60),
         tick: Span::millis(5),
@@ -155,9 +157,9 @@
                     body: b"body",
                     age: Micros(0),
                     ingress: self.now.wall,
-                    hint: None,
-                    held_kb: 20.0,
-                    rank: 0.5,
+                    work_hint: None,
+                    queued_kb: 20.0,
+                    shed_order: 0.5,
                     caller: 1,
                     patience: None,
                     again: false,
@@ -262,7 +264,7 @@
                     }
                     self.answer(id, "served");
                 }
-                Verdict::Refuse { id, .. } => {
+                Verdict::Reject { id, .. } => {
                     if self.ran.contains(&id.0) {
                         self.faults.push("a try that ran was refused");
                     }
--- a/crates/idempotency/tests/stores.rs
+++ b/crates/idempotency/tests/stores.rs
@@ -1,11 +1,11 @@
 //! Both backends by themselves: what they promise of a batch, and what they say when they can't be used.
 
+use gaugestand_fakes::postgres::{Fault, Postgres};
 use gaugestand_idempotency::postgres::{Login, Session};
 use gaugestand_idempotency::remote::Remote;
 use gaugestand_idempotency::row::{Batch, Cause, Outcome, Row, State, Work, Write};
 use gaugestand_idempotency::sqlite::{self, Options, Sqlite};
 use gaugestand_idempotency::worker::{self, Worker};
-use gaugestand_fakes::postgres::{Fault, Postgres};
 use std::io::Read;
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -3,8 +3,8 @@
 //! Its descriptors are its own, so that it answers while the clients' table is full. It decides nothing about
 //! requests and knows none of them; the loop says what a call is answered.
 
-use super::response::Outbox;
 use super::io::{Listener, Ready, Stream, System};
+use super::response::Outbox;
 use gaugestand_admission::engine::Micros;
 use std::io::{self, Read as _};
 use std::net::SocketAddr;
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -2,7 +2,8 @@
 
 use gaugestand_admission::engine::Micros;
 use gaugestand_admission::{
-    Below, Class, Controller, Effect, Halt, Settings, SettingsError, Signal, Span, Tenant, WorthBy,
+    BackpressureSignal, Class, Controller, Downstream, Effect, Preemption, Settings, SettingsError, Span,
+    Tenant, WeightBy,
 };
 use gaugestand_settings::{Backend, Settings as Operators};
 use serde::{Deserialize, Deserializer};
@@ -113,10 +114,13 @@
     #[serde(default)]
     realms: Vec<ToldRealm>,
     #[serde(default)]
-    over_share_worth: f64,
-    worth_by: Option<String>,
+    #[serde(rename = "over_share_worth")]
+    over_quota_weight: f64,
+    #[serde(rename = "worth_by")]
+    weight_by: Option<String>,
     #[serde(default)]
-    fleet_size: f64,
+    #[serde(rename = "fleet_size")]
+    cluster_size: f64,
     extra: Extra,
     caps: Caps,
     rules: Rules,
@@ -131,12 +135,15 @@
     #[serde(deserialize_with = "nanos")]
     goal_time: u64,
     #[serde(default)]
-    aim_stretch: f64,
+    #[serde(rename = "aim_stretch")]
+    objective_stretch: f64,
     #[serde(deserialize_with = "nanos")]
     hard_limit: u64,
-    worth: f64,
+    #[serde(rename = "worth")]
+    priority_weight: f64,
     #[serde(default)]
-    late_worth: f64,
+    #[serde(rename = "late_worth")]
+    late_weight: f64,
     effect: String,
     #[serde(default, deserialize_with = "nanos")]
     dedup_window: u64,
@@ -154,11 +161,12 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct Extra {
-    below: Option<String>,
+    downstream: Option<String>,
     #[serde(default)]
     callers: f64,
     #[serde(default)]
-    calls_out: f64,
+    #[serde(rename = "calls_out")]
+    outbound_call_limit: f64,
     #[serde(default)]
     class_calls: Vec<bool>,
     #[serde(default)]
@@ -169,20 +177,25 @@
     #[serde(default, deserialize_with = "nanos")]
     dep_window: u64,
     #[serde(default)]
-    full_checks: bool,
+    #[serde(rename = "full_checks")]
+    deep_health_checks: bool,
     #[serde(default)]
     gauges: Vec<String>,
     halt: Option<String>,
     #[serde(default, deserialize_with = "nanos")]
-    heeded: u64,
+    #[serde(rename = "heeded")]
+    signal_retention: u64,
     heap_kb: f64,
     #[serde(default)]
-    key_kb: f64,
+    #[serde(rename = "key_kb")]
+    entry_kb: f64,
     #[serde(default)]
-    list_follows: bool,
+    #[serde(rename = "list_follows")]
+    list_follows_health: bool,
     #[serde(default)]
     passes_deadline: bool,
-    run_factor: f64,
+    #[serde(rename = "run_factor")]
+    running_memory_factor: f64,
     signal: Option<String>,
     #[serde(default, deserialize_with = "nanos")]
     stays_for: u64,
@@ -205,7 +218,8 @@
     #[serde(deserialize_with = "nanos")]
     grace_to_answer: u64,
     #[serde(default)]
-    cold_share: f64,
+    #[serde(rename = "cold_share")]
+    cold_speed_share: f64,
     #[serde(default, deserialize_with = "nanos")]
     cold: u64,
     #[serde(deserialize_with = "nanos")]
@@ -428,11 +442,11 @@
         return wrong(&key("name"), "must be there once");
     }
     Ok(Class {
-        aim: Span(c.goal_time),
-        aim_stretch: within(&key("aim-stretch"), c.aim_stretch, 0.0)?,
+        latency_objective: Span(c.goal_time),
+        objective_stretch: within(&key("aim-stretch"), c.objective_stretch, 0.0)?,
         deadline: Span(c.hard_limit),
-        worth: within(&key("worth"), c.worth, 0.0)?,
-        late_worth: within(&key("late-worth"), c.late_worth, 0.0)?,
+        priority_weight: within(&key("worth"), c.priority_weight, 0.0)?,
+        late_weight: within(&key("late-worth"), c.late_weight, 0.0)?,
         effect: match c.effect.as_str() {
             "pure" => Effect::Pure,
             "token" => Effect::Keyed,
@@ -441,7 +455,7 @@
         },
         dedup_window: Span(c.dedup_window),
         calls: told.extra.class_calls.get(i).copied().unwrap_or(false),
-        skip_worth: told.extra.class_skip_worth.get(i).copied().unwrap_or(0.0),
+        skipped_call_weight: told.extra.class_skip_worth.get(i).copied().unwrap_or(0.0),
     })
 }
 
@@ -452,45 +466,45 @@
     Ok(Settings {
         classes,
         tenants,
-        over_share_worth: within("settings.over-share-worth", told.over_share_worth, 0.0)?,
-        worth_by: if told.worth_by.as_deref() == Some("work") { WorthBy::Work } else { WorthBy::Request },
-        fleet_size: count("settings.fleet-size", told.fleet_size, 0.0)?,
+        over_quota_weight: within("settings.over-share-worth", told.over_quota_weight, 0.0)?,
+        weight_by: if told.weight_by.as_deref() == Some("work") { WeightBy::Work } else { WeightBy::Request },
+        cluster_size: count("settings.fleet-size", told.cluster_size, 0.0)?,
         callers: count("settings.extra.callers", x.callers, 0.0)?,
         cores: count("settings.extra.cores", x.cores, 1.0)?,
         memory_kb: within("settings.extra.heap-kb", x.heap_kb, 1.0)?,
-        run_factor: within("settings.extra.run-factor", x.run_factor, 0.0)?,
-        key_kb: within("settings.extra.key-kb", x.key_kb, 0.0)?,
-        below: match x.below.as_deref() {
-            Some("one_for_all") => Below::Shared,
-            Some("tier") => Below::Tier,
-            _ => Below::Nothing,
+        running_memory_factor: within("settings.extra.run-factor", x.running_memory_factor, 0.0)?,
+        entry_kb: within("settings.extra.key-kb", x.entry_kb, 0.0)?,
+        downstream: match x.downstream.as_deref() {
+            Some("one_for_all") => Downstream::Shared,
+            Some("tier") => Downstream::Tier,
+            _ => Downstream::Nothing,
         },
-        calls_out: within("settings.extra.calls-out", x.calls_out, 0.0)?,
+        outbound_call_limit: within("settings.extra.calls-out", x.outbound_call_limit, 0.0)?,
         call_window: Span(x.dep_window),
-        call_lingers: Span(x.stays_for),
-        halt: match x.halt.as_deref() {
-            Some("discard") => Halt::Discard,
-            Some("freeze") => Halt::Freeze,
-            _ => Halt::Never,
+        abandoned_call_duration: Span(x.stays_for),
+        preemption: match x.preemption.as_deref() {
+            Some("discard") => Preemption::Discard,
+            Some("freeze") => Preemption::Freeze,
+            _ => Preemption::Never,
         },
         signal: match x.signal.as_deref() {
-            Some("floor") => Signal::Floor,
-            Some("allowance") => Signal::Allowance,
-            Some("weight") => Signal::Weight,
-            _ => Signal::Silent,
+            Some("floor") => BackpressureSignal::Floor,
+            Some("allowance") => BackpressureSignal::Allowance,
+            Some("weight") => BackpressureSignal::Weight,
+            _ => BackpressureSignal::Silent,
         },
-        heeded: Span(x.heeded),
-        max_stay_away: told.caps.retry_after.then_some(Span(told.caps.max_retry_after)),
+        signal_retention: Span(x.signal_retention),
+        max_retry_after: told.caps.retry_after.then_some(Span(told.caps.max_retry_after)),
         caller_idle: Span(x.caller_idle),
         // On this protocol a request that is served with what no run made for it counts as lost: reads share nothing.
-        fresh_for: Span(0),
-        full_checks: x.full_checks,
-        list_follows: x.list_follows,
+        cache_ttl: Span(0),
+        deep_health_checks: x.deep_health_checks,
+        list_follows_health: x.list_follows_health,
         cold: x.cold,
-        cold_for: Span(rules.cold),
-        cold_share: within("settings.rules.cold-share", rules.cold_share, 0.0)?,
-        crowd_window: Span(rules.fall),
-        crowd_multiple: within("settings.rules.fall-multiple", rules.fall_multiple, 0.0)?,
+        warmup_duration: Span(rules.cold),
+        cold_speed_share: within("settings.rules.cold-share", rules.cold_speed_share, 0.0)?,
+        concurrency_window: Span(rules.fall),
+        survivable_runs_per_core: within("settings.rules.fall-multiple", rules.fall_multiple, 0.0)?,
         drain_grace: Span(rules.drain_grace),
         answer_slack: Span(rules.grace_to_answer),
         tick: Span(told.tick),
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -1,10 +1,10 @@
 //! The listener and the table of connections: descriptor budget, reading, writing, idle closing.
 
-use super::response::Outbox;
 use super::counters::Counters;
 use super::fastcgi::{self, status};
 use super::io::{Listener, Stream, System};
 use super::request::Incoming;
+use super::response::Outbox;
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::Micros;
 use serde::{Deserialize, Serialize};
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,24 +1,24 @@
 //! The loop: one turn takes in what the poller has, asks the engine, carries out its verdicts and writes.
 
-use super::connections::{self, ConnId, MOST_OPEN, Open, Table};
 use super::admin::{self, Admin, Call, Said};
-use super::response::Response;
-use super::health_checks::Checks;
 use super::config;
 use super::config::Config;
+use super::connections::{self, ConnId, MOST_OPEN, Open, Table};
 use super::counters::Counters;
 use super::fastcgi::{self, Record, kind};
-use super::peers::{self, Peers};
-use super::request_metrics::{End, Figures};
+use super::handover_link::Place;
+use super::health_checks::Checks;
+use super::idempotency_store::{self, Keeper};
 use super::io::clock::Clock;
 use super::io::link::Change;
 use super::io::{Ready, System};
 use super::kernel::{Command, Fate, Kernel, Notice};
-use super::handover_link::Place;
 use super::log::Logs;
 use super::membership_reports::Members;
-use super::idempotency_store::{self, Keeper};
+use super::peers::{self, Peers};
 use super::request::{Asked, Fault, TryParams};
+use super::request_metrics::{End, Figures};
+use super::response::Response;
 use super::store::{self, Ended, Store};
 use gaugestand_admission::classes::Slots;
 use gaugestand_admission::engine::{Arrival, CallEnd, Engine, Micros, Report, RunEnd, Unfit, Verdict};
@@ -26,12 +26,12 @@
 use gaugestand_admission::{Effect, RequestId, SettingsError, handover::Event as HandoverEvent};
 use gaugestand_idempotency::{Breaker, KeyTable};
 use gaugestand_settings::Backend;
+use handover::Kindred;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::collections::BTreeMap;
 use std::io::{self, Read};
 use std::rc::Rc;
 use std::{fmt, mem};
-use handover::Kindred;
 
 mod cluster;
 mod handover;
@@ -696,9 +696,9 @@
             body: &body,
             age: self.clock.age(t.ingress),
             ingress: t.ingress,
-            hint: t.hint,
-            held_kb: t.held_kb,
-            rank: t.rank,
+            work_hint: t.work_hint,
+            queued_kb: t.queued_kb,
+            shed_order: t.shed_order,
             caller: t.router,
             patience: t.patience,
             again: t.again,
@@ -774,7 +774,7 @@
         id: RequestId,
         status: &str,
         throttle: Micros,
-        give_up: bool,
+        no_retry_elsewhere: bool,
         body: Rc<[u8]>,
     ) -> bool {
         let Some(place) = self.tries.get(&id) else { return false };
@@ -788,7 +788,12 @@
             c.note_served();
         }
         let capacity = self.engine.capacity();
-        self.respond(conn, fcgi, open.keeps(), &Response { status, capacity, throttle, give_up, body });
+        self.respond(
+            conn,
+            fcgi,
+            open.keeps(),
+            &Response { status, capacity, throttle, no_retry_elsewhere, body },
+        );
         true
     }
 
@@ -963,16 +968,16 @@
                     }
                 }
                 Verdict::DropCall(id) => self.drop_call(id),
-                Verdict::Refuse { id, stay_away, give_up } => {
+                Verdict::Reject { id, retry_after, no_retry_elsewhere } => {
                     self.ended(id, End::Overload);
                     let status = "503 Service Unavailable";
-                    let done = self.answer(id, status, stay_away, give_up, nothing.clone());
+                    let done = self.answer(id, status, retry_after, no_retry_elsewhere, nothing.clone());
                     self.counters.answers_refused += u64::from(done);
                 }
-                Verdict::Fail { id, stay_away, give_up } => {
+                Verdict::Fail { id, retry_after, no_retry_elsewhere } => {
                     self.ended(id, End::Error);
                     let status = "500 Internal Server Error";
-                    let done = self.answer(id, status, stay_away, give_up, nothing.clone());
+                    let done = self.answer(id, status, retry_after, no_retry_elsewhere, nothing.clone());
                     self.counters.answers_failed += u64::from(done);
                 }
                 Verdict::Serve(id, result) => {
--- a/crates/node/src/event_loop/cluster.rs
+++ b/crates/node/src/event_loop/cluster.rs
@@ -1,19 +1,19 @@
 //! The loop's part in what the fleet agrees on: its links and pages, the version in effect, what requests get under it, and
 //! operators' calls about it.
 
-use super::{Config, CONSENSUS_LOG, PEER_LISTENER, FIRST_PEER, Node, Ready, System, config};
-use crate::response::Response;
+use super::{CONSENSUS_LOG, Config, FIRST_PEER, Node, PEER_LISTENER, Ready, System, config};
 use crate::peers::{self, News};
 use crate::request::TryParams;
+use crate::response::Response;
 use gaugestand_admission::engine::Micros;
 use gaugestand_admission::idempotency::IdempotencyTable as _;
 use gaugestand_admission::{Effect, Span};
 use gaugestand_cluster::consensus::Refusal;
 use gaugestand_cluster::diff::Content;
 use gaugestand_cluster::lease::Version;
-use gaugestand_cluster::version_gate::{self, Ruling};
 use gaugestand_cluster::members::Change as Membership;
 use gaugestand_cluster::validation::{Class, Load, Problem, Room, problem};
+use gaugestand_cluster::version_gate::{self, Ruling};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -62,7 +62,7 @@
         name: name.clone(),
         keyed: c.effect == Effect::Keyed,
         window_s: secs(c.dedup_window),
-        worth: c.worth,
+        priority_weight: c.priority_weight,
     };
     config.classes.iter().zip(&config.settings.classes).map(of).collect()
 }
@@ -140,7 +140,7 @@
         config::follows(&self.config, &new).map_err(|e| e.to_string())?;
         let load = self.pace.load(self.clock.now(), &counts(&self.figures, &self.config.classes));
         let s = &self.config.settings;
-        let room = Room { keys_kb: KEYS_SHARE * s.memory_kb, key_kb: s.key_kb };
+        let room = Room { keys_kb: KEYS_SHARE * s.memory_kb, entry_kb: s.entry_kb };
         match problem(&classes(&self.config), &classes(&new), &load, room) {
             None => Ok(()),
             Some(Problem::Starves(_)) if force => Ok(()),
@@ -184,10 +184,10 @@
         let moment = self.system.moment();
         let keyed = t.repeat_key.as_deref();
         let ruling = peers.rule(moment.mono, keyed.is_some(), t.row, t.router);
-        let (give_up, throttle) = match ruling {
+        let (no_retry_elsewhere, throttle) = match ruling {
             Ruling::Pass => return None,
             Ruling::Barred => (true, Micros(0)),
-            Ruling::OverShare | Ruling::NoLease => (false, peers.stay_away()),
+            Ruling::OverShare | Ruling::NoLease => (false, peers.retry_after()),
         };
         if keyed.is_some_and(|key| self.engine.idempotency().knows(key, moment)) {
             return None;
@@ -198,7 +198,7 @@
         };
         *count += 1;
         let (status, capacity) = ("503 Service Unavailable", self.engine.capacity());
-        Some(Response { status, capacity, throttle, give_up, body: Rc::from([]) })
+        Some(Response { status, capacity, throttle, no_retry_elsewhere, body: Rc::from([]) })
     }
 
     // ---- Operators -----------------------------------------------------------------------------------
--- a/crates/node/src/event_loop/handover.rs
+++ b/crates/node/src/event_loop/handover.rs
@@ -2,9 +2,9 @@
 //! after it, the claim, and what passes between them.
 
 use super::*;
-use crate::io::{Claim as _, Listener, Passed};
 use crate::handover_link::{self, Broken, Frame, Rest, Wire, With};
-use gaugestand_admission::handover::{Event, Role, Step, Handover};
+use crate::io::{Claim as _, Listener, Passed};
+use gaugestand_admission::handover::{Event, Handover, Role, Step};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -11,8 +11,8 @@
 pub mod real;
 
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::log_record::Found;
 use gaugestand_admission::idempotency::Moment;
+use gaugestand_admission::log_record::Found;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::Options;
 use std::fmt::Debug;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,23 +4,23 @@
 //! decides anything about requests.
 #![deny(unsafe_code)]
 
-pub mod connections;
 pub mod admin;
-pub mod response;
-pub mod health_checks;
 pub mod config;
+pub mod connections;
 pub mod counters;
 #[cfg(test)]
 mod cuts;
+pub mod event_loop;
 pub mod fastcgi;
-pub mod peers;
-pub mod request_metrics;
+pub mod handover_link;
+pub mod health_checks;
+pub mod idempotency_store;
 pub mod io;
 pub mod kernel;
-pub mod handover_link;
 pub mod log;
 pub mod membership_reports;
-pub mod idempotency_store;
+pub mod peers;
 pub mod request;
+pub mod request_metrics;
+pub mod response;
 pub mod store;
-pub mod event_loop;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -4,9 +4,9 @@
 #![forbid(unsafe_code)]
 
 pub mod checkers;
-pub mod process_cluster;
+pub mod fakes;
 pub mod guard;
 pub mod network;
+pub mod process_cluster;
 pub mod site;
-pub mod fakes;
 pub mod world;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -4,11 +4,11 @@
 //! happens between two events; a node that is not woken does nothing.
 
 use gaugestand_admission::engine::Micros;
-use gaugestand_admission::log_record::Found;
 use gaugestand_admission::idempotency::Moment;
-use gaugestand_node::io::{Claim, Datagram, Kin, Listener, Passed, Ready, Stream, System, Worker};
+use gaugestand_admission::log_record::Found;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::Options;
+use gaugestand_node::io::{Claim, Datagram, Kin, Listener, Passed, Ready, Stream, System, Worker};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::cell::RefCell;
--- a/crates/simulation/src/process_cluster.rs
+++ b/crates/simulation/src/process_cluster.rs
@@ -6,8 +6,8 @@
 //! moment between its sending and its answer; of two versions the newer one must not be seen at one process before the older
 //! one was seen for the last time at another, but for the stated time.
 
-use crate::guard::Guard;
 use crate::fakes::gateway::{Gateway, Verdict};
+use crate::guard::Guard;
 use gaugestand_fakes::kernel::AutoKernel;
 use gaugestand_fakes::relay::{Relay, Way};
 use serde_json::{Value, json};
--- a/src/bin/simulator_adapter/wire.rs
+++ b/src/bin/simulator_adapter/wire.rs
@@ -1,8 +1,8 @@
 //! Lines of the simulator's wire to events, and actions to lines.
 
 use gaugestand_admission::{
-    Action, Below, Class, Effect, Event, Gauges, Halt, Outcome, Request, RequestId, Settings, SettingsError,
-    Signal, Span, Tenant, Time, WorthBy,
+    Action, BackpressureSignal, Class, Downstream, Effect, Event, Gauges, Outcome, Preemption, Request,
+    RequestId, Settings, SettingsError, Span, Tenant, Time, WeightBy,
 };
 use std::collections::HashMap;
 use std::fmt::{self, Write};
@@ -121,12 +121,12 @@
     Ok(match v {
         "0" => Outcome::Ok,
         "5" => Outcome::Error,
-        "11" => Outcome::Full,
+        "11" => Outcome::Overloaded,
         "110" => Outcome::TimedOut,
         "111" => Outcome::Unreachable,
         "104" => Outcome::Reset,
         "125" => Outcome::Cancelled,
-        "114" => Outcome::Moot,
+        "114" => Outcome::NeverStarted,
         _ => return wrong("rc", "not an outcome code"),
     })
 }
@@ -181,11 +181,11 @@
         "up" => return Ok(Message::Up { who, seed: f.int("nonce64")?, settings: up(&f)? }),
         "exit" => return Ok(Message::Exit { who }),
         "demand" => Event::Request(demand(&f)?),
-        "client_gone" => Event::Gone(f.id()?),
+        "client_gone" => Event::CallerGone(f.id()?),
         "wind_down" => Event::Drain(Time(f.int("drop-dead")?)),
-        "completed" => Event::Done(f.id()?, outcome(f.need("rc")?)?),
-        "called" => Event::Called(f.id()?, outcome(f.need("rc")?)?, Span(f.int_or_zero("lag")?)),
-        "at_call" => Event::AtCall(f.id()?),
+        "completed" => Event::RunEnded(f.id()?, outcome(f.need("rc")?)?),
+        "called" => Event::CallEnded(f.id()?, outcome(f.need("rc")?)?, Span(f.int_or_zero("lag")?)),
+        "at_call" => Event::CallRequested(f.id()?),
         _ => Event::Timer(f.int("name")?, gauges(f.get("telemetry").unwrap_or(""))?),
     };
     Ok(Message::Event { who, event })
@@ -193,7 +193,7 @@
 
 fn demand(f: &Fields) -> Result<Request, WireError> {
     let deadline = f.int_or_zero("drop-dead")?;
-    let hint = f.int_or_zero("effort")?;
+    let work_hint = f.int_or_zero("effort")?;
     let prior = match f.get("prior") {
         None | Some("0" | "") => None,
         Some(v) => Some(request_id("prior", v)?),
@@ -208,13 +208,13 @@
             hasher.finish()
         }),
         deadline: (deadline > 0).then_some(Time(deadline)),
-        hint: (hint > 0).then_some(Span(hint)),
-        held_kb: f.get("held-kb").map_or(Ok(0.0), |v| real("held-kb", v))?,
-        rank: f.get("rank").map_or(Ok(0.0), |v| real("rank", v))?,
+        work_hint: (work_hint > 0).then_some(Span(work_hint)),
+        queued_kb: f.get("held-kb").map_or(Ok(0.0), |v| real("held-kb", v))?,
+        shed_order: f.get("rank").map_or(Ok(0.0), |v| real("rank", v))?,
         caller: f.int_or_zero("src-peer")?,
         is_retry: f.get("is-retry").map_or(Ok(false), |v| flag("is-retry", v))?,
-        unread_for: Span(f.int_or_zero("unread-for")?),
-        prior,
+        read_delay: Span(f.int_or_zero("unread-for")?),
+        original,
     })
 }
 
@@ -266,11 +266,11 @@
         let key = |name: &str| format!("classes.{i}.{name}");
         let skip = k.item("extra.class-skip-worth", i);
         classes.push(Class {
-            aim: k.span(&key("goal-time"))?,
-            aim_stretch: k.num(&key("aim-stretch"))?,
+            latency_objective: k.span(&key("goal-time"))?,
+            objective_stretch: k.num(&key("aim-stretch"))?,
             deadline: k.span(&key("hard-limit"))?,
-            worth: k.num(&key("worth"))?,
-            late_worth: k.num(&key("late-worth"))?,
+            priority_weight: k.num(&key("worth"))?,
+            late_weight: k.num(&key("late-worth"))?,
             effect: match k.word(&key("effect")) {
                 "pure" => Effect::Pure,
                 "token" => Effect::Keyed,
@@ -278,7 +278,7 @@
             },
             dedup_window: k.span(&key("dedup-window"))?,
             calls: matches!(k.item("extra.class-calls", i), "true" | "1"),
-            skip_worth: if skip.is_empty() { 0.0 } else { real("extra.class-skip-worth", skip)? },
+            skipped_call_weight: if skip.is_empty() { 0.0 } else { real("extra.class-skip-worth", skip)? },
         });
     }
     let mut tenants = Vec::new();
@@ -291,47 +291,47 @@
     Ok(Settings {
         classes,
         tenants,
-        over_share_worth: k.num("over-share-worth")?,
-        worth_by: if k.word("worth-by") == "work" { WorthBy::Work } else { WorthBy::Request },
-        fleet_size: k.count("fleet-size")?,
+        over_quota_weight: k.num("over-share-worth")?,
+        weight_by: if k.word("worth-by") == "work" { WeightBy::Work } else { WeightBy::Request },
+        cluster_size: k.count("fleet-size")?,
         callers: k.count("extra.callers")?,
         cores: k.count("extra.cores")?,
         memory_kb: k.num("extra.heap-kb")?,
-        run_factor: k.num("extra.run-factor")?,
-        key_kb: k.num("extra.key-kb")?,
-        below: match k.word("extra.below") {
-            "one_for_all" => Below::Shared,
-            "tier" => Below::Tier,
-            _ => Below::Nothing,
+        running_memory_factor: k.num("extra.run-factor")?,
+        entry_kb: k.num("extra.key-kb")?,
+        downstream: match k.word("extra.below") {
+            "one_for_all" => Downstream::Shared,
+            "tier" => Downstream::Tier,
+            _ => Downstream::Nothing,
         },
-        calls_out: k.num("extra.calls-out")?,
+        outbound_call_limit: k.num("extra.calls-out")?,
         call_window: k.span("extra.dep-window")?,
-        call_lingers: k.span("extra.stays-for")?,
-        halt: match k.word("extra.halt") {
-            "discard" => Halt::Discard,
-            "freeze" => Halt::Freeze,
-            _ => Halt::Never,
+        abandoned_call_duration: k.span("extra.stays-for")?,
+        preemption: match k.word("extra.halt") {
+            "discard" => Preemption::Discard,
+            "freeze" => Preemption::Freeze,
+            _ => Preemption::Never,
         },
         signal: match k.word("extra.signal") {
-            "floor" => Signal::Floor,
-            "allowance" => Signal::Allowance,
-            "weight" => Signal::Weight,
-            _ => Signal::Silent,
+            "floor" => BackpressureSignal::Floor,
+            "allowance" => BackpressureSignal::Allowance,
+            "weight" => BackpressureSignal::Weight,
+            _ => BackpressureSignal::Silent,
         },
-        heeded: k.span("extra.heeded")?,
-        max_stay_away: match k.yes("caps.retry-after")? {
+        signal_retention: k.span("extra.heeded")?,
+        max_retry_after: match k.yes("caps.retry-after")? {
             true => Some(k.span("caps.max-retry-after")?),
             false => None,
         },
         caller_idle: k.span("extra.caller-idle")?,
-        fresh_for: k.span("extra.fresh-for")?,
-        full_checks: k.yes("extra.full-checks")?,
-        list_follows: k.yes("extra.list-follows")?,
+        cache_ttl: k.span("extra.fresh-for")?,
+        deep_health_checks: k.yes("extra.full-checks")?,
+        list_follows_health: k.yes("extra.list-follows")?,
         cold: k.yes("extra.cold")?,
-        cold_for: k.span("rules.cold")?,
-        cold_share: k.num("rules.cold-share")?,
-        crowd_window: k.span("rules.fall")?,
-        crowd_multiple: k.num("rules.fall-multiple")?,
+        warmup_duration: k.span("rules.cold")?,
+        cold_speed_share: k.num("rules.cold-share")?,
+        concurrency_window: k.span("rules.fall")?,
+        survivable_runs_per_core: k.num("rules.fall-multiple")?,
         drain_grace: k.span("rules.drain-grace")?,
         answer_slack: k.span("rules.grace-to-answer")?,
         tick: k.span("tick")?,
@@ -364,10 +364,10 @@
 pub fn write_action(out: &mut String, who: u64, action: &Action) {
     match action {
         Action::Run(id) => put(out, format_args!("process who={who} handle={}", Id(*id))),
-        Action::Halt(id) => put(out, format_args!("take_off who={who} handle={}", Id(*id))),
-        Action::Refuse { id, stay_away, give_up } => {
-            let give_up = u8::from(*give_up);
-            let away = stay_away.0;
+        Action::Preempt(id) => put(out, format_args!("take_off who={who} handle={}", Id(*id))),
+        Action::Reject { id, retry_after, no_retry_elsewhere } => {
+            let no_retry_elsewhere = u8::from(*no_retry_elsewhere);
+            let away = retry_after.0;
             put(
                 out,
                 format_args!(
@@ -377,8 +377,8 @@
             );
         }
         Action::Fail(id) => put(out, format_args!("finish_error who={who} handle={}", Id(*id))),
-        Action::Reuse(id) => put(out, format_args!("echo who={who} handle={}", Id(*id))),
-        Action::Keep(id, span) => {
+        Action::Coalesce(id) => put(out, format_args!("echo who={who} handle={}", Id(*id))),
+        Action::Remember(id, span) => {
             put(out, format_args!("keep who={who} handle={} hold-for={}", Id(*id), span.0));
         }
         Action::Forget(id) => put(out, format_args!("forget who={who} handle={}", Id(*id))),
@@ -386,12 +386,12 @@
             put(out, format_args!("go_call who={who} handle={} not-past={}", Id(*id), until.0));
         }
         Action::SkipCall(id) => put(out, format_args!("go_on who={who} handle={}", Id(*id))),
-        Action::Announce(x) => put(out, format_args!("announce who={who} amount={x}")),
+        Action::AnnounceCapacity(x) => put(out, format_args!("announce who={who} amount={x}")),
         Action::Health { good, shallow } => {
             let (want, shallow) = (u8::from(*good), u8::from(*shallow));
             put(out, format_args!("readiness who={who} want={want} shallow={shallow}"));
         }
-        Action::IdleLimit(span) => put(out, format_args!("idle_limit who={who} hold-for={}", span.0)),
+        Action::SetIdleTimeout(span) => put(out, format_args!("idle_limit who={who} hold-for={}", span.0)),
         Action::SetTimer(name, span) => {
             put(out, format_args!("after who={who} name={name} offset={}", span.0));
         }
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,11 +1,11 @@
 //! The sub-commands that look after a store of record.
 
 use crate::Failure;
-use gaugestand_node::idempotency_store::password;
 use gaugestand_idempotency::postgres::Login;
 use gaugestand_idempotency::remote::Remote;
 use gaugestand_idempotency::row::{Outcome, Row, State};
 use gaugestand_idempotency::sqlite::{self, Options, Sqlite};
+use gaugestand_node::idempotency_store::password;
 use gaugestand_settings::Backend;
 use serde::Serialize;
 use std::env;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Several real processes of the node that agree on versions, with faults thrown between them.
 
-use gaugestand_simulation::process_cluster::{CONTRADICT_MS, Fault, Rig, bars, plan, play, subject};
-use gaugestand_simulation::fakes::gateway::Verdict;
 use gaugestand_fakes::relay::Way;
+use gaugestand_simulation::fakes::gateway::Verdict;
+use gaugestand_simulation::process_cluster::{CONTRADICT_MS, Fault, Rig, bars, plan, play, subject};
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::TcpStream;
