--- a/benches/record.rs
+++ b/benches/record.rs
@@ -217,7 +217,7 @@
                 Write::Put(Row {
                     key,
                     holder: i.into(),
-                    print: 1,
+                    fingerprint: 1,
                     ran: now,
                     until: now + 29_220_000,
                     stamp: i + 1,
--- a/crates/admission/src/classes.rs
+++ b/crates/admission/src/classes.rs
@@ -5,31 +5,31 @@
 
 /// Names of the classes by slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Slots {
+pub struct ClassSlots {
     names: Vec<String>,
     open: Vec<bool>,
 }
 
 /// What becomes of the slots with new settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct SlotPlan {
     /// The slots from then on.
-    pub slots: Slots,
+    pub slots: ClassSlots,
     /// The class of each.
     pub classes: Vec<Class>,
     /// Which slot's learnt state each goes on with.
     pub from: Vec<Option<usize>>,
 }
 
-impl Slots {
+impl ClassSlots {
     /// The classes of a first configuration, in their order.
     pub fn new(names: &[String]) -> Self {
-        Slots { names: names.to_vec(), open: vec![true; names.len()] }
+        ClassSlots { names: names.to_vec(), open: vec![true; names.len()] }
     }
 
     /// Slots that another process had.
     pub fn with(names: Vec<String>, open: Vec<bool>) -> Self {
-        Slots { names, open }
+        ClassSlots { names, open }
     }
 
     /// The slot of the class of this name: the one that takes requests if there is one, else one that did.
@@ -60,8 +60,8 @@
 
     /// What becomes of these slots, with the classes `old` in them and open requests in `used`, as the settings have
     /// the classes `new` under `names` from now on.
-    pub fn plan(&self, old: &[Class], names: &[String], new: &[Class], used: &BTreeSet<usize>) -> Plan {
-        let mut slots = Slots { names: self.names.clone(), open: vec![false; self.names.len()] };
+    pub fn plan(&self, old: &[Class], names: &[String], new: &[Class], used: &BTreeSet<usize>) -> SlotPlan {
+        let mut slots = ClassSlots { names: self.names.clone(), open: vec![false; self.names.len()] };
         let (mut classes, mut from) = (old.to_vec(), (0..old.len()).map(Some).collect::<Vec<_>>());
         let all: Vec<(&String, &Class)> = names.iter().zip(new).collect();
         // Those that stay as they are come first: nobody takes their place.
@@ -92,7 +92,7 @@
                 (classes[i], from[i]) = (class.clone(), before);
             }
         }
-        Plan { slots, classes, from }
+        SlotPlan { slots, classes, from }
     }
 }
 
@@ -125,7 +125,7 @@
 
     #[test]
     fn open_requests_keep_their_class_whatever_the_settings_say() {
-        let slots = Slots::new(&names(&["a", "b"]));
+        let slots = ClassSlots::new(&names(&["a", "b"]));
         let old = [class(1), class(2)];
         // 'a' is changed while a request has it, 'b' goes, 'c' is new and takes the place that nobody has.
         let plan = slots.plan(&old, &names(&["c", "a"]), &[class(3), class(9)], &BTreeSet::from([0]));
@@ -147,7 +147,7 @@
     // Guards against a table that grows with every change.
     #[test]
     fn slots_that_nobody_has_are_taken_again() {
-        let (mut slots, mut classes) = (Slots::new(&names(&["a"])), vec![class(1)]);
+        let (mut slots, mut classes) = (ClassSlots::new(&names(&["a"])), vec![class(1)]);
         for n in 0..100 {
             let plan = slots.plan(&classes, &names(&["a", "x"]), &[class(n), class(7)], &BTreeSet::from([0]));
             (slots, classes) = (plan.slots, plan.classes);
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -289,7 +289,7 @@
 
     /// Goes on under other settings. Requests keep the index of their class; each class goes on with what was
     /// learnt of the one that it comes from. How it started is no news.
-    pub fn retune(&mut self, settings: Settings, from: &[Option<usize>]) {
+    pub fn update_settings(&mut self, settings: Settings, from: &[Option<usize>]) {
         let learnt = |i: &Option<usize>| self.est.runs.get((*i)?).copied().flatten();
         self.est.runs = from.iter().map(learnt).collect();
         self.tokens.resize(settings.tenants.len(), BURST.1);
--- a/crates/admission/src/engine.rs
+++ b/crates/admission/src/engine.rs
@@ -5,7 +5,7 @@
 //! what no front should know of: the controller's events and actions, its timers, the table of keys with
 //! stored results and windows, the announced capacity, health and the drain. It knows no protocol.
 
-use crate::classes::Plan;
+use crate::classes::SlotPlan;
 use crate::controller::Controller;
 use crate::idempotency::{Begin, Ended, Found, IdempotencyTable, Join, Moment, RunResult, Settled};
 use crate::interface::*;
@@ -81,65 +81,68 @@
     pub caller: u64,
     /// How long its caller waits, counted from `ingress`, where that is told. More than the class's deadline counts
     /// as that; one that is spent when it is read has it refused at once.
-    pub patience: Option<Micros>,
+    pub caller_timeout: Option<Micros>,
     /// It is marked as a further try or a second copy.
-    pub again: bool,
+    pub is_retry: bool,
     /// What a read is about, where that is told.
-    pub subject: Option<u64>,
+    pub resource_key: Option<u64>,
 }
 
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RunEnd {
+pub enum RunOutcome {
     /// With this result.
-    Good(Rc<[u8]>),
+    Succeeded(Rc<[u8]>),
     /// It failed.
-    Bad,
+    Failed,
     /// It was stopped, or ended at a call as nobody waits for it.
-    Cut,
+    Cancelled,
     /// It never began.
     NeverRan,
 }
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// The reply was handed to the run.
-    Good,
+    #[serde(rename = "Good")]
+    Succeeded,
     /// Turned away: it never ran.
-    Busy,
+    #[serde(rename = "Busy")]
+    Overloaded,
     /// Nobody could be reached: it never ran.
     Unreachable,
     /// It failed and may have had its effect.
     Failed,
     /// It ran out of time and may have had its effect.
-    Late,
+    #[serde(rename = "Late")]
+    TimedOut,
     /// The link broke under it and proves nothing.
     Broken,
 }
 
 /// Something that happened outside.
 #[derive(Clone, Debug)]
-pub enum Report {
+pub enum EngineEvent {
     /// What does the work is up since so long ago, cold or warm.
-    Booted {
+    BackendStarted {
         /// Slow at first.
         cold: bool,
         /// How long ago it came up.
         age: Micros,
     },
     /// The link to what does the work is up or down; runs go on meanwhile.
-    Link(bool),
+    BackendLink(bool),
     /// A run is over.
-    Ended(RequestId, RunEnd),
+    RunEnded(RequestId, RunOutcome),
     /// A run waits for a call.
-    WantsCall(RequestId),
+    CallRequested(RequestId),
     /// A call ended after this long.
-    Called(RequestId, CallEnd, Micros),
+    CallEnded(RequestId, CallOutcome, Micros),
     /// A run cannot go on without its call after all.
-    CannotSkip(RequestId),
+    CallNotSkippable(RequestId),
     /// The caller no longer waits for this try.
-    Aborted(RequestId),
+    CallerGone(RequestId),
     /// The program is told to leave.
     Drain {
         /// When it was told so: the grace counts from then.
@@ -148,16 +151,16 @@
         stop: Micros,
     },
     /// The gauges that were asked for.
-    Gauged(Gauges),
+    GaugesRead(Gauges),
 }
 
 /// What a front or the link to the work is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum EngineCommand {
     /// Start its work.
     Run(RequestId),
     /// Stop its work.
-    Stop(RequestId),
+    Preempt(RequestId),
     /// Make the call that its run waits for; it is given up after this long.
     Call(RequestId, Micros),
     /// Its run goes on without the call that it waits for.
@@ -189,26 +192,27 @@
     /// Nothing more comes for this try; what is remembered of it may go.
     Forget(RequestId),
     /// Ask for the gauges.
-    Gauge,
+    ReadGauges,
     /// Close connections idle for this long.
-    IdleLimit(Micros),
+    SetIdleTimeout(Micros),
 }
 
 /// Why a try is not taken in; it gets no verdict of its own, and the controller never hears of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum AdmitError {
     /// A try with this id is known already.
-    Known,
+    DuplicateId,
     /// Its key is that of a request with another body.
-    OtherBody,
+    KeyConflict,
 }
 
 /// What the engine knows of one try.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Try {
+struct Attempt {
     class: usize,
     repeat_key: Option<Rc<str>>,
-    print: u128,
+    #[serde(rename = "print")]
+    fingerprint: u128,
     ingress: Moment,
     due: Micros,
     /// An answer is owed.
@@ -224,12 +228,13 @@
 /// All of a engine but its table of keys: what another process needs to go on in its place. Times are those of the
 /// clock that it was made under.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Carried {
+pub struct Snapshot {
     settings: Settings,
     /// Which classes take requests.
     pub open: Vec<bool>,
     controller: Option<Controller>,
-    tries: BTreeMap<RequestId, Try>,
+    #[serde(rename = "tries")]
+    attempts: BTreeMap<RequestId, Attempt>,
     owed: BTreeSet<(Micros, RequestId)>,
     timers: BTreeSet<(Micros, u64)>,
     due_timers: Vec<u64>,
@@ -245,7 +250,7 @@
     open: Vec<bool>,
     seed: u64,
     controller: Option<Controller>,
-    tries: BTreeMap<RequestId, Try>,
+    attempts: BTreeMap<RequestId, Attempt>,
     /// The one table of keys.
     idempotency: R,
     /// Due times of tries that are owed an answer.
@@ -271,7 +276,7 @@
             settings,
             seed,
             controller: None,
-            tries: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             idempotency,
             owed: BTreeSet::new(),
             timers: BTreeSet::new(),
@@ -286,12 +291,12 @@
     }
 
     /// All but the table of keys, as it is now.
-    pub fn carry(&self) -> Carried {
-        Carried {
+    pub fn snapshot(&self) -> Snapshot {
+        Snapshot {
             settings: self.settings.clone(),
             open: self.open.clone(),
             controller: self.controller.clone(),
-            tries: self.tries.clone(),
+            attempts: self.attempts.clone(),
             owed: self.owed.clone(),
             timers: self.timers.clone(),
             due_timers: self.due_timers.clone(),
@@ -303,7 +308,7 @@
     /// Lets go of all but the table of keys: another engine goes on in its place.
     pub fn retire(&mut self) {
         self.controller = None;
-        self.tries.clear();
+        self.attempts.clear();
         self.owed.clear();
         self.timers.clear();
         self.due_timers.clear();
@@ -316,21 +321,21 @@
 
     /// The slots that some try has.
     pub fn used(&self) -> BTreeSet<usize> {
-        self.tries.values().map(|t| t.class).collect()
+        self.attempts.values().map(|t| t.class).collect()
     }
 
     /// Other settings from now on, with their classes in slots as planned; tries that are here keep theirs.
-    pub fn retune(&mut self, settings: Settings, plan: &Plan) {
+    pub fn update_settings(&mut self, settings: Settings, plan: &SlotPlan) {
         self.settings = Settings { classes: plan.classes.clone(), cold: self.settings.cold, ..settings };
         self.open = plan.slots.open().to_vec();
         if let Some(controller) = &mut self.controller {
-            controller.retune(self.settings.clone(), &plan.from);
+            controller.update_settings(self.settings.clone(), &plan.from);
         }
     }
 
     /// Tries whose work was begun and has not ended.
     pub fn running(&self) -> Vec<RequestId> {
-        self.tries.iter().filter(|(_, t)| t.running).map(|(id, _)| *id).collect()
+        self.attempts.iter().filter(|(_, t)| t.running).map(|(id, _)| *id).collect()
     }
 
     /// Which classes are keyed, by index.
@@ -344,12 +349,12 @@
     }
 
     /// Goes on in the place of another engine.
-    pub fn resume(&mut self, carried: Carried) {
-        (self.settings, self.open) = (carried.settings, carried.open);
-        self.controller = carried.controller;
-        self.tries = carried.tries;
-        (self.owed, self.timers, self.due_timers) = (carried.owed, carried.timers, carried.due_timers);
-        (self.capacity, self.good) = (carried.capacity, carried.good);
+    pub fn restore(&mut self, snapshot: Snapshot) {
+        (self.settings, self.open) = (snapshot.settings, snapshot.open);
+        self.controller = snapshot.controller;
+        self.attempts = snapshot.attempts;
+        (self.owed, self.timers, self.due_timers) = (snapshot.owed, snapshot.timers, snapshot.due_timers);
+        (self.capacity, self.good) = (snapshot.capacity, snapshot.good);
         self.asked = None;
     }
 
@@ -384,9 +389,14 @@
     }
 
     /// A request came: appends what happens to it and to others.
-    pub fn pick(&mut self, now: Moment, a: Arrival<'_>, out: &mut Vec<Verdict>) -> Result<(), Unfit> {
-        if self.tries.contains_key(&a.id) {
-            return Err(Unfit::Known);
+    pub fn admit(
+        &mut self,
+        now: Moment,
+        a: Arrival<'_>,
+        out: &mut Vec<EngineCommand>,
+    ) -> Result<(), AdmitError> {
+        if self.attempts.contains_key(&a.id) {
+            return Err(AdmitError::DuplicateId);
         }
         if self.controller.is_none() {
             // Nothing can be run before the work is up, so nothing was.
@@ -400,11 +410,11 @@
         let keyed = settings.effect == Effect::Keyed;
         let repeat_key: Option<Rc<str>> = a.repeat_key.filter(|_| keyed).map(Rc::from);
         let longest: Micros = settings.deadline.into();
-        let due = ingress.mono.plus(a.patience.map_or(longest, |p| p.min(longest))).max(now.mono);
-        let print = repeat_key.as_ref().map_or(0, |_| self.idempotency.print(a.body));
-        let found = repeat_key.as_ref().map(|key| self.idempotency.find(now, key, print, ingress));
+        let due = ingress.mono.plus(a.caller_timeout.map_or(longest, |p| p.min(longest))).max(now.mono);
+        let fingerprint = repeat_key.as_ref().map_or(0, |_| self.idempotency.fingerprint(a.body));
+        let found = repeat_key.as_ref().map(|key| self.idempotency.find(now, key, fingerprint, ingress));
         let prior = match found {
-            Some(Found::OtherBody) => return Err(Unfit::OtherBody),
+            Some(Found::BodyMismatch) => return Err(AdmitError::KeyConflict),
             Some(Found::Closed(advice)) => {
                 // It can't be recorded, so it is not run: told at once, with when to come back.
                 let most = self.settings.max_retry_after.unwrap_or_default().into();
@@ -426,20 +436,20 @@
             Some(Found::Nothing) | None => None,
         };
         let (owed, awaits, running, ran, calling) = (true, false, false, false, false);
-        let t = Try { class, repeat_key, print, ingress, due, owed, awaits, running, ran, calling };
-        self.tries.insert(a.id, t);
+        let t = Attempt { class, repeat_key, fingerprint, ingress, due, owed, awaits, running, ran, calling };
+        self.attempts.insert(a.id, t);
         self.owed.insert((due, a.id));
         let request = Request {
             id: a.id,
             class,
             tenant: 0,
-            key: a.subject.filter(|_| !keyed),
-            deadline: a.patience.map(|_| due.time()),
+            key: a.resource_key.filter(|_| !keyed),
+            deadline: a.caller_timeout.map(|_| due.time()),
             work_hint: a.work_hint.map(Micros::span),
             queued_kb: a.queued_kb,
             shed_order: a.shed_order,
             caller: a.caller,
-            is_retry: a.again,
+            is_retry: a.is_retry,
             read_delay: a.age.span(),
             original,
         };
@@ -455,39 +465,39 @@
     }
 
     /// Refuses a try of which the controller never hears.
-    fn turn_back(&mut self, id: RequestId, retry_after: Micros, out: &mut Vec<Verdict>) {
-        out.push(Verdict::Reject { id, retry_after, no_retry_elsewhere: false });
-        out.push(Verdict::Forget(id));
+    fn turn_back(&mut self, id: RequestId, retry_after: Micros, out: &mut Vec<EngineCommand>) {
+        out.push(EngineCommand::Reject { id, retry_after, no_retry_elsewhere: false });
+        out.push(EngineCommand::Forget(id));
     }
 
     /// Something happened: appends what is to be done about it.
-    pub fn report(&mut self, now: Moment, report: Report, out: &mut Vec<Verdict>) {
+    pub fn on_event(&mut self, now: Moment, report: EngineEvent, out: &mut Vec<EngineCommand>) {
         match report {
-            Report::Booted { cold, age } => return self.boot(now, cold, age, out),
-            Report::Link(up) => {
+            EngineEvent::BackendStarted { cold, age } => return self.boot(now, cold, age, out),
+            EngineEvent::BackendLink(up) => {
                 self.linked = up;
                 self.asked = None;
             }
-            Report::Ended(id, end) => self.ended(now, id, end, out),
-            Report::WantsCall(id) => self.pending.push(Event::CallRequested(id)),
-            Report::Called(id, end, lag) => self.called(id, end, lag),
-            Report::CannotSkip(id) => {
+            EngineEvent::RunEnded(id, end) => self.ended(now, id, end, out),
+            EngineEvent::CallRequested(id) => self.pending.push(Event::CallRequested(id)),
+            EngineEvent::CallEnded(id, end, lag) => self.called(id, end, lag),
+            EngineEvent::CallNotSkippable(id) => {
                 // It would wait for a call that nobody makes.
                 self.pending.push(Event::CallerGone(id));
                 self.fail(now, id, out);
             }
-            Report::Aborted(id) => self.aborted(now, id, out),
-            Report::Drain { notice, stop } => {
+            EngineEvent::CallerGone(id) => self.aborted(now, id, out),
+            EngineEvent::Drain { notice, stop } => {
                 self.drain = Some((notice.plus(self.settings.drain_grace.into()), stop));
                 self.pending.push(Event::Drain(stop.time()));
             }
-            Report::Gauged(gauges) => self.elapse(gauges),
+            EngineEvent::GaugesRead(gauges) => self.elapse(gauges),
         }
         self.step(now, out);
     }
 
     /// Time has passed: appends what came due and returns when to call again.
-    pub fn tick(&mut self, at: Moment, out: &mut Vec<Verdict>) -> Option<Micros> {
+    pub fn on_timer(&mut self, at: Moment, out: &mut Vec<EngineCommand>) -> Option<Micros> {
         let now = at.mono;
         while let Some((t, name)) = self.timers.first().copied().filter(|(t, _)| *t <= now) {
             self.timers.remove(&(t, name));
@@ -497,7 +507,7 @@
             match self.asked {
                 None if self.linked => {
                     self.asked = Some(now);
-                    out.push(Verdict::Gauge);
+                    out.push(EngineCommand::ReadGauges);
                 }
                 Some(since) if now.since(since) < GAUGE_WAIT => {}
                 // Guards against a link that is down or late: due times are looked at all the same.
@@ -515,7 +525,7 @@
         [overdue, timer, fallback, self.idempotency.wake()].into_iter().flatten().min()
     }
 
-    fn boot(&mut self, now: Moment, cold: bool, age: Micros, out: &mut Vec<Verdict>) {
+    fn boot(&mut self, now: Moment, cold: bool, age: Micros, out: &mut Vec<EngineCommand>) {
         self.linked = true;
         if self.controller.is_some() {
             return;
@@ -534,7 +544,7 @@
     }
 
     /// Hands the events that wait to the controller, until carrying out its actions makes no more.
-    fn step(&mut self, now: Moment, out: &mut Vec<Verdict>) {
+    fn step(&mut self, now: Moment, out: &mut Vec<EngineCommand>) {
         loop {
             let events = std::mem::take(&mut self.pending);
             if events.is_empty() {
@@ -547,7 +557,7 @@
         }
     }
 
-    fn carry_out(&mut self, now: Moment, actions: Vec<Action>, out: &mut Vec<Verdict>) {
+    fn carry_out(&mut self, now: Moment, actions: Vec<Action>, out: &mut Vec<EngineCommand>) {
         for action in actions {
             match action {
                 Action::Run(id) => self.run(now, id, out),
@@ -557,22 +567,22 @@
                 }
                 Action::Fail(id) => self.fail(now, id, out),
                 Action::SkipCall(id) => {
-                    if self.tries.get(&id).is_some_and(|t| t.running) {
-                        out.push(Verdict::SkipCall(id));
+                    if self.attempts.get(&id).is_some_and(|t| t.running) {
+                        out.push(EngineCommand::SkipCall(id));
                     }
                 }
                 Action::Coalesce(id) => self.reuse(id, out),
                 Action::Remember(id, span) => self.keep(id, now.plus(span.into()), out),
                 Action::Forget(id) => self.forget(now, id, out),
                 Action::Call(id, until) => {
-                    if let Some(t) = self.tries.get_mut(&id) {
+                    if let Some(t) = self.attempts.get_mut(&id) {
                         t.calling = true;
-                        out.push(Verdict::Call(id, Micros(until.0 / 1000).since(now.mono)));
+                        out.push(EngineCommand::Call(id, Micros(until.0 / 1000).since(now.mono)));
                     }
                 }
                 Action::AnnounceCapacity(value) => self.capacity = Some(value),
                 Action::Health { good, .. } => self.good = good,
-                Action::SetIdleTimeout(span) => out.push(Verdict::IdleLimit(span.into())),
+                Action::SetIdleTimeout(span) => out.push(EngineCommand::SetIdleTimeout(span.into())),
                 Action::SetTimer(name, span) => drop(self.timers.insert((now.mono.plus(span.into()), name))),
                 Action::Log(_) => {}
             }
@@ -581,22 +591,22 @@
 
     /// The answer that this try was owed is given now; false if none was.
     fn settle(&mut self, id: RequestId) -> bool {
-        let Some(t) = self.tries.get_mut(&id).filter(|t| t.owed) else { return false };
+        let Some(t) = self.attempts.get_mut(&id).filter(|t| t.owed) else { return false };
         t.owed = false;
         self.owed.remove(&(t.due, id));
         true
     }
 
     /// Forgets a try of which nothing more can come.
-    fn close(&mut self, id: RequestId, out: &mut Vec<Verdict>) {
-        if self.tries.get(&id).is_some_and(|t| !t.owed && !t.running && !t.awaits) {
-            self.tries.remove(&id);
-            out.push(Verdict::Forget(id));
+    fn close(&mut self, id: RequestId, out: &mut Vec<EngineCommand>) {
+        if self.attempts.get(&id).is_some_and(|t| !t.owed && !t.running && !t.awaits) {
+            self.attempts.remove(&id);
+            out.push(EngineCommand::Forget(id));
         }
     }
 
-    fn run(&mut self, now: Moment, id: RequestId, out: &mut Vec<Verdict>) {
-        let Some(t) = self.tries.get_mut(&id) else { return };
+    fn run(&mut self, now: Moment, id: RequestId, out: &mut Vec<EngineCommand>) {
+        let Some(t) = self.attempts.get_mut(&id) else { return };
         let begin = t.repeat_key.as_ref().map_or(Begin::Go, |key| {
             let window = self.settings.classes[t.class].dedup_window.into();
             let until = t.ingress.plus(window).plus(WINDOW_MARGIN);
@@ -605,7 +615,7 @@
         match begin {
             Begin::Go => {
                 (t.running, t.ran) = (true, true);
-                out.push(Verdict::Run(id));
+                out.push(EngineCommand::Run(id));
             }
             Begin::Wait => t.awaits = true,
             // Guards against an effect twice, whatever was decided.
@@ -617,9 +627,9 @@
     }
 
     /// Stops a run; one that has not begun yet need not be.
-    fn halt(&mut self, now: Moment, id: RequestId, out: &mut Vec<Verdict>) {
-        let Some(t) = self.tries.get_mut(&id).filter(|t| t.awaits) else {
-            return out.push(Verdict::Stop(id));
+    fn halt(&mut self, now: Moment, id: RequestId, out: &mut Vec<EngineCommand>) {
+        let Some(t) = self.attempts.get_mut(&id).filter(|t| t.awaits) else {
+            return out.push(EngineCommand::Preempt(id));
         };
         t.awaits = false;
         let key = t.repeat_key.clone();
@@ -630,22 +640,23 @@
     }
 
     /// Carries out what the register has settled since.
-    fn settle_waiting(&mut self, now: Moment, out: &mut Vec<Verdict>) {
+    fn settle_waiting(&mut self, now: Moment, out: &mut Vec<EngineCommand>) {
         let mut settled = Vec::new();
         self.idempotency.settled(now, &mut settled);
         for s in settled {
             match s {
                 Settled::Begun(id) => {
-                    if let Some(t) = self.tries.get_mut(&id).filter(|t| t.awaits) {
+                    if let Some(t) = self.attempts.get_mut(&id).filter(|t| t.awaits) {
                         (t.awaits, t.running, t.ran) = (false, true, true);
-                        out.push(Verdict::Run(id));
+                        out.push(EngineCommand::Run(id));
                     }
                 }
                 Settled::Unwritten(id, waiting, advice) => {
                     let most = self.settings.max_retry_after.unwrap_or_default().into();
                     let advice = advice.min(most);
                     for id in std::iter::once(id).chain(waiting) {
-                        let awaited = self.tries.get_mut(&id).is_some_and(|t| std::mem::take(&mut t.awaits));
+                        let awaited =
+                            self.attempts.get_mut(&id).is_some_and(|t| std::mem::take(&mut t.awaits));
                         let end = if awaited { Outcome::NeverStarted } else { Outcome::Error };
                         self.pending.push(Event::RunEnded(id, end));
                         self.turn_away(now, id, advice, false, out);
@@ -653,7 +664,7 @@
                 }
                 Settled::Stored(id, waiting, result) => {
                     if self.settle(id) {
-                        out.push(Verdict::Serve(id, result.clone()));
+                        out.push(EngineCommand::Serve(id, result.clone()));
                     }
                     self.close(id, out);
                     self.answer_waiting(waiting, Some(&result), out);
@@ -669,28 +680,28 @@
         id: RequestId,
         retry_after: Micros,
         no_retry_elsewhere: bool,
-        out: &mut Vec<Verdict>,
+        out: &mut Vec<EngineCommand>,
     ) {
-        let ran = self.tries.get(&id).is_some_and(|t| t.ran);
+        let ran = self.attempts.get(&id).is_some_and(|t| t.ran);
         if self.settle(id) {
             out.push(match ran {
-                true => Verdict::Fail { id, retry_after, no_retry_elsewhere },
-                false => Verdict::Reject { id, retry_after, no_retry_elsewhere },
+                true => EngineCommand::Fail { id, retry_after, no_retry_elsewhere },
+                false => EngineCommand::Reject { id, retry_after, no_retry_elsewhere },
             });
         }
         self.leave(now, id, out);
     }
 
-    fn fail(&mut self, now: Moment, id: RequestId, out: &mut Vec<Verdict>) {
+    fn fail(&mut self, now: Moment, id: RequestId, out: &mut Vec<EngineCommand>) {
         if self.settle(id) {
-            out.push(Verdict::Fail { id, retry_after: Micros(0), no_retry_elsewhere: false });
+            out.push(EngineCommand::Fail { id, retry_after: Micros(0), no_retry_elsewhere: false });
         }
         self.leave(now, id, out);
     }
 
     /// A try that was answered or given up leaves, unless its run goes on.
-    fn leave(&mut self, now: Moment, id: RequestId, out: &mut Vec<Verdict>) {
-        let Some(t) = self.tries.get_mut(&id) else { return };
+    fn leave(&mut self, now: Moment, id: RequestId, out: &mut Vec<EngineCommand>) {
+        let Some(t) = self.attempts.get_mut(&id) else { return };
         if let (Some(key), false) = (t.repeat_key.clone(), t.running) {
             let left = self.idempotency.leave(now, &key, id);
             if std::mem::take(&mut t.awaits) || left.withdrawn {
@@ -701,22 +712,27 @@
         self.close(id, out);
     }
 
-    fn answer_waiting(&mut self, ids: Vec<RequestId>, result: Option<&Rc<[u8]>>, out: &mut Vec<Verdict>) {
+    fn answer_waiting(
+        &mut self,
+        ids: Vec<RequestId>,
+        result: Option<&Rc<[u8]>>,
+        out: &mut Vec<EngineCommand>,
+    ) {
         for id in ids {
             let outcome = if result.is_some() { Outcome::Ok } else { Outcome::Error };
             self.pending.push(Event::RunEnded(id, outcome));
             if self.settle(id) {
                 out.push(match result {
-                    Some(r) => Verdict::Replay(id, r.clone()),
-                    None => Verdict::Fail { id, retry_after: Micros(0), no_retry_elsewhere: false },
+                    Some(r) => EngineCommand::Replay(id, r.clone()),
+                    None => EngineCommand::Fail { id, retry_after: Micros(0), no_retry_elsewhere: false },
                 });
             }
             self.close(id, out);
         }
     }
 
-    fn reuse(&mut self, id: RequestId, out: &mut Vec<Verdict>) {
-        let key = self.tries.get(&id).and_then(|t| t.repeat_key.as_ref());
+    fn reuse(&mut self, id: RequestId, out: &mut Vec<EngineCommand>) {
+        let key = self.attempts.get(&id).and_then(|t| t.repeat_key.as_ref());
         match key.map_or(Join::Fail, |key| self.idempotency.join(key, id)) {
             Join::Wait => {}
             Join::Replay(result) => self.answer_waiting(vec![id], Some(&result), out),
@@ -724,40 +740,40 @@
         }
     }
 
-    fn keep(&mut self, id: RequestId, until: Moment, out: &mut Vec<Verdict>) {
-        let Some(t) = self.tries.get(&id) else { return };
+    fn keep(&mut self, id: RequestId, until: Moment, out: &mut Vec<EngineCommand>) {
+        let Some(t) = self.attempts.get(&id) else { return };
         if let Some(key) = &t.repeat_key {
-            let waiting = self.idempotency.keep(key, id, t.print, until);
+            let waiting = self.idempotency.keep(key, id, t.fingerprint, until);
             self.answer_waiting(waiting, None, out);
         }
     }
 
     /// Drops an entry; one whose try ran stays, as the rule binds for the whole window.
-    fn forget(&mut self, now: Moment, id: RequestId, out: &mut Vec<Verdict>) {
-        let Some(t) = self.tries.get(&id).filter(|t| !t.running && !t.awaits) else { return };
+    fn forget(&mut self, now: Moment, id: RequestId, out: &mut Vec<EngineCommand>) {
+        let Some(t) = self.attempts.get(&id).filter(|t| !t.running && !t.awaits) else { return };
         let Some(key) = &t.repeat_key else { return };
         let left = self.idempotency.leave(now, key, id);
         self.answer_waiting(left.waiting, None, out);
     }
 
-    fn ended(&mut self, now: Moment, id: RequestId, end: RunEnd, out: &mut Vec<Verdict>) {
-        let Some(t) = self.tries.get_mut(&id).filter(|t| t.running) else { return };
+    fn ended(&mut self, now: Moment, id: RequestId, end: RunOutcome, out: &mut Vec<EngineCommand>) {
+        let Some(t) = self.attempts.get_mut(&id).filter(|t| t.running) else { return };
         t.running = false;
         if std::mem::take(&mut t.calling) {
-            out.push(Verdict::DropCall(id));
+            out.push(EngineCommand::DropCall(id));
         }
         let key = t.repeat_key.clone();
         let outcome = match &end {
-            RunEnd::Good(_) => Outcome::Ok,
-            RunEnd::Bad => Outcome::Error,
-            RunEnd::Cut => Outcome::Cancelled,
-            RunEnd::NeverRan => Outcome::NeverStarted,
+            RunOutcome::Succeeded(_) => Outcome::Ok,
+            RunOutcome::Failed => Outcome::Error,
+            RunOutcome::Cancelled => Outcome::Cancelled,
+            RunOutcome::NeverRan => Outcome::NeverStarted,
         };
         self.pending.push(Event::RunEnded(id, outcome));
         let result = match end {
-            RunEnd::Good(result) => RunResult::Good(result),
-            RunEnd::Bad | RunEnd::Cut => RunResult::None,
-            RunEnd::NeverRan => RunResult::NeverRan,
+            RunOutcome::Succeeded(result) => RunResult::Good(result),
+            RunOutcome::Failed | RunOutcome::Cancelled => RunResult::None,
+            RunOutcome::NeverRan => RunResult::NeverRan,
         };
         let ended = match (key, result) {
             (Some(key), result) => self.idempotency.end(now, &key, id, result),
@@ -769,28 +785,28 @@
         self.answer_waiting(waiting, result.as_ref(), out);
         if self.settle(id) {
             out.push(match result {
-                Some(result) => Verdict::Serve(id, result),
-                None => Verdict::Fail { id, retry_after: Micros(0), no_retry_elsewhere: false },
+                Some(result) => EngineCommand::Serve(id, result),
+                None => EngineCommand::Fail { id, retry_after: Micros(0), no_retry_elsewhere: false },
             });
         }
         self.close(id, out);
     }
 
-    fn called(&mut self, id: RequestId, end: CallEnd, lag: Micros) {
-        let Some(t) = self.tries.get_mut(&id).filter(|t| t.calling) else { return };
+    fn called(&mut self, id: RequestId, end: CallOutcome, lag: Micros) {
+        let Some(t) = self.attempts.get_mut(&id).filter(|t| t.calling) else { return };
         t.calling = false;
         let outcome = match end {
-            CallEnd::Good => Outcome::Ok,
-            CallEnd::Busy => Outcome::Overloaded,
-            CallEnd::Unreachable => Outcome::Unreachable,
-            CallEnd::Failed => Outcome::Error,
-            CallEnd::Late => Outcome::TimedOut,
-            CallEnd::Broken => Outcome::Reset,
+            CallOutcome::Succeeded => Outcome::Ok,
+            CallOutcome::Overloaded => Outcome::Overloaded,
+            CallOutcome::Unreachable => Outcome::Unreachable,
+            CallOutcome::Failed => Outcome::Error,
+            CallOutcome::TimedOut => Outcome::TimedOut,
+            CallOutcome::Broken => Outcome::Reset,
         };
         self.pending.push(Event::CallEnded(id, outcome, lag.span()));
     }
 
-    fn aborted(&mut self, now: Moment, id: RequestId, out: &mut Vec<Verdict>) {
+    fn aborted(&mut self, now: Moment, id: RequestId, out: &mut Vec<EngineCommand>) {
         if self.settle(id) {
             self.pending.push(Event::CallerGone(id));
             self.leave(now, id, out);
@@ -804,7 +820,7 @@
     }
 
     /// Guards against a lost request, whatever was decided: past its due time it gets a failure.
-    fn fail_overdue(&mut self, now: Moment, out: &mut Vec<Verdict>) {
+    fn fail_overdue(&mut self, now: Moment, out: &mut Vec<EngineCommand>) {
         while let Some((due, id)) = self.owed.first().copied().filter(|(t, _)| t.plus(OVERDUE) <= now.mono) {
             self.owed.remove(&(due, id));
             self.pending.push(Event::CallerGone(id));
--- a/crates/admission/src/idempotency.rs
+++ b/crates/admission/src/idempotency.rs
@@ -39,7 +39,7 @@
     /// This try has the key; the new one repeats it.
     Prior(RequestId),
     /// The key came with another body.
-    OtherBody,
+    BodyMismatch,
     /// Nothing, and no first try can be taken now: come back after this long.
     Closed(Micros),
 }
@@ -98,13 +98,13 @@
 /// The one table of keys.
 pub trait IdempotencyTable {
     /// Fingerprint of a body: bodies with the same are held to be the same.
-    fn print(&self, body: &[u8]) -> u128;
+    fn fingerprint(&self, body: &[u8]) -> u128;
     /// A try with this key and fingerprint came, which reached the machine at `at`.
-    fn find(&mut self, now: Moment, key: &str, print: u128, at: Moment) -> Found;
+    fn find(&mut self, now: Moment, key: &str, fingerprint: u128, at: Moment) -> Found;
     /// Whether the key is remembered for a try that reached the machine at `at`, whatever its body; changes nothing.
     fn knows(&self, key: &str, at: Moment) -> bool;
     /// The try is a first one and has the key from now on. Returns repeats that waited for the one before it.
-    fn keep(&mut self, key: &Rc<str>, id: RequestId, print: u128, until: Moment) -> Vec<RequestId>;
+    fn keep(&mut self, key: &Rc<str>, id: RequestId, fingerprint: u128, until: Moment) -> Vec<RequestId>;
     /// The try, which reached the machine at `at`, is to be run; repeats are recognised up to `until`.
     fn begin(&mut self, now: Moment, key: &Rc<str>, id: RequestId, at: Moment, until: Moment) -> Begin;
     /// A repeat wants the result of the try that has its key.
--- a/crates/admission/tests/engine.rs
+++ b/crates/admission/tests/engine.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::settings;
-use gaugestand_admission::engine::{Arrival, CallEnd, Engine, Micros, Report, RunEnd, Unfit, Verdict};
+use gaugestand_admission::engine::{
+    AdmitError, Arrival, CallOutcome, Engine, EngineCommand, EngineEvent, Micros, RunOutcome,
+};
 use gaugestand_admission::idempotency::Moment;
 use gaugestand_admission::{Downstream, RequestId, Settings};
 use gaugestand_idempotency::KeyTable;
@@ -28,15 +30,21 @@
         change(&mut settings);
         let engine = Engine::new(settings, 1, KeyTable::volatile()).expect("sound settings");
         let mut desk = Desk { engine, now: Micros::millis(3_600_000) };
-        desk.report(Report::Booted { cold: false, age: Micros(0) });
+        desk.report(EngineEvent::BackendStarted { cold: false, age: Micros(0) });
         desk
     }
 
-    fn pick(&mut self, id: u128, class: usize, age_ms: u64) -> Vec<Verdict> {
+    fn admit(&mut self, id: u128, class: usize, age_ms: u64) -> Vec<EngineCommand> {
         self.pick_body(id, class, age_ms, b"body").expect("it is taken in")
     }
 
-    fn pick_body(&mut self, id: u128, class: usize, age: u64, body: &[u8]) -> Result<Vec<Verdict>, Unfit> {
+    fn pick_body(
+        &mut self,
+        id: u128,
+        class: usize,
+        age: u64,
+        body: &[u8],
+    ) -> Result<Vec<EngineCommand>, AdmitError> {
         self.pick_try(id, class, age, |a| a.body = body)
     }
 
@@ -47,7 +55,7 @@
         class: usize,
         age: u64,
         change: impl FnOnce(&mut Arrival<'a>),
-    ) -> Result<Vec<Verdict>, Unfit> {
+    ) -> Result<Vec<EngineCommand>, AdmitError> {
         let mut arrival = Arrival {
             id: RequestId(id),
             class,
@@ -59,18 +67,18 @@
             queued_kb: 20.0,
             shed_order: 0.5,
             caller: 1,
-            patience: None,
-            again: false,
-            subject: None,
+            caller_timeout: None,
+            is_retry: false,
+            resource_key: None,
         };
         change(&mut arrival);
         let mut out = Vec::new();
-        self.engine.pick(self.moment(), arrival, &mut out).map(|()| out)
+        self.engine.admit(self.moment(), arrival, &mut out).map(|()| out)
     }
 
-    fn report(&mut self, report: Report) -> Vec<Verdict> {
+    fn report(&mut self, report: EngineEvent) -> Vec<EngineCommand> {
         let mut out = Vec::new();
-        self.engine.report(self.moment(), report, &mut out);
+        self.engine.on_event(self.moment(), report, &mut out);
         out
     }
 
@@ -79,14 +87,14 @@
     }
 
     /// Lets time pass in steps of 4 ms; nobody answers questions for gauges.
-    fn pass(&mut self, ms: u64) -> Vec<Verdict> {
+    fn pass(&mut self, ms: u64) -> Vec<EngineCommand> {
         let mut out = Vec::new();
         for _ in 0..ms / 4 {
             self.now = self.now.plus(Micros::millis(4));
-            let wake = self.engine.tick(self.moment(), &mut out);
+            let wake = self.engine.on_timer(self.moment(), &mut out);
             assert!(wake.is_some_and(|w| w > self.now), "it wakes again, and not at once");
         }
-        out.retain(|v| !matches!(v, Verdict::Gauge | Verdict::IdleLimit(_)));
+        out.retain(|v| !matches!(v, EngineCommand::ReadGauges | EngineCommand::SetIdleTimeout(_)));
         out
     }
 }
@@ -102,42 +110,45 @@
 #[test]
 fn a_run_that_is_given_up_is_failed_at_once_with_when_to_come_back_and_not_refused() {
     let mut desk = Desk::new();
-    assert_eq!(desk.pick(1, PURE, 0), [Verdict::Run(id(1))]);
+    assert_eq!(desk.admit(1, PURE, 0), [EngineCommand::Run(id(1))]);
     // The aim is a second; the due time, two more.
     let out = desk.pass(1100);
-    let fails =
-        |v: &Verdict| matches!(v, Verdict::Fail { id: RequestId(1), retry_after, .. } if retry_after.0 > 0);
-    assert!(out.iter().any(fails) && out.contains(&Verdict::Stop(id(1))), "{out:?}");
-    assert!(!out.iter().any(|v| matches!(v, Verdict::Reject { .. })), "{out:?}");
+    let fails = |v: &EngineCommand| matches!(v, EngineCommand::Fail { id: RequestId(1), retry_after, .. } if retry_after.0 > 0);
+    assert!(out.iter().any(fails) && out.contains(&EngineCommand::Preempt(id(1))), "{out:?}");
+    assert!(!out.iter().any(|v| matches!(v, EngineCommand::Reject { .. })), "{out:?}");
     assert_eq!(desk.engine.owed(), 0);
-    assert_eq!(desk.report(Report::Ended(id(1), RunEnd::Cut)), [Verdict::Forget(id(1))]);
+    assert_eq!(
+        desk.report(EngineEvent::RunEnded(id(1), RunOutcome::Cancelled)),
+        [EngineCommand::Forget(id(1))]
+    );
 }
 
 #[test]
 fn what_comes_too_late_to_be_run_is_refused_at_once() {
     let mut desk = Desk::new();
-    let out = desk.pick(1, PURE, 990);
-    let refused = |v: &Verdict| matches!(v, Verdict::Reject { retry_after, .. } if retry_after.0 > 0);
+    let out = desk.admit(1, PURE, 990);
+    let refused =
+        |v: &EngineCommand| matches!(v, EngineCommand::Reject { retry_after, .. } if retry_after.0 > 0);
     // With idle cores one run is tried; with busy ones the aim is out of reach.
-    assert_eq!(out, [Verdict::Run(id(1))]);
-    let out = desk.pick(2, PURE, 990);
+    assert_eq!(out, [EngineCommand::Run(id(1))]);
+    let out = desk.admit(2, PURE, 990);
     assert!(out.iter().any(refused), "{out:?}");
 }
 
 #[test]
 fn a_window_counts_from_the_ingress_of_the_try_that_ran_and_outlives_no_further_one() {
     let mut desk = Desk::new();
-    assert_eq!(desk.pick(1, KEYED, 0), [Verdict::Run(id(1))]);
-    let served = desk.report(Report::Ended(id(1), RunEnd::Good(result())));
-    assert_eq!(served, [Verdict::Serve(id(1), result()), Verdict::Forget(id(1))]);
+    assert_eq!(desk.admit(1, KEYED, 0), [EngineCommand::Run(id(1))]);
+    let served = desk.report(EngineEvent::RunEnded(id(1), RunOutcome::Succeeded(result())));
+    assert_eq!(served, [EngineCommand::Serve(id(1), result()), EngineCommand::Forget(id(1))]);
     desk.pass(4900);
-    let replayed = desk.pick(2, KEYED, 0);
-    assert_eq!(replayed, [Verdict::Replay(id(2), result()), Verdict::Forget(id(2))]);
+    let replayed = desk.admit(2, KEYED, 0);
+    assert_eq!(replayed, [EngineCommand::Replay(id(2), result()), EngineCommand::Forget(id(2))]);
     desk.pass(400);
     // Read after the window of 5 s, but come to the machine in it.
-    assert_eq!(desk.pick(3, KEYED, 350)[0], Verdict::Replay(id(3), result()));
+    assert_eq!(desk.admit(3, KEYED, 350)[0], EngineCommand::Replay(id(3), result()));
     // Replays do not lengthen it: this one is a first again.
-    assert_eq!(desk.pick(4, KEYED, 0), [Verdict::Run(id(4))]);
+    assert_eq!(desk.admit(4, KEYED, 0), [EngineCommand::Run(id(4))]);
 }
 
 #[test]
@@ -145,41 +156,44 @@
     let mut desk = Desk::new();
     // Two cores are taken, and two more wait: the keyed one is held.
     for n in 10..20 {
-        desk.pick(n, PURE, 0);
+        desk.admit(n, PURE, 0);
     }
-    let held = desk.pick(1, KEYED, 0);
-    assert!(!held.contains(&Verdict::Run(id(1))), "{held:?}");
-    assert_eq!(desk.pick(2, KEYED, 0), []);
-    let out = desk.report(Report::Aborted(id(1)));
-    assert!(out.iter().any(|v| matches!(v, Verdict::Fail { id: RequestId(2), .. })), "{out:?}");
-    assert!(out.contains(&Verdict::Forget(id(1))) && out.contains(&Verdict::Forget(id(2))), "{out:?}");
+    let held = desk.admit(1, KEYED, 0);
+    assert!(!held.contains(&EngineCommand::Run(id(1))), "{held:?}");
+    assert_eq!(desk.admit(2, KEYED, 0), []);
+    let out = desk.report(EngineEvent::CallerGone(id(1)));
+    assert!(out.iter().any(|v| matches!(v, EngineCommand::Fail { id: RequestId(2), .. })), "{out:?}");
+    assert!(
+        out.contains(&EngineCommand::Forget(id(1))) && out.contains(&EngineCommand::Forget(id(2))),
+        "{out:?}"
+    );
 }
 
 #[test]
 fn an_end_that_is_told_twice_counts_once() {
     let mut desk = Desk::new();
-    desk.pick(1, KEYED, 0);
-    assert_eq!(desk.report(Report::Ended(id(1), RunEnd::Good(result()))).len(), 2);
-    assert_eq!(desk.report(Report::Ended(id(1), RunEnd::Bad)), []);
-    assert_eq!(desk.pick(2, KEYED, 0)[0], Verdict::Replay(id(2), result()));
+    desk.admit(1, KEYED, 0);
+    assert_eq!(desk.report(EngineEvent::RunEnded(id(1), RunOutcome::Succeeded(result()))).len(), 2);
+    assert_eq!(desk.report(EngineEvent::RunEnded(id(1), RunOutcome::Failed)), []);
+    assert_eq!(desk.admit(2, KEYED, 0)[0], EngineCommand::Replay(id(2), result()));
 }
 
 #[test]
 fn the_call_of_a_run_that_ended_is_dropped_and_its_late_reply_ignored() {
     let mut desk = Desk::new();
-    desk.pick(1, PURE, 0);
-    let called = desk.report(Report::WantsCall(id(1)));
-    assert!(matches!(called[..], [Verdict::Call(RequestId(1), wait)] if wait.0 > 0), "{called:?}");
-    let out = desk.report(Report::Ended(id(1), RunEnd::Cut));
-    assert_eq!(out[0], Verdict::DropCall(id(1)));
-    assert_eq!(desk.report(Report::Called(id(1), CallEnd::Late, Micros(5))), []);
+    desk.admit(1, PURE, 0);
+    let called = desk.report(EngineEvent::CallRequested(id(1)));
+    assert!(matches!(called[..], [EngineCommand::Call(RequestId(1), wait)] if wait.0 > 0), "{called:?}");
+    let out = desk.report(EngineEvent::RunEnded(id(1), RunOutcome::Cancelled));
+    assert_eq!(out[0], EngineCommand::DropCall(id(1)));
+    assert_eq!(desk.report(EngineEvent::CallEnded(id(1), CallOutcome::TimedOut, Micros(5))), []);
 }
 
 #[test]
 fn an_id_that_is_known_gets_no_second_verdict() {
     let mut desk = Desk::new();
-    desk.pick(1, PURE, 0);
-    assert_eq!(desk.pick_body(1, PURE, 0, b"body"), Err(Unfit::Known));
+    desk.admit(1, PURE, 0);
+    assert_eq!(desk.pick_body(1, PURE, 0, b"body"), Err(AdmitError::DuplicateId));
 }
 
 // Guards against a stored result, or a place in the line for it, that goes to a request which only names its
@@ -188,43 +202,46 @@
 fn a_key_with_another_body_is_another_request_and_gets_nothing_of_the_first() {
     let mut desk = Desk::new();
     for n in 10..20 {
-        desk.pick(n, PURE, 0);
+        desk.admit(n, PURE, 0);
     }
-    desk.pick(1, KEYED, 0);
-    assert_eq!(desk.pick_body(2, KEYED, 0, b"other"), Err(Unfit::OtherBody));
+    desk.admit(1, KEYED, 0);
+    assert_eq!(desk.pick_body(2, KEYED, 0, b"other"), Err(AdmitError::KeyConflict));
     let mut desk = Desk::new();
-    assert_eq!(desk.pick(1, KEYED, 0), [Verdict::Run(id(1))]);
-    assert_eq!(desk.pick_body(2, KEYED, 0, b"other"), Err(Unfit::OtherBody));
-    assert_eq!(desk.report(Report::Ended(id(1), RunEnd::Good(result())))[0], Verdict::Serve(id(1), result()));
-    assert_eq!(desk.pick_body(3, KEYED, 0, b"other"), Err(Unfit::OtherBody));
-    assert_eq!(desk.pick(4, KEYED, 0)[0], Verdict::Replay(id(4), result()));
+    assert_eq!(desk.admit(1, KEYED, 0), [EngineCommand::Run(id(1))]);
+    assert_eq!(desk.pick_body(2, KEYED, 0, b"other"), Err(AdmitError::KeyConflict));
+    assert_eq!(
+        desk.report(EngineEvent::RunEnded(id(1), RunOutcome::Succeeded(result())))[0],
+        EngineCommand::Serve(id(1), result())
+    );
+    assert_eq!(desk.pick_body(3, KEYED, 0, b"other"), Err(AdmitError::KeyConflict));
+    assert_eq!(desk.admit(4, KEYED, 0)[0], EngineCommand::Replay(id(4), result()));
 }
 
 #[test]
 fn after_the_notice_to_leave_nothing_late_runs_and_all_is_answered_before_the_stop() {
     let mut desk = Desk::new();
-    assert_eq!(desk.pick(1, KEYED, 0), [Verdict::Run(id(1))]);
+    assert_eq!(desk.admit(1, KEYED, 0), [EngineCommand::Run(id(1))]);
     assert!(desk.engine.healthy());
     let stop = desk.now.plus(Micros::millis(1900));
     // The notice came 300 ms ago, and the grace is a second.
     let notice = desk.now.since(Micros::millis(300));
-    desk.report(Report::Drain { notice, stop });
+    desk.report(EngineEvent::Drain { notice, stop });
     assert!(!desk.engine.healthy());
     desk.pass(740);
-    let out = desk.pick(2, PURE, 0);
-    assert!(out.iter().any(|v| matches!(v, Verdict::Reject { id: RequestId(2), .. })), "{out:?}");
+    let out = desk.admit(2, PURE, 0);
+    assert!(out.iter().any(|v| matches!(v, EngineCommand::Reject { id: RequestId(2), .. })), "{out:?}");
     desk.pass(1140);
     assert!(desk.now < stop);
     assert_eq!(desk.engine.owed(), 0);
 }
 
 /// When a try is answered that came with this patience, in ms after it came to the machine; nothing ever ends its run.
-fn answered_after(age: u64, patience: Option<u64>) -> u64 {
+fn answered_after(age: u64, caller_timeout: Option<u64>) -> u64 {
     let mut desk = Desk::new();
     let began = desk.now;
-    let told = |a: &mut Arrival<'_>| a.patience = patience.map(Micros::millis);
+    let told = |a: &mut Arrival<'_>| a.caller_timeout = caller_timeout.map(Micros::millis);
     let mut out = desk.pick_try(1, PURE, age, told).expect("it is taken in");
-    while !out.iter().any(|v| matches!(v, Verdict::Reject { .. } | Verdict::Fail { .. })) {
+    while !out.iter().any(|v| matches!(v, EngineCommand::Reject { .. } | EngineCommand::Fail { .. })) {
         out = desk.pass(4);
     }
     age + desk.now.since(began).0 / 1000
@@ -245,8 +262,8 @@
         (0, Some(60_000), 900, 1_000),
         (0, None, 900, 1_000),
     ];
-    for (age, patience, least, most) in table {
-        let after = answered_after(age, patience);
+    for (age, caller_timeout, least, most) in table {
+        let after = answered_after(age, caller_timeout);
         // The slack that the rules allow.
         assert!((least..=most + 60).contains(&after), "{patience:?} at {age}: answered after {after} ms");
     }
@@ -255,52 +272,56 @@
 #[test]
 fn a_keyed_try_whose_patience_is_spent_never_runs_and_leaves_its_key_free() {
     let mut desk = Desk::new();
-    let out = desk.pick_try(1, KEYED, 500, |a| a.patience = Some(Micros::millis(400))).expect("taken in");
-    assert!(matches!(out[0], Verdict::Reject { id: RequestId(1), .. }), "{out:?}");
-    assert_eq!(desk.pick(2, KEYED, 0), [Verdict::Run(id(2))]);
+    let out =
+        desk.pick_try(1, KEYED, 500, |a| a.caller_timeout = Some(Micros::millis(400))).expect("taken in");
+    assert!(matches!(out[0], EngineCommand::Reject { id: RequestId(1), .. }), "{out:?}");
+    assert_eq!(desk.admit(2, KEYED, 0), [EngineCommand::Run(id(2))]);
 }
 
 #[test]
 fn a_marked_further_try_goes_behind_first_ones_of_equal_worth() {
     let mut desk = Desk::new();
     for n in 10..12 {
-        desk.pick(n, PURE, 0);
+        desk.admit(n, PURE, 0);
     }
-    desk.pick_try(1, PURE, 0, |a| a.again = true).expect("taken in");
-    desk.pick(2, PURE, 0);
-    let out = desk.report(Report::Ended(id(10), RunEnd::Good(result())));
-    assert!(out.contains(&Verdict::Run(id(2))) && !out.contains(&Verdict::Run(id(1))), "{out:?}");
+    desk.pick_try(1, PURE, 0, |a| a.is_retry = true).expect("taken in");
+    desk.admit(2, PURE, 0);
+    let out = desk.report(EngineEvent::RunEnded(id(10), RunOutcome::Succeeded(result())));
+    assert!(out.contains(&EngineCommand::Run(id(2))) && !out.contains(&EngineCommand::Run(id(1))), "{out:?}");
 }
 
 // Guards against the loss of what an answer without its call still earns.
 #[test]
 fn a_run_goes_on_without_a_call_that_came_to_nothing_where_that_earns_something() {
     for (end, skips) in [
-        (CallEnd::Busy, true),
-        (CallEnd::Late, true),
-        (CallEnd::Broken, true),
-        (CallEnd::Failed, true),
-        (CallEnd::Unreachable, true),
-        (CallEnd::Good, false),
+        (CallOutcome::Overloaded, true),
+        (CallOutcome::TimedOut, true),
+        (CallOutcome::Broken, true),
+        (CallOutcome::Failed, true),
+        (CallOutcome::Unreachable, true),
+        (CallOutcome::Succeeded, false),
     ] {
         let mut desk = Desk::with(|s| s.classes[PURE].skipped_call_weight = 0.3);
-        desk.pick(1, PURE, 0);
-        desk.report(Report::WantsCall(id(1)));
-        let out = desk.report(Report::Called(id(1), end, Micros(900)));
-        assert_eq!(out.contains(&Verdict::SkipCall(id(1))), skips, "{end:?}: {out:?}");
-        assert!(!out.iter().any(|v| matches!(v, Verdict::Fail { .. })), "{end:?}: {out:?}");
+        desk.admit(1, PURE, 0);
+        desk.report(EngineEvent::CallRequested(id(1)));
+        let out = desk.report(EngineEvent::CallEnded(id(1), end, Micros(900)));
+        assert_eq!(out.contains(&EngineCommand::SkipCall(id(1))), skips, "{end:?}: {out:?}");
+        assert!(!out.iter().any(|v| matches!(v, EngineCommand::Fail { .. })), "{end:?}: {out:?}");
         // A reply that comes all the same changes nothing.
-        assert_eq!(desk.report(Report::Called(id(1), CallEnd::Good, Micros(950))), []);
-        let served = desk.report(Report::Ended(id(1), RunEnd::Good(result())));
-        assert_eq!(served, [Verdict::Serve(id(1), result()), Verdict::Forget(id(1))]);
+        assert_eq!(desk.report(EngineEvent::CallEnded(id(1), CallOutcome::Succeeded, Micros(950))), []);
+        let served = desk.report(EngineEvent::RunEnded(id(1), RunOutcome::Succeeded(result())));
+        assert_eq!(served, [EngineCommand::Serve(id(1), result()), EngineCommand::Forget(id(1))]);
     }
     // Where the kernel will not have it the try is failed at once, and only once.
     let mut desk = Desk::with(|s| s.classes[PURE].skipped_call_weight = 0.3);
-    desk.pick(1, PURE, 0);
-    desk.report(Report::WantsCall(id(1)));
-    desk.report(Report::Called(id(1), CallEnd::Busy, Micros(900)));
-    let out = desk.report(Report::CannotSkip(id(1)));
-    assert!(matches!(out[0], Verdict::Fail { id: RequestId(1), .. }), "{out:?}");
-    assert_eq!(desk.report(Report::CannotSkip(id(1))), []);
-    assert_eq!(desk.report(Report::Ended(id(1), RunEnd::Cut)), [Verdict::Forget(id(1))]);
+    desk.admit(1, PURE, 0);
+    desk.report(EngineEvent::CallRequested(id(1)));
+    desk.report(EngineEvent::CallEnded(id(1), CallOutcome::Overloaded, Micros(900)));
+    let out = desk.report(EngineEvent::CallNotSkippable(id(1)));
+    assert!(matches!(out[0], EngineCommand::Fail { id: RequestId(1), .. }), "{out:?}");
+    assert_eq!(desk.report(EngineEvent::CallNotSkippable(id(1))), []);
+    assert_eq!(
+        desk.report(EngineEvent::RunEnded(id(1), RunOutcome::Cancelled)),
+        [EngineCommand::Forget(id(1))]
+    );
 }
--- a/crates/fakes/src/postgres.rs
+++ b/crates/fakes/src/postgres.rs
@@ -47,7 +47,7 @@
     /// What runs it: 16 bytes.
     pub holder: Vec<u8>,
     /// Fingerprint: 16 bytes.
-    pub print: Vec<u8>,
+    pub fingerprint: Vec<u8>,
     /// Microseconds of Unix time.
     pub ran: i64,
     /// Microseconds of Unix time.
@@ -524,9 +524,9 @@
         let columns = |key: &str, k: &Kept| {
             let big = |n: i64| Some(n.to_be_bytes().to_vec());
             let state = Some(k.state.to_be_bytes().to_vec());
-            let (holder, print) = (Some(k.holder.clone()), Some(k.print.clone()));
+            let (holder, fingerprint) = (Some(k.holder.clone()), Some(k.fingerprint.clone()));
             let key = Some(key.as_bytes().to_vec());
-            vec![key, holder, print, big(k.ran), big(k.until), big(k.stamp), state, k.result.clone()]
+            vec![key, holder, fingerprint, big(k.ran), big(k.until), big(k.stamp), state, k.result.clone()]
         };
         let shared = self.shared.clone();
         let mut db = shared.db();
@@ -656,7 +656,7 @@
             let bytes = |i: usize| param(i).clone().unwrap_or_default();
             let row = Kept {
                 holder: bytes(2),
-                print: bytes(3),
+                fingerprint: bytes(3),
                 ran: int(param(4)),
                 until: int(param(5)),
                 stamp: int(param(6)),
--- a/crates/idempotency/src/postgres.rs
+++ b/crates/idempotency/src/postgres.rs
@@ -326,7 +326,7 @@
                         Param::Text(node),
                         Param::Text(&row.key),
                         Param::Bytes(&row.holder.to_be_bytes()),
-                        Param::Bytes(&row.print.to_be_bytes()),
+                        Param::Bytes(&row.fingerprint.to_be_bytes()),
                         Param::Big(row.ran as i64),
                         Param::Big(row.until as i64),
                         Param::Big(row.stamp as i64),
@@ -573,8 +573,16 @@
 
 /// A row of the table, in binary.
 fn record(columns: &[Option<&[u8]>]) -> Result<Row, Fault> {
-    let [Some(key), Some(holder), Some(print), Some(ran), Some(until), Some(stamp), Some(state), result] =
-        columns
+    let [
+        Some(key),
+        Some(holder),
+        Some(fingerprint),
+        Some(ran),
+        Some(until),
+        Some(stamp),
+        Some(state),
+        result,
+    ] = columns
     else {
         return fault("a row of another form");
     };
@@ -585,7 +593,7 @@
         Some(Row {
             key: String::from_utf8(key.to_vec()).ok()?,
             holder: number(holder)?,
-            print: number(print)?,
+            fingerprint: number(fingerprint)?,
             ran: time(ran)?,
             until: time(until)?,
             stamp: time(stamp)?,
--- a/crates/idempotency/src/row.rs
+++ b/crates/idempotency/src/row.rs
@@ -43,7 +43,7 @@
     /// The try that ran, or was about to.
     pub holder: u128,
     /// Fingerprint of the body.
-    pub print: u128,
+    pub fingerprint: u128,
     /// Unix time, in microseconds, at which that try reached the machine.
     pub ran: u64,
     /// Unix time, in microseconds, of the end of its window.
--- a/crates/idempotency/src/sqlite.rs
+++ b/crates/idempotency/src/sqlite.rs
@@ -308,7 +308,7 @@
                 put.execute(params![
                     row.key,
                     row.holder.to_be_bytes().as_slice(),
-                    row.print.to_be_bytes().as_slice(),
+                    row.fingerprint.to_be_bytes().as_slice(),
                     row.ran as i64,
                     row.until as i64,
                     row.stamp as i64,
@@ -370,7 +370,7 @@
     let mut hasher = blake3::Hasher::new();
     hasher.update(row.key.as_bytes());
     hasher.update(&row.holder.to_be_bytes());
-    hasher.update(&row.print.to_be_bytes());
+    hasher.update(&row.fingerprint.to_be_bytes());
     for n in [row.ran, row.until, row.stamp, row.state.code() as u64] {
         hasher.update(&n.to_be_bytes());
     }
@@ -389,7 +389,7 @@
     let row = Row {
         key: r.get(0)?,
         holder: number(1)?,
-        print: number(2)?,
+        fingerprint: number(2)?,
         ran: r.get::<_, i64>(3)? as u64,
         until: r.get::<_, i64>(4)? as u64,
         stamp: r.get::<_, i64>(5)? as u64,
--- a/crates/idempotency/src/table.rs
+++ b/crates/idempotency/src/table.rs
@@ -91,7 +91,7 @@
 #[derive(Debug)]
 struct Entry {
     holder: RequestId,
-    print: u128,
+    fingerprint: u128,
     /// Wall clock at which the try that ran reached the machine.
     ran: Micros,
     until: Moment,
@@ -107,8 +107,16 @@
     }
 
     fn row(&self, key: &str, state: State) -> Row {
-        let (holder, print, stamp) = (self.holder.0, self.print, self.stamp);
-        Row { key: key.to_string(), holder, print, ran: self.ran.0, until: self.until.wall.0, stamp, state }
+        let (holder, fingerprint, stamp) = (self.holder.0, self.fingerprint, self.stamp);
+        Row {
+            key: key.to_string(),
+            holder,
+            fingerprint,
+            ran: self.ran.0,
+            until: self.until.wall.0,
+            stamp,
+            state,
+        }
     }
 }
 
@@ -134,7 +142,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Known {
     holder: RequestId,
-    print: u128,
+    #[serde(rename = "print")]
+    fingerprint: u128,
     ran: Micros,
     until: Moment,
     phase: Stage,
@@ -343,7 +352,7 @@
             let wall = until.wall.max(Micros(row.until));
             let entry = Entry {
                 holder: RequestId(row.holder),
-                print: row.print,
+                fingerprint: row.fingerprint,
                 ran: Micros(row.ran),
                 until: Moment { mono: until.mono, wall },
                 stamp: row.stamp,
@@ -611,21 +620,21 @@
 }
 
 impl IdempotencyTable for KeyTable {
-    fn print(&self, body: &[u8]) -> u128 {
+    fn fingerprint(&self, body: &[u8]) -> u128 {
         // The same after a restart where there is a store; half as long as the hash: 2^64 tries for two alike.
         let hash = match self.durable {
             None => blake3::keyed_hash(&self.secret, body),
             Some(_) => blake3::hash(body),
         };
-        let mut print = [0; 16];
-        print.copy_from_slice(&hash.as_bytes()[..16]);
-        u128::from_be_bytes(print)
+        let mut fingerprint = [0; 16];
+        fingerprint.copy_from_slice(&hash.as_bytes()[..16]);
+        u128::from_be_bytes(fingerprint)
     }
 
-    fn find(&mut self, now: Moment, key: &str, print: u128, at: Moment) -> Found {
+    fn find(&mut self, now: Moment, key: &str, fingerprint: u128, at: Moment) -> Found {
         match self.keys.get(key).filter(|e| at.is_before(e.until)) {
             // Guards against a result that goes to whoever names its key: it is another request's.
-            Some(e) if e.print != print => Found::OtherBody,
+            Some(e) if e.fingerprint != fingerprint => Found::BodyMismatch,
             Some(e) => Found::Prior(e.holder),
             None if self.closed_until.is_some_and(|t| now.mono < t) => {
                 self.figures.turned_away += 1;
@@ -643,11 +652,12 @@
         self.keys.get(key).is_some_and(|e| at.is_before(e.until))
     }
 
-    fn keep(&mut self, key: &Rc<str>, id: RequestId, print: u128, until: Moment) -> Vec<RequestId> {
+    fn keep(&mut self, key: &Rc<str>, id: RequestId, fingerprint: u128, until: Moment) -> Vec<RequestId> {
         self.mark(key);
         let phase = Phase::Held;
         self.figures.bytes += bytes(key, &phase);
-        let entry = Entry { holder: id, print, ran: Micros(0), until, stamp: 0, phase, waiting: Vec::new() };
+        let entry =
+            Entry { holder: id, fingerprint, ran: Micros(0), until, stamp: 0, phase, waiting: Vec::new() };
         let old = self.keys.insert(key.clone(), entry);
         match old {
             Some(old) => {
@@ -834,7 +844,7 @@
         }
         let known = |e: &Entry| Known {
             holder: e.holder,
-            print: e.print,
+            fingerprint: e.fingerprint,
             ran: e.ran,
             until: e.until,
             phase: match &e.phase {
@@ -876,8 +886,8 @@
         };
         self.figures.bytes += bytes(&key, &phase);
         self.expiry.push_back((known.until.mono.plus(READ_LATE), key.clone()));
-        let (holder, print, ran, until) = (known.holder, known.print, known.ran, known.until);
-        let entry = Entry { holder, print, ran, until, stamp: 0, phase, waiting: known.waiting };
+        let (holder, fingerprint, ran, until) = (known.holder, known.fingerprint, known.ran, known.until);
+        let entry = Entry { holder, fingerprint, ran, until, stamp: 0, phase, waiting: known.waiting };
         self.keys.insert(key, entry);
     }
 
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -3,7 +3,7 @@
 //!
 //! Bound: three tries of one key, up to `depth()` steps, two crashes, two stalls, two breaks, one due time passed.
 
-use gaugestand_admission::engine::{Arrival, Engine, Micros, Report, RunEnd, Verdict};
+use gaugestand_admission::engine::{Arrival, Engine, EngineCommand, EngineEvent, Micros, RunOutcome};
 use gaugestand_admission::idempotency::Moment;
 use gaugestand_admission::{
     BackpressureSignal, Class, Downstream, Effect, Preemption, RequestId, Settings, Span, WeightBy,
@@ -140,7 +140,7 @@
         let found = Recovery { found: rows.len() as u64, rows, epoch: self.epoch };
         self.engine.idempotency().load(self.now, found);
         let mut out = Vec::new();
-        self.engine.report(self.now, Report::Booted { cold: false, age: Micros(0) }, &mut out);
+        self.engine.on_event(self.now, EngineEvent::BackendStarted { cold: false, age: Micros(0) }, &mut out);
         self.carry_out(out);
         self.settle();
     }
@@ -161,11 +161,11 @@
                     queued_kb: 20.0,
                     shed_order: 0.5,
                     caller: 1,
-                    patience: None,
-                    again: false,
-                    subject: None,
+                    caller_timeout: None,
+                    is_retry: false,
+                    resource_key: None,
                 };
-                self.engine.pick(self.now, arrival, &mut out).expect("an id and a body that fit");
+                self.engine.admit(self.now, arrival, &mut out).expect("an id and a body that fit");
             }
             Step::Commit | Step::CommitUnheard | Step::Lost | Step::Refused => {
                 let Some(batch) = self.out.take() else { return };
@@ -184,7 +184,11 @@
                 let Some(id) = self.running.pop() else { return };
                 let result: Rc<[u8]> = format!("result {}", self.runs).into_bytes().into();
                 self.result = Some(result.clone());
-                self.engine.report(self.now, Report::Ended(id, RunEnd::Good(result)), &mut out);
+                self.engine.on_event(
+                    self.now,
+                    EngineEvent::RunEnded(id, RunOutcome::Succeeded(result)),
+                    &mut out,
+                );
             }
             Step::Stall => self.now = self.now.plus(Micros::millis(300)),
             Step::Due => self.now = self.now.plus(Micros::millis(2_100)),
@@ -212,7 +216,7 @@
     fn settle(&mut self) {
         for _ in 0..4 {
             let mut out = Vec::new();
-            self.engine.tick(self.now, &mut out);
+            self.engine.on_timer(self.now, &mut out);
             self.carry_out(out);
             if self.out.is_none() {
                 self.out = self.engine.idempotency().work(self.now.mono);
@@ -249,29 +253,29 @@
         }
     }
 
-    fn carry_out(&mut self, verdicts: Vec<Verdict>) {
+    fn carry_out(&mut self, verdicts: Vec<EngineCommand>) {
         for verdict in verdicts {
             match verdict {
-                Verdict::Run(id) => {
+                EngineCommand::Run(id) => {
                     self.runs += 1;
                     self.ran.push(id.0);
                     self.running.push(id);
                 }
-                Verdict::Serve(id, result) | Verdict::Replay(id, result) => {
+                EngineCommand::Serve(id, result) | EngineCommand::Replay(id, result) => {
                     let stored = self.store.get("k").map(|r| r.state.clone());
                     if stored != Some(State::Good(result.to_vec())) {
                         self.faults.push("a result was shown that is not durable");
                     }
                     self.answer(id, "served");
                 }
-                Verdict::Reject { id, .. } => {
+                EngineCommand::Reject { id, .. } => {
                     if self.ran.contains(&id.0) {
                         self.faults.push("a try that ran was refused");
                     }
                     self.answer(id, "refused");
                 }
-                Verdict::Fail { id, .. } => self.answer(id, "failed"),
-                Verdict::Stop(id) => self.running.retain(|r| *r != id),
+                EngineCommand::Fail { id, .. } => self.answer(id, "failed"),
+                EngineCommand::Preempt(id) => self.running.retain(|r| *r != id),
                 _ => {}
             }
         }
--- a/crates/idempotency/tests/stores.rs
+++ b/crates/idempotency/tests/stores.rs
@@ -38,7 +38,7 @@
 }
 
 fn row(key: &str, stamp: u64, state: State) -> Row {
-    Row { key: key.into(), holder: u128::MAX - 7, print: 9, ran: 1_000, until: 2_000, stamp, state }
+    Row { key: key.into(), holder: u128::MAX - 7, fingerprint: 9, ran: 1_000, until: 2_000, stamp, state }
 }
 
 fn put(key: &str, stamp: u64, state: State) -> Write {
--- a/crates/idempotency/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -88,7 +88,7 @@
 
 fn row(key: &str, n: u128, state: State) -> Row {
     let (ran, until) = (start().wall.0 - 5_000_000, start().wall.plus(WINDOW).0 - 5_000_000);
-    Row { key: key.into(), holder: n, print: 1, ran, until, stamp: 7, state }
+    Row { key: key.into(), holder: n, fingerprint: 1, ran, until, stamp: 7, state }
 }
 
 /// Hard case 5: what a repeat finds, by how long after the first one it came, and how the wall clock was set.
@@ -141,7 +141,7 @@
             if binds {
                 assert_eq!(book.key_table.join("good", id(9)), Join::Replay(Rc::from(*b"r")));
                 assert_eq!(book.key_table.join("doubt", id(9)), Join::Fail);
-                assert_eq!(book.key_table.find(book.now, "good", 2, book.now), Found::OtherBody);
+                assert_eq!(book.key_table.find(book.now, "good", 2, book.now), Found::BodyMismatch);
             }
         }
     }
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -134,7 +134,7 @@
 
 /// All of a connection but its socket, for another process to go on with.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Carried {
+pub struct Snapshot {
     /// Its name in the process that had it.
     pub id: ConnId,
     input: Vec<u8>,
@@ -230,9 +230,9 @@
     }
 
     /// All connections, for another process to go on with.
-    pub fn carry(&self) -> Vec<Carried> {
+    pub fn snapshot(&self) -> Vec<Snapshot> {
         let conns = self.conns.iter().enumerate().filter_map(|(place, c)| c.as_ref().map(|c| (place, c)));
-        conns.map(|(place, c)| c.carry(ConnId { place, serial: c.serial })).collect()
+        conns.map(|(place, c)| c.snapshot(ConnId { place, serial: c.serial })).collect()
     }
 
     /// The socket of a connection, to be passed on.
@@ -246,7 +246,7 @@
     }
 
     /// Goes on with a connection of another process; it is watched under [`Table::next_key`].
-    pub fn resume(&mut self, stream: S::Stream, c: Carried) -> ConnId {
+    pub fn restore(&mut self, stream: S::Stream, c: Snapshot) -> ConnId {
         let place = self.free.last().copied().unwrap_or(self.conns.len());
         self.add(c.since, place, stream);
         let id = ConnId { place, serial: self.serial };
@@ -603,8 +603,8 @@
 }
 
 impl<T: Stream> Conn<T> {
-    fn carry(&self, id: ConnId) -> Carried {
-        Carried {
+    fn snapshot(&self, id: ConnId) -> Snapshot {
+        Snapshot {
             id,
             input: self.input.clone(),
             output: self.output.bytes(),
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -16,12 +16,14 @@
 use super::log::Logs;
 use super::membership_reports::Members;
 use super::peers::{self, Peers};
-use super::request::{Asked, Fault, TryParams};
+use super::request::{Asked, AttemptParams, Fault};
 use super::request_metrics::{End, Figures};
 use super::response::Response;
 use super::store::{self, Ended, Store};
-use gaugestand_admission::classes::Slots;
-use gaugestand_admission::engine::{Arrival, CallEnd, Engine, Micros, Report, RunEnd, Unfit, Verdict};
+use gaugestand_admission::classes::ClassSlots;
+use gaugestand_admission::engine::{
+    AdmitError, Arrival, CallOutcome, Engine, EngineCommand, EngineEvent, Micros, RunOutcome,
+};
 use gaugestand_admission::idempotency::IdempotencyTable as _;
 use gaugestand_admission::{Effect, RequestId, SettingsError, handover::Event as HandoverEvent};
 use gaugestand_idempotency::{Breaker, KeyTable};
@@ -112,9 +114,9 @@
     admin: Admin<S>,
     figures: Figures,
     /// The classes, as requests know them.
-    slots: Slots,
+    slots: ClassSlots,
     keyed: Vec<bool>,
-    tries: BTreeMap<RequestId, Place>,
+    attempts: BTreeMap<RequestId, Place>,
     /// Other processes of this node.
     kin: Kindred<S>,
     checks: Checks,
@@ -190,9 +192,9 @@
             counters: Counters::default(),
             admin,
             figures,
-            slots: Slots::new(&config.classes),
+            slots: ClassSlots::new(&config.classes),
             keyed: config.keyed.clone(),
-            tries: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             kin,
             checks: Checks::default(),
             leave,
@@ -331,7 +333,7 @@
         }
         self.pass_fleet();
         let mut verdicts = Vec::new();
-        let mut wake = vec![self.engine.tick(self.clock.moment(), &mut verdicts)];
+        let mut wake = vec![self.engine.on_timer(self.clock.moment(), &mut verdicts)];
         self.carry_out(verdicts);
         self.record.pump(self.clock.moment(), self.engine.idempotency());
         if self.stop.is_some_and(|stop| now.plus(STOP_LISTENING) >= stop) {
@@ -464,7 +466,7 @@
         if let Some(peers) = &mut self.peers {
             peers.leave(self.clock.now());
         }
-        self.report(Report::Drain { notice, stop: by });
+        self.report(EngineEvent::Drain { notice, stop: by });
     }
 
     /// A new configuration takes effect whole, or the old one stays.
@@ -485,7 +487,7 @@
             Ok(new) => {
                 self.counters.reloads += 1;
                 if self.kernel.move_to(new.kernel) {
-                    self.report(Report::Link(false));
+                    self.report(EngineEvent::BackendLink(false));
                 }
                 self.store.move_to(new.store);
                 self.take_operators(&new);
@@ -502,7 +504,7 @@
     fn take_settings(&mut self) {
         let (names, settings) = (&self.config.classes, &self.config.settings);
         let plan = self.slots.plan(self.engine.classes(), names, &settings.classes, &self.engine.used());
-        self.engine.retune(settings.clone(), &plan);
+        self.engine.update_settings(settings.clone(), &plan);
         self.figures.list(names);
         self.kernel.set_gauges(&self.config.gauges);
         (self.slots, self.keyed) = (plan.slots, self.engine.keyed());
@@ -536,7 +538,7 @@
                     ("reload_success", self.counters.reloads),
                     ("reload_failure", self.counters.reloads_failed),
                 ];
-                self.figures.text(self.open_tries(), &others) + "end\n"
+                self.figures.text(self.open_attempts(), &others) + "end\n"
             }
             Said::Wrong(why) => format!("error {why}\n"),
             Said::Part => "error no line\n".into(),
@@ -562,8 +564,8 @@
     }
 
     /// Requests that were taken and have not ended.
-    pub fn open_tries(&self) -> usize {
-        self.tries.values().filter(|place| place.open).count()
+    pub fn open_attempts(&self) -> usize {
+        self.attempts.values().filter(|place| place.open).count()
     }
 
     /// What operators are told of.
@@ -573,7 +575,7 @@
 
     /// The one place where a request that was taken ends, for whatever reason; the first one counts.
     fn ended(&mut self, id: RequestId, end: End) {
-        if let Some(place) = self.tries.get_mut(&id).filter(|place| place.open) {
+        if let Some(place) = self.attempts.get_mut(&id).filter(|place| place.open) {
             place.open = false;
             self.figures.ended(self.slots.name(place.class), end);
         }
@@ -678,12 +680,12 @@
         }
         match asked {
             Ok((Asked::Check(deep), _)) => self.check(conn, fcgi, keeps, deep),
-            Ok((Asked::Try(t), body)) => self.pick(conn, fcgi, keeps, *t, body),
+            Ok((Asked::Attempt(t), body)) => self.admit(conn, fcgi, keeps, *t, body),
             Err(fault) => self.bad(conn, fcgi, keeps, fault),
         }
     }
 
-    fn pick(&mut self, conn: ConnId, fcgi: u16, keeps: bool, t: TryParams, body: Vec<u8>) {
+    fn admit(&mut self, conn: ConnId, fcgi: u16, keeps: bool, t: AttemptParams, body: Vec<u8>) {
         if let Some(refusal) = self.fleet_refuses(&t) {
             self.counters.answers_refused += 1;
             self.figures.turned_down(self.slots.name(t.class), End::Overload);
@@ -700,18 +702,18 @@
             queued_kb: t.queued_kb,
             shed_order: t.shed_order,
             caller: t.router,
-            patience: t.patience,
-            again: t.again,
-            subject: t.row,
+            caller_timeout: t.caller_timeout,
+            is_retry: t.is_retry,
+            resource_key: t.row,
         };
-        let untold = self.config.tells_patience && t.patience.is_none();
+        let untold = self.config.tells_patience && t.caller_timeout.is_none();
         let mut verdicts = Vec::new();
-        if let Err(unfit) = self.engine.pick(self.clock.moment(), arrival, &mut verdicts) {
+        if let Err(unfit) = self.engine.admit(self.clock.moment(), arrival, &mut verdicts) {
             self.figures.turned_down(self.slots.name(t.class), End::Error);
             let fault = match unfit {
                 // Whatever became of the other one, this one cannot be told apart from it.
-                Unfit::Known => Fault::Malformed("X-Txn"),
-                Unfit::OtherBody => Fault::Conflict,
+                AdmitError::DuplicateId => Fault::Malformed("X-Txn"),
+                AdmitError::KeyConflict => Fault::Conflict,
             };
             return self.bad(conn, fcgi, keeps, fault);
         }
@@ -723,7 +725,7 @@
         }
         let (id, class) = (t.id, t.class);
         let place = Place { id, conn, fcgi, class, body, call: Vec::new(), call_notice: 0, open: true };
-        self.tries.insert(t.id, place);
+        self.attempts.insert(t.id, place);
         if let Some(peers) = &mut self.peers {
             peers.taken(self.clock.now(), t.id, t.router);
         }
@@ -746,14 +748,14 @@
         self.respond(conn, fcgi, open.keeps(), &Response::plain("500 Aborted", None));
         if let Open::Owed(id, _) = open {
             self.ended(id, End::Error);
-            self.report(Report::Aborted(id));
+            self.report(EngineEvent::CallerGone(id));
         }
     }
 
     fn connections_gone(&mut self, ids: Vec<RequestId>) {
         for id in ids {
             self.ended(id, End::Error);
-            self.report(Report::Aborted(id));
+            self.report(EngineEvent::CallerGone(id));
         }
     }
 
@@ -777,7 +779,7 @@
         no_retry_elsewhere: bool,
         body: Rc<[u8]>,
     ) -> bool {
-        let Some(place) = self.tries.get(&id) else { return false };
+        let Some(place) = self.attempts.get(&id) else { return false };
         let (conn, fcgi) = (place.conn, place.fcgi);
         let open = self.table.get(conn).and_then(|c| c.open.remove(&fcgi));
         let Some(open) = open else {
@@ -843,12 +845,12 @@
             match notice {
                 Notice::Booted { cold, age } => {
                     if !self.kin.note_booted(cold, age) {
-                        self.report(Report::Booted { cold, age });
+                        self.report(EngineEvent::BackendStarted { cold, age });
                     }
                 }
                 Notice::Info(_, figures) => {
                     let gauges = self.kernel.gauges(&figures);
-                    self.report(Report::Gauged(gauges));
+                    self.report(EngineEvent::GaugesRead(gauges));
                 }
                 Notice::Posted(ticket, good) => {
                     for (conn, fcgi) in self.checks.posted(now, ticket, good) {
@@ -882,27 +884,27 @@
             match notice {
                 Notice::Reap(id, fate) => {
                     let end = match fate {
-                        Fate::Good(result) => RunEnd::Good(result),
-                        Fate::Bad => RunEnd::Bad,
-                        Fate::Cut => RunEnd::Cut,
-                        Fate::Gone => RunEnd::NeverRan,
+                        Fate::Good(result) => RunOutcome::Succeeded(result),
+                        Fate::Bad => RunOutcome::Failed,
+                        Fate::Cut => RunOutcome::Cancelled,
+                        Fate::Gone => RunOutcome::NeverRan,
                     };
-                    self.report(Report::Ended(id, end));
+                    self.report(EngineEvent::RunEnded(id, end));
                 }
                 Notice::IoReq(id, cursor, body) => {
-                    if let Some(place) = self.tries.get_mut(&id) {
+                    if let Some(place) = self.attempts.get_mut(&id) {
                         (place.call, place.call_notice) = (body, cursor);
-                        self.report(Report::WantsCall(id));
+                        self.report(EngineEvent::CallRequested(id));
                     }
                 }
                 Notice::Invalid(Command::Sched, Some(id)) => {
                     // Nobody but a client that makes ids up asks for what the kernel does not know.
-                    if let Some(conn) = self.tries.get(&id).map(|place| place.conn) {
+                    if let Some(conn) = self.attempts.get(&id).map(|place| place.conn) {
                         self.table.fault(now, conn, false);
                     }
-                    self.report(Report::Ended(id, RunEnd::NeverRan));
+                    self.report(EngineEvent::RunEnded(id, RunOutcome::NeverRan));
                 }
-                Notice::Invalid(Command::NoIo, Some(id)) => self.report(Report::CannotSkip(id)),
+                Notice::Invalid(Command::NoIo, Some(id)) => self.report(EngineEvent::CallNotSkippable(id)),
                 _ => {}
             }
         }
@@ -916,7 +918,7 @@
 
     fn kernel_changed(&mut self, change: Change) {
         if change == Change::Broken {
-            self.report(Report::Link(false));
+            self.report(EngineEvent::BackendLink(false));
         }
     }
 
@@ -928,80 +930,80 @@
             if let Some(reply) = &call.reply {
                 self.kernel_of(call.id).io_done(call.id, reply);
             }
-            self.report(Report::Called(call.id, call.end, call.lag));
+            self.report(EngineEvent::CallEnded(call.id, call.end, call.lag));
         }
     }
 
     // ---- Verdicts ------------------------------------------------------------------------------------
 
-    fn report(&mut self, report: Report) {
+    fn report(&mut self, report: EngineEvent) {
         let mut verdicts = Vec::new();
-        self.engine.report(self.clock.moment(), report, &mut verdicts);
+        self.engine.on_event(self.clock.moment(), report, &mut verdicts);
         self.carry_out(verdicts);
     }
 
-    fn carry_out(&mut self, verdicts: Vec<Verdict>) {
+    fn carry_out(&mut self, verdicts: Vec<EngineCommand>) {
         let nothing: Rc<[u8]> = Rc::from([]);
         for verdict in verdicts {
             match verdict {
-                Verdict::Run(id) => {
-                    if let Some(place) = self.tries.get_mut(&id) {
+                EngineCommand::Run(id) => {
+                    if let Some(place) = self.attempts.get_mut(&id) {
                         let body = mem::take(&mut place.body);
                         self.kernel.sched(id, self.slots.name(place.class), &body);
                         self.counters.runs_sent += 1;
                     }
                 }
-                Verdict::Stop(id) => {
+                EngineCommand::Preempt(id) => {
                     self.kernel_of(id).preempt(id);
                     self.counters.stops_sent += 1;
                 }
-                Verdict::Call(id, wait) => {
-                    if let Some(place) = self.tries.get(&id) {
+                EngineCommand::Call(id, wait) => {
+                    if let Some(place) = self.attempts.get(&id) {
                         let body = place.call.clone();
                         self.store.call(self.clock.now(), id, wait, body, &mut self.counters);
                     }
                 }
-                Verdict::SkipCall(id) => {
-                    if let Some(notice) = self.tries.get(&id).map(|place| place.call_notice) {
+                EngineCommand::SkipCall(id) => {
+                    if let Some(notice) = self.attempts.get(&id).map(|place| place.call_notice) {
                         self.kernel_of(id).no_io(id, notice);
                         self.counters.calls_skipped += 1;
                     }
                 }
-                Verdict::DropCall(id) => self.drop_call(id),
-                Verdict::Reject { id, retry_after, no_retry_elsewhere } => {
+                EngineCommand::DropCall(id) => self.drop_call(id),
+                EngineCommand::Reject { id, retry_after, no_retry_elsewhere } => {
                     self.ended(id, End::Overload);
                     let status = "503 Service Unavailable";
                     let done = self.answer(id, status, retry_after, no_retry_elsewhere, nothing.clone());
                     self.counters.answers_refused += u64::from(done);
                 }
-                Verdict::Fail { id, retry_after, no_retry_elsewhere } => {
+                EngineCommand::Fail { id, retry_after, no_retry_elsewhere } => {
                     self.ended(id, End::Error);
                     let status = "500 Internal Server Error";
                     let done = self.answer(id, status, retry_after, no_retry_elsewhere, nothing.clone());
                     self.counters.answers_failed += u64::from(done);
                 }
-                Verdict::Serve(id, result) => {
+                EngineCommand::Serve(id, result) => {
                     self.ended(id, End::Success);
                     let done = self.answer(id, "200 OK", Micros(0), false, result);
                     self.counters.answers_served += u64::from(done);
                 }
-                Verdict::Replay(id, result) => {
+                EngineCommand::Replay(id, result) => {
                     self.ended(id, End::Success);
                     let done = self.answer(id, "200 OK", Micros(0), false, result);
                     self.counters.answers_replayed += u64::from(done);
                 }
-                Verdict::Forget(id) => {
-                    self.tries.remove(&id);
+                EngineCommand::Forget(id) => {
+                    self.attempts.remove(&id);
                     self.store.forget(id);
                     if let Some(peers) = &mut self.peers {
                         peers.forget(id);
                     }
                 }
-                Verdict::Gauge => {
+                EngineCommand::ReadGauges => {
                     self.kernel.ask();
                     self.counters.gauges_sent += 1;
                 }
-                Verdict::IdleLimit(idle) => self.table.set_idle(idle),
+                EngineCommand::SetIdleTimeout(idle) => self.table.set_idle(idle),
             }
         }
     }
--- a/crates/node/src/event_loop/cluster.rs
+++ b/crates/node/src/event_loop/cluster.rs
@@ -3,7 +3,7 @@
 
 use super::{CONSENSUS_LOG, Config, FIRST_PEER, Node, PEER_LISTENER, Ready, System, config};
 use crate::peers::{self, News};
-use crate::request::TryParams;
+use crate::request::AttemptParams;
 use crate::response::Response;
 use gaugestand_admission::engine::Micros;
 use gaugestand_admission::idempotency::IdempotencyTable as _;
@@ -178,7 +178,7 @@
 
     /// What a try is refused with for what the fleet agrees on, or may have agreed on. A repeat of what has run here is not:
     /// it gets its result and never runs.
-    pub(super) fn fleet_refuses(&mut self, t: &TryParams) -> Option<Response<'static>> {
+    pub(super) fn fleet_refuses(&mut self, t: &AttemptParams) -> Option<Response<'static>> {
         let peers = self.peers.as_ref()?;
         // This request's own clock: the turn may have begun before a pause.
         let moment = self.system.moment();
--- a/crates/node/src/event_loop/handover.rs
+++ b/crates/node/src/event_loop/handover.rs
@@ -382,20 +382,21 @@
     /// Stops all work, sends everything and lets go of the claim.
     fn part(&mut self) {
         let now = self.clock.now();
-        tracing::info!(open = self.open_tries(), "handing over to the new process");
+        tracing::info!(open = self.open_attempts(), "handing over to the new process");
         self.stop = Some(now.plus(self.config.stop));
         self.table.stop(true);
         let running = self.engine.running();
         let inherited: BTreeSet<RequestId> =
             self.kin.inherited.iter().flat_map(|i| i.runs.iter().copied()).collect();
         let own = running.into_iter().filter(|id| !inherited.contains(id)).collect();
-        let mut kernels = vec![self.kernel.carry(own)];
-        kernels.extend(self.kin.inherited.iter().map(|i| i.kernel.carry(i.runs.iter().copied().collect())));
+        let mut kernels = vec![self.kernel.snapshot(own)];
+        kernels
+            .extend(self.kin.inherited.iter().map(|i| i.kernel.snapshot(i.runs.iter().copied().collect())));
         self.kernel.unlink();
         self.kin.inherited.iter_mut().for_each(|i| i.kernel.unlink());
         let calls = self.store.out().into_iter().chain(self.kin.remote.iter().copied()).collect();
         let rest = Rest {
-            engine: self.engine.carry(),
+            engine: self.engine.snapshot(),
             kernels,
             calls,
             classes: self.slots.names().to_vec(),
@@ -409,12 +410,12 @@
             }
             wire.say(&Frame::Keys(copies), With::Nothing);
         }
-        for conn in self.table.carry() {
+        for conn in self.table.snapshot() {
             let id = conn.id;
             wire.say(&Frame::Conn(Box::new(conn)), With::Conn(id));
         }
-        for place in self.tries.values() {
-            wire.say(&Frame::Try(Box::new(place.clone())), With::Nothing);
+        for place in self.attempts.values() {
+            wire.say(&Frame::Attempt(Box::new(place.clone())), With::Nothing);
         }
         wire.say(&Frame::Rest(Box::new(rest)), With::Nothing);
         let marks = self.kin.claim.as_ref().and_then(|claim| claim.marks().ok()).unwrap_or_default();
@@ -426,8 +427,8 @@
     /// Another process is the node: only calls that are out are left here.
     fn retire(&mut self) {
         tracing::info!("another process has taken over");
-        self.figures.handed_over(self.open_tries());
-        self.tries.clear();
+        self.figures.handed_over(self.open_attempts());
+        self.attempts.clear();
         self.engine.retire();
         self.engine.idempotency().mirror(false);
         self.table.retire();
@@ -485,7 +486,7 @@
         self.kin.up = None;
         for id in mem::take(&mut self.kin.remote) {
             // A broken link proves nothing.
-            self.report(Report::Called(id, CallEnd::Broken, Micros(0)));
+            self.report(EngineEvent::CallEnded(id, CallOutcome::Broken, Micros(0)));
         }
         if !self.kin.machine.is_heir() {
             return;
@@ -521,10 +522,10 @@
             Frame::Conn(conn) if waits => {
                 let stream = wire.take_stream(self.table.next_key())?;
                 let there = conn.id;
-                let here = self.table.resume(stream, *conn);
+                let here = self.table.restore(stream, *conn);
                 self.kin.conns.insert(there, here);
             }
-            Frame::Try(place) if waits => self.kin.places.push(*place),
+            Frame::Attempt(place) if waits => self.kin.places.push(*place),
             Frame::Rest(rest) if waits => self.kin.rest = Some(rest),
             Frame::Over(marks) if waits && self.kin.rest.is_some() => {
                 self.kin.marks = marks;
@@ -556,19 +557,19 @@
             if place.open {
                 self.figures.taken();
             }
-            self.tries.insert(place.id, place);
+            self.attempts.insert(place.id, place);
         }
-        self.slots = Slots::with(rest.classes, rest.engine.open.clone());
+        self.slots = ClassSlots::with(rest.classes, rest.engine.open.clone());
         self.figures.list(self.slots.names());
-        self.engine.resume(rest.engine);
+        self.engine.restore(rest.engine);
         self.engine.set_linked(self.kernel.is_booted());
         let until = now.plus(self.engine.longest_deadline()).plus(OVERTIME);
         let kernels = rest.kernels.iter().filter(|k| !k.runs.is_empty()).take(MOST_KERNELS);
         self.kin.inherited = kernels
             .zip(INHERITED..)
-            .map(|(carried, key)| Inherited {
-                kernel: Kernel::resume(carried, key, &self.system),
-                runs: carried.runs.iter().copied().collect(),
+            .map(|(snapshot, key)| Inherited {
+                kernel: Kernel::restore(snapshot, key, &self.system),
+                runs: snapshot.runs.iter().copied().collect(),
                 key,
                 until,
             })
@@ -581,7 +582,7 @@
             self.add_check(conn, fcgi);
         }
         self.go_into_service();
-        tracing::info!(open = self.open_tries(), "took over");
+        tracing::info!(open = self.open_attempts(), "took over");
         // This process may have been told of other settings than the one before it.
         self.take_settings();
         self.let_go();
@@ -614,7 +615,7 @@
         self.forget_sent();
         self.go_into_service();
         if let Some((cold, age)) = self.kin.booted {
-            self.report(Report::Booted { cold, age });
+            self.report(EngineEvent::BackendStarted { cold, age });
         }
     }
 
@@ -672,7 +673,7 @@
             {
                 // Nothing was heard of them for longer than any of them may take.
                 let runs = mem::take(&mut one.runs);
-                runs.into_iter().for_each(|id| self.report(Report::Ended(id, RunEnd::Bad)));
+                runs.into_iter().for_each(|id| self.report(EngineEvent::RunEnded(id, RunOutcome::Failed)));
                 self.kin.inherited.remove(i);
             }
         }
--- a/crates/node/src/handover_link.rs
+++ b/crates/node/src/handover_link.rs
@@ -5,7 +5,7 @@
 use super::io::{Kin, Passed, System};
 use super::kernel;
 use gaugestand_admission::RequestId;
-use gaugestand_admission::engine::{self, CallEnd, Micros};
+use gaugestand_admission::engine::{self, CallOutcome, Micros};
 use gaugestand_admission::idempotency::Moment;
 use gaugestand_idempotency::Copy;
 use serde::{Deserialize, Serialize};
@@ -41,9 +41,10 @@
     /// All keys were sent; from now on a change of one is sent before the command that it is about.
     Synced,
     /// A connection, with its socket.
-    Conn(Box<connections::Carried>),
+    Conn(Box<connections::Snapshot>),
     /// An open try, or one whose run goes on.
-    Try(Box<Place>),
+    #[serde(rename = "Try")]
+    Attempt(Box<Place>),
     /// What is left.
     Rest(Box<Rest>),
     /// That was all: the claim is free, with so many marks on it.
@@ -51,7 +52,7 @@
     /// From the heir: it is the node.
     Taken,
     /// A call that was out at the elder has ended.
-    Called(RequestId, CallEnd, Option<Vec<u8>>, Micros),
+    Called(RequestId, CallOutcome, Option<Vec<u8>>, Micros),
     /// From the heir: give up that call.
     DropCall(RequestId),
 }
@@ -82,9 +83,9 @@
 pub struct Rest {
     /// The engine, with the controller in it.
     #[serde(rename = "facade")]
-    pub engine: engine::Carried,
+    pub engine: engine::Snapshot,
     /// Kernels that tell of runs which go on, the elder's own first.
-    pub kernels: Vec<kernel::Carried>,
+    pub kernels: Vec<kernel::Snapshot>,
     /// Tries whose calls are out at the elder, or at one before it.
     pub calls: Vec<RequestId>,
     /// Names of the classes, by index.
--- a/crates/node/src/handover_link/tests.rs
+++ b/crates/node/src/handover_link/tests.rs
@@ -5,7 +5,7 @@
 // Guards against a half written or spoilt frame that is taken for another one, or ends the process.
 #[test]
 fn a_frame_is_read_whole_or_not_at_all() {
-    let said = Frame::Called(RequestId(7), CallEnd::Good, Some(vec![0, 255]), Micros(9));
+    let said = Frame::Called(RequestId(7), CallOutcome::Succeeded, Some(vec![0, 255]), Micros(9));
     let mut bytes = vec![0; 4];
     ciborium::into_writer(&said, &mut bytes).expect("written");
     let len = (bytes.len() - 4) as u32;
@@ -14,7 +14,7 @@
         assert!(matches!(frame(&bytes[..cut]), Ok(None)), "cut at {cut}");
     }
     let again = frame(&[&bytes[..], b"next"].concat());
-    let Ok(Some((n, Frame::Called(id, CallEnd::Good, Some(reply), lag)))) = again else {
+    let Ok(Some((n, Frame::Called(id, CallOutcome::Succeeded, Some(reply), lag)))) = again else {
         panic!("{again:?}")
     };
     assert_eq!((n, id, reply, lag), (bytes.len(), RequestId(7), vec![0, 255], Micros(9)));
--- a/crates/node/src/kernel.rs
+++ b/crates/node/src/kernel.rs
@@ -157,7 +157,7 @@
 
 /// Where a process stands with its kernel, for another one to go on with its runs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Carried {
+pub struct Snapshot {
     /// The kernel's address.
     pub to: SocketAddr,
     cursor: u64,
@@ -195,17 +195,17 @@
     }
 
     /// Where this process stands with it, with these runs.
-    pub fn carry(&self, runs: Vec<RequestId>) -> Carried {
+    pub fn snapshot(&self, runs: Vec<RequestId>) -> Snapshot {
         let unread = self.unread.iter().map(|u| (u.id, u.text.clone())).collect();
-        Carried { to: self.link.address(), cursor: self.cursor, unread, runs }
+        Snapshot { to: self.link.address(), cursor: self.cursor, unread, runs }
     }
 
     /// The kernel of another process, not linked yet: its notices go on after the last one that was read there, and
     /// commands that were perhaps not read are said again.
-    pub fn resume(carried: &Carried, key: usize, system: &S) -> Self {
-        let mut kernel = Kernel::new(carried.to, key, system, &[]);
-        kernel.cursor = carried.cursor;
-        let unread = carried.unread.iter().cloned();
+    pub fn restore(snapshot: &Snapshot, key: usize, system: &S) -> Self {
+        let mut kernel = Kernel::new(snapshot.to, key, system, &[]);
+        kernel.cursor = snapshot.cursor;
+        let unread = snapshot.unread.iter().cloned();
         kernel.unread = unread.map(|(id, text)| Unread { before: 1, id, text }).collect();
         kernel
     }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -54,12 +54,17 @@
     txn: Option<RequestId>,
     ingress: Option<Micros>,
     router: u64,
-    hint: Option<Micros>,
-    held_kb: Option<f64>,
-    rank: Option<f64>,
+    #[serde(rename = "hint")]
+    work_hint: Option<Micros>,
+    #[serde(rename = "held_kb")]
+    queued_kb: Option<f64>,
+    #[serde(rename = "rank")]
+    shed_order: Option<f64>,
     repeat_key: Option<String>,
-    patience: Option<Micros>,
-    again: bool,
+    #[serde(rename = "patience")]
+    caller_timeout: Option<Micros>,
+    #[serde(rename = "again")]
+    is_retry: bool,
     row: Option<u64>,
 }
 
@@ -69,12 +74,12 @@
     /// Whether this node is well; `true` if it is to show that work gets done.
     Check(bool),
     /// A try of a request.
-    Try(Box<TryParams>),
+    Attempt(Box<AttemptParams>),
 }
 
 /// The checked parameters of a try.
 #[derive(Debug, PartialEq)]
-pub struct TryParams {
+pub struct AttemptParams {
     /// Its id.
     pub id: RequestId,
     /// Index of its class.
@@ -84,17 +89,17 @@
     /// The number of its gateway.
     pub router: u64,
     /// Expected work.
-    pub hint: Option<Micros>,
+    pub work_hint: Option<Micros>,
     /// Memory while held.
-    pub held_kb: f64,
+    pub queued_kb: f64,
     /// Its rank.
-    pub rank: f64,
+    pub shed_order: f64,
     /// For keyed classes: the key.
     pub repeat_key: Option<String>,
     /// How long its gateway waits, counted from `ingress`, where that is told.
-    pub patience: Option<Micros>,
+    pub caller_timeout: Option<Micros>,
     /// Whether it is marked as a further try or a second copy.
-    pub again: bool,
+    pub is_retry: bool,
     /// What a read is about, where that is told.
     pub row: Option<u64>,
 }
@@ -104,7 +109,8 @@
 pub struct Incoming {
     params: Params,
     /// The start of a pair whose rest lies in the next record.
-    carry: Vec<u8>,
+    #[serde(rename = "carry")]
+    snapshot: Vec<u8>,
     params_size: usize,
     params_ended: bool,
     body: Vec<u8>,
@@ -153,20 +159,20 @@
             b"HTTP_X_ROUTER" => self.router = whole(value).ok_or(bad("X-Router"))?,
             b"HTTP_X_CPU_HINT" => {
                 let ms = number(value, 0.0, 1e9).ok_or(bad("X-Cpu-Hint"))?;
-                self.hint = Some(Micros((ms * 1e3) as u64)).filter(|h| h.0 > 0);
+                self.work_hint = Some(Micros((ms * 1e3) as u64)).filter(|h| h.0 > 0);
             }
             b"HTTP_X_WORKING_SET_KB" => {
-                self.held_kb = Some(number(value, 0.0, 2000.0).ok_or(bad("X-Working-Set-Kb"))?);
+                self.queued_kb = Some(number(value, 0.0, 2000.0).ok_or(bad("X-Working-Set-Kb"))?);
             }
             b"HTTP_X_SHED_ORDER" => {
-                self.rank = Some(number(value, 0.0, 1.0).ok_or(bad("X-Shed-Order"))?);
+                self.shed_order = Some(number(value, 0.0, 1.0).ok_or(bad("X-Shed-Order"))?);
             }
             b"HTTP_X_TTL_MS" => {
                 let ms = number(value, 0.0, MOST_TTL).ok_or(bad("X-Ttl-Ms"))?;
-                self.patience = Some(Micros((ms * 1e3) as u64));
+                self.caller_timeout = Some(Micros((ms * 1e3) as u64));
             }
             b"HTTP_X_SECOND_TRY" => {
-                self.again = match value {
+                self.is_retry = match value {
                     b"1" => true,
                     b"0" => false,
                     _ => return Err(bad("X-Second-Try")),
@@ -198,17 +204,17 @@
         if needs_key && self.repeat_key.is_none() {
             return Err(missing("X-Txn-Key"));
         }
-        Ok(Asked::Try(Box::new(TryParams {
+        Ok(Asked::Attempt(Box::new(AttemptParams {
             id: self.txn.ok_or(missing("X-Txn"))?,
             class,
             ingress: self.ingress.ok_or(missing("X-Ingress-Time"))?,
             router: self.router,
-            hint: self.hint,
-            held_kb: self.held_kb.ok_or(missing("X-Working-Set-Kb"))?,
-            rank: self.rank.unwrap_or(0.0),
+            work_hint: self.work_hint,
+            queued_kb: self.queued_kb.ok_or(missing("X-Working-Set-Kb"))?,
+            shed_order: self.shed_order.unwrap_or(0.0),
             repeat_key: self.repeat_key.filter(|_| needs_key),
-            patience: self.patience,
-            again: self.again,
+            caller_timeout: self.caller_timeout,
+            is_retry: self.is_retry,
             row: self.row.filter(|_| !needs_key),
         })))
     }
@@ -219,25 +225,25 @@
     pub fn params(&mut self, content: &[u8]) {
         self.params_size += content.len();
         if content.is_empty() {
-            if !self.carry.is_empty() {
+            if !self.snapshot.is_empty() {
                 self.fail(Fault::Malformed("a parameter cut short"));
             }
-            self.carry = Vec::new();
+            self.snapshot = Vec::new();
             self.params_ended = true;
         } else if self.params_ended {
             self.fail(Fault::Malformed("parameters after their end"));
-        } else if self.carry.is_empty() {
-            self.carry = self.pairs(content).to_vec();
+        } else if self.snapshot.is_empty() {
+            self.snapshot = self.pairs(content).to_vec();
         } else {
-            let mut joined = std::mem::take(&mut self.carry);
+            let mut joined = std::mem::take(&mut self.snapshot);
             joined.extend(content);
-            self.carry = self.pairs(&joined).to_vec();
+            self.snapshot = self.pairs(&joined).to_vec();
         }
-        if self.carry.len() > MOST_PAIR || self.params_size > MOST_PARAMS {
+        if self.snapshot.len() > MOST_PAIR || self.params_size > MOST_PARAMS {
             self.fail(Fault::TooLong);
         }
         if self.fault.is_some() {
-            self.carry = Vec::new();
+            self.snapshot = Vec::new();
         }
     }
 
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -9,7 +9,7 @@
 use super::io::{Ready, System};
 use super::request::{id_of, id_text};
 use gaugestand_admission::RequestId;
-use gaugestand_admission::engine::{CallEnd, Micros};
+use gaugestand_admission::engine::{CallOutcome, Micros};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -111,7 +111,7 @@
     /// Whose call it was.
     pub id: RequestId,
     /// How it ended.
-    pub end: CallEnd,
+    pub end: CallOutcome,
     /// The reply for the run, after a good end.
     pub reply: Option<Vec<u8>>,
     /// How long it took.
@@ -177,10 +177,10 @@
             self.partial = None;
             counters.replies_read += 1;
             let (end, reply) = match word {
-                Word::Ok(body) => (CallEnd::Good, Some(body)),
-                Word::Busy => (CallEnd::Busy, None),
-                Word::Err => (CallEnd::Failed, None),
-                Word::Late => (CallEnd::Late, None),
+                Word::Ok(body) => (CallOutcome::Succeeded, Some(body)),
+                Word::Busy => (CallOutcome::Overloaded, None),
+                Word::Err => (CallOutcome::Failed, None),
+                Word::Late => (CallOutcome::TimedOut, None),
                 // A run that is over is reaped by the kernel: this reply only says the same.
                 Word::Void => continue,
             };
@@ -201,8 +201,8 @@
         for (id, call) in std::mem::take(&mut self.calls) {
             let end = match call.at {
                 // A broken link proves nothing of what was sent; what was not sent never ran.
-                Some(at) if change == Change::Broken && at < written => CallEnd::Broken,
-                _ => CallEnd::Unreachable,
+                Some(at) if change == Change::Broken && at < written => CallOutcome::Broken,
+                _ => CallOutcome::Unreachable,
             };
             out.push(Ended { id, end, reply: None, lag: now.since(call.began) });
         }
@@ -218,7 +218,7 @@
     lanes: Vec<Option<Lane<S>>>,
     serial: u64,
     /// The lanes, by serial, that have had a call of a try.
-    carried: BTreeMap<RequestId, Vec<u64>>,
+    snapshot: BTreeMap<RequestId, Vec<u64>>,
     /// Lanes with something to write or to settle this turn.
     touched: Vec<usize>,
     /// Calls that came to nothing before a lane had them.
@@ -232,8 +232,8 @@
     /// reached.
     pub fn new(to: Option<SocketAddr>, first_key: usize, most: usize, system: &S) -> Self {
         let lanes = (0..most).map(|_| None).collect();
-        let (system, carried, due) = (system.clone(), BTreeMap::new(), Micros(0));
-        Store { to, first_key, system, lanes, serial: 0, carried, touched: vec![], unplaced: vec![], due }
+        let (system, snapshot, due) = (system.clone(), BTreeMap::new(), Micros(0));
+        Store { to, first_key, system, lanes, serial: 0, snapshot, touched: vec![], unplaced: vec![], due }
     }
 
     /// The tries whose calls are out.
@@ -259,20 +259,20 @@
         let place = self.place(now, id);
         let lane = place.and_then(|place| self.lanes.get_mut(place)?.as_mut().map(|lane| (place, lane)));
         let Some((place, lane)) = lane else {
-            self.unplaced.push(Ended { id, end: CallEnd::Unreachable, reply: None, lag: Micros(0) });
+            self.unplaced.push(Ended { id, end: CallOutcome::Unreachable, reply: None, lag: Micros(0) });
             self.due = now;
             return;
         };
         lane.calls.insert(id, call);
         lane.send(now, counters);
-        self.carried.entry(id).or_default().push(lane.serial);
+        self.snapshot.entry(id).or_default().push(lane.serial);
         self.touched.push(place);
     }
 
     /// The lane for a call: one that was free a moment ago, else a new one, else that with the fewest calls.
     fn place(&mut self, now: Micros, id: RequestId) -> Option<usize> {
         let to = self.to?;
-        let had = self.carried.get(&id).map_or(&[][..], Vec::as_slice);
+        let had = self.snapshot.get(&id).map_or(&[][..], Vec::as_slice);
         let lanes = self.lanes.iter().enumerate().filter_map(|(place, l)| Some((place, l.as_ref()?)));
         let may = |l: &Lane<S>| !l.retired && l.partial.is_none() && !had.contains(&l.serial);
         let lanes: Vec<(usize, &Lane<S>)> = lanes.filter(|(_, l)| may(l)).collect();
@@ -309,7 +309,7 @@
 
     /// Nothing more comes for this try.
     pub fn forget(&mut self, id: RequestId) {
-        self.carried.remove(&id);
+        self.snapshot.remove(&id);
     }
 
     /// Whether this is the poller key of a lane.
@@ -362,7 +362,7 @@
             let over = lane.calls.iter().filter(|(_, c)| now >= c.over());
             for (id, call) in over {
                 // One that the dial took all the time of was never sent: it never ran.
-                let end = if call.at.is_some() { CallEnd::Late } else { CallEnd::Unreachable };
+                let end = if call.at.is_some() { CallOutcome::TimedOut } else { CallOutcome::Unreachable };
                 late.push(Ended { id: *id, end, reply: None, lag: now.since(call.began) });
                 // Guards against a connection that has gone quiet: not even the end of the time was told.
                 lane.retired = true;
--- a/crates/node/src/store/tests.rs
+++ b/crates/node/src/store/tests.rs
@@ -36,6 +36,6 @@
     let over = wait.plus(OVERTIME);
     assert!(store.tick(Micros(over.0 - 1), &mut counters).is_empty());
     let ended = store.tick(over, &mut counters);
-    assert_eq!(ended.iter().map(|e| (e.id, e.end)).collect::<Vec<_>>(), [(id, CallEnd::Unreachable)]);
+    assert_eq!(ended.iter().map(|e| (e.id, e.end)).collect::<Vec<_>>(), [(id, CallOutcome::Unreachable)]);
     assert_eq!((counters.calls_sent, store.out().len()), (0, 0));
 }
