--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -559,7 +559,7 @@
         };
         // Further tries go behind first ones of equal worth: they have spent part of their aim, unseen.
         // A read whose answer serves others that are likely to come is worth that much more.
-        let shared = (2.0 * self.sharers(r.key, class).log2()).round() as i32;
+        let shared = (2.0 * self.sharers(r.resource_key, class).log2()).round() as i32;
         let level = 2 * self.level(class, in_share) + shared - i32::from(r.is_retry);
         let entry = Entry {
             class,
@@ -600,7 +600,7 @@
         let late_arrival = self.drain.is_some_and(|(last, _)| reached > last);
         let keep = match effect {
             Effect::Keyed => Some(window),
-            Effect::Pure if self.s.cache_ttl.0 > 0 && r.key.is_some() => {
+            Effect::Pure if self.s.cache_ttl.0 > 0 && r.resource_key.is_some() => {
                 Some(Span(self.s.cache_ttl.0 + (due - self.now).0))
             }
             Effect::Pure | Effect::Unsafe => None,
--- a/crates/admission/src/engine.rs
+++ b/crates/admission/src/engine.rs
@@ -413,7 +413,7 @@
         let due = ingress.mono.plus(a.caller_timeout.map_or(longest, |p| p.min(longest))).max(now.mono);
         let fingerprint = repeat_key.as_ref().map_or(0, |_| self.idempotency.fingerprint(a.body));
         let found = repeat_key.as_ref().map(|key| self.idempotency.find(now, key, fingerprint, ingress));
-        let prior = match found {
+        let original = match found {
             Some(Found::BodyMismatch) => return Err(AdmitError::KeyConflict),
             Some(Found::Closed(advice)) => {
                 // It can't be recorded, so it is not run: told at once, with when to come back.
@@ -443,7 +443,7 @@
             id: a.id,
             class,
             tenant: 0,
-            key: a.resource_key.filter(|_| !keyed),
+            resource_key: a.resource_key.filter(|_| !keyed),
             deadline: a.caller_timeout.map(|_| due.time()),
             work_hint: a.work_hint.map(Micros::span),
             queued_kb: a.queued_kb,
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -59,7 +59,7 @@
         id: RequestId(id),
         class,
         tenant: 0,
-        key: None,
+        resource_key: None,
         deadline: None,
         work_hint: None,
         queued_kb: 20.0,
--- a/crates/admission/tests/engine.rs
+++ b/crates/admission/tests/engine.rs
@@ -265,7 +265,10 @@
     for (age, caller_timeout, least, most) in table {
         let after = answered_after(age, caller_timeout);
         // The slack that the rules allow.
-        assert!((least..=most + 60).contains(&after), "{patience:?} at {age}: answered after {after} ms");
+        assert!(
+            (least..=most + 60).contains(&after),
+            "{caller_timeout:?} at {age}: answered after {after} ms"
+        );
     }
 }
 
--- a/crates/admission/tests/property.rs
+++ b/crates/admission/tests/property.rs
@@ -92,7 +92,7 @@
                 r.is_retry = rng.bool();
                 r.tenant = rng.usize(0..5);
                 r.caller = rng.u64(0..50);
-                r.key = (r.class != 1 && rng.bool()).then(|| rng.u64(0..5));
+                r.resource_key = (r.class != 1 && rng.bool()).then(|| rng.u64(0..5));
                 if r.class == 1 && rng.bool() {
                     r.original = keyed.last().copied();
                 }
--- a/crates/admission/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -913,11 +913,11 @@
     h.pass(40);
     for n in 1..=6 {
         let mut r = request(n, 0);
-        r.key = Some(n as u64);
+        r.resource_key = Some(n as u64);
         h.arrive(r);
     }
     let mut popular = request(50, 0);
-    popular.key = Some(99);
+    popular.resource_key = Some(99);
     (h, popular)
 }
 
@@ -936,7 +936,7 @@
         s.cache_ttl = Span::millis(600);
         let mut h = Host::new(s);
         let mut r = request(1, 0);
-        r.key = Some(7);
+        r.resource_key = Some(7);
         assert!(h.arrive(r.clone()).contains(&Action::Run(id(1))));
         h.pass(500);
         if waited {
@@ -957,7 +957,7 @@
         s.classes[class].latency_objective = Span::millis(3000);
         let mut h = Host::new(s);
         let mut first = request(1, class);
-        first.key = Some(1);
+        first.resource_key = Some(1);
         assert!(h.arrive(first.clone()).contains(&Action::Run(id(1))));
         for n in 2..=100 {
             (first.id, first.original) = (id(n), Some(id(1)));
--- a/crates/cluster/src/consensus.rs
+++ b/crates/cluster/src/consensus.rs
@@ -5,7 +5,7 @@
 //! events and times give the same steps. It does not guarantee that a proposal that was turned down for want of an answer
 //! is not agreed later: [`Refusal::Unknown`] says so.
 
-use crate::differ;
+use crate::diff;
 use crate::lease::{self, Acts, Effect, Member, Terms, Version};
 use crate::log_storage::{LogStorage, raft_id, version_of};
 use crate::members::{Change, Members, Number, Refused, Seen};
--- a/crates/cluster/src/validation.rs
+++ b/crates/cluster/src/validation.rs
@@ -11,7 +11,7 @@
     /// How long a key is remembered, in seconds.
     pub window_s: f64,
     /// What a request of it is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
 /// What this node has for keys.
@@ -20,7 +20,7 @@
     /// Memory for keys, in KB.
     pub keys_kb: f64,
     /// Memory that a key takes, in KB.
-    pub key_kb: f64,
+    pub entry_kb: f64,
 }
 
 /// Requests of a class that come to this node.
@@ -51,7 +51,7 @@
     let keyed = new.iter().filter(|c| c.keyed);
     let kept = |c: &Class| {
         let rate = load.iter().find(|l| l.name == c.name).map_or(0.0, |l| l.rate);
-        rate * c.window_s * room.key_kb
+        rate * c.window_s * room.entry_kb
     };
     let needed: f64 = keyed.map(kept).sum();
     if needed > room.keys_kb {
@@ -76,8 +76,9 @@
         ));
     }
     // The hold goes by worth: what comes behind a class that fills the cores does not run.
-    let ahead =
-        |classes: &[Class], c: &Class, other: &str| of(classes, other).is_some_and(|o| o.worth > c.worth);
+    let ahead = |classes: &[Class], c: &Class, other: &str| {
+        of(classes, other).is_some_and(|o| o.priority_weight > c.priority_weight)
+    };
     let overtaken = load.iter().filter(|l| l.name != *name && l.rate > rate);
     let overtaken = overtaken.into_iter().find(|l| ahead(new, is, &l.name) && !ahead(old, was, &l.name));
     overtaken.map(|l| {
@@ -94,11 +95,16 @@
 
     #[test]
     fn what_would_not_do_is_named() {
-        let class = |name: &str, keyed, worth, window_s| Class { name: name.into(), keyed, worth, window_s };
+        let class = |name: &str, keyed, priority_weight, window_s| Class {
+            name: name.into(),
+            keyed,
+            priority_weight,
+            window_s,
+        };
         let old = [class("quote", false, 1.0, 0.0), class("booking", true, 5.0, 10.0)];
         let load = [Load { name: "quote".into(), rate: 30.0 }, Load { name: "booking".into(), rate: 4.0 }];
         let quiet = [Load { name: "quote".into(), rate: 30.0 }, Load { name: "booking".into(), rate: 0.0 }];
-        let room = Room { keys_kb: 100.0, key_kb: 1.0 };
+        let room = Room { keys_kb: 100.0, entry_kb: 1.0 };
         let with = |booking: Class| vec![old[0].clone(), booking];
         let unfit = "keys of 120 KB at its present load, where it has 100 KB: shorten a dedup-window";
         let cases: [(Vec<Class>, &[Load], Option<Problem>); 7] = [
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -114,12 +114,12 @@
     #[serde(default)]
     realms: Vec<ToldRealm>,
     #[serde(default)]
-    #[serde(rename = "over_share_worth")]
+    #[serde(rename = "over-share-worth")]
     over_quota_weight: f64,
-    #[serde(rename = "worth_by")]
+    #[serde(rename = "worth-by")]
     weight_by: Option<String>,
     #[serde(default)]
-    #[serde(rename = "fleet_size")]
+    #[serde(rename = "fleet-size")]
     cluster_size: f64,
     extra: Extra,
     caps: Caps,
@@ -135,14 +135,14 @@
     #[serde(deserialize_with = "nanos")]
     goal_time: u64,
     #[serde(default)]
-    #[serde(rename = "aim_stretch")]
+    #[serde(rename = "aim-stretch")]
     objective_stretch: f64,
     #[serde(deserialize_with = "nanos")]
     hard_limit: u64,
     #[serde(rename = "worth")]
     priority_weight: f64,
     #[serde(default)]
-    #[serde(rename = "late_worth")]
+    #[serde(rename = "late-worth")]
     late_weight: f64,
     effect: String,
     #[serde(default, deserialize_with = "nanos")]
@@ -161,11 +161,12 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct Extra {
+    #[serde(rename = "below")]
     downstream: Option<String>,
     #[serde(default)]
     callers: f64,
     #[serde(default)]
-    #[serde(rename = "calls_out")]
+    #[serde(rename = "calls-out")]
     outbound_call_limit: f64,
     #[serde(default)]
     class_calls: Vec<bool>,
@@ -177,26 +178,28 @@
     #[serde(default, deserialize_with = "nanos")]
     dep_window: u64,
     #[serde(default)]
-    #[serde(rename = "full_checks")]
+    #[serde(rename = "full-checks")]
     deep_health_checks: bool,
     #[serde(default)]
     gauges: Vec<String>,
-    halt: Option<String>,
+    #[serde(rename = "halt")]
+    preemption: Option<String>,
     #[serde(default, deserialize_with = "nanos")]
     #[serde(rename = "heeded")]
     signal_retention: u64,
     heap_kb: f64,
     #[serde(default)]
-    #[serde(rename = "key_kb")]
+    #[serde(rename = "key-kb")]
     entry_kb: f64,
     #[serde(default)]
-    #[serde(rename = "list_follows")]
+    #[serde(rename = "list-follows")]
     list_follows_health: bool,
     #[serde(default)]
     passes_deadline: bool,
-    #[serde(rename = "run_factor")]
+    #[serde(rename = "run-factor")]
     running_memory_factor: f64,
-    signal: Option<String>,
+    #[serde(rename = "signal")]
+    backpressure_signal: Option<String>,
     #[serde(default, deserialize_with = "nanos")]
     stays_for: u64,
     #[serde(default, deserialize_with = "nanos")]
@@ -218,7 +221,7 @@
     #[serde(deserialize_with = "nanos")]
     grace_to_answer: u64,
     #[serde(default)]
-    #[serde(rename = "cold_share")]
+    #[serde(rename = "cold-share")]
     cold_speed_share: f64,
     #[serde(default, deserialize_with = "nanos")]
     cold: u64,
@@ -487,7 +490,7 @@
             Some("freeze") => Preemption::Freeze,
             _ => Preemption::Never,
         },
-        signal: match x.signal.as_deref() {
+        backpressure_signal: match x.backpressure_signal.as_deref() {
             Some("floor") => BackpressureSignal::Floor,
             Some("allowance") => BackpressureSignal::Allowance,
             Some("weight") => BackpressureSignal::Weight,
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -775,7 +775,7 @@
         &mut self,
         id: RequestId,
         status: &str,
-        throttle: Micros,
+        retry_after: Micros,
         no_retry_elsewhere: bool,
         body: Rc<[u8]>,
     ) -> bool {
@@ -794,7 +794,7 @@
             conn,
             fcgi,
             open.keeps(),
-            &Response { status, capacity, throttle, no_retry_elsewhere, body },
+            &Response { status, capacity, retry_after, no_retry_elsewhere, body },
         );
         true
     }
--- a/crates/node/src/event_loop/cluster.rs
+++ b/crates/node/src/event_loop/cluster.rs
@@ -184,7 +184,7 @@
         let moment = self.system.moment();
         let keyed = t.repeat_key.as_deref();
         let ruling = peers.rule(moment.mono, keyed.is_some(), t.row, t.router);
-        let (no_retry_elsewhere, throttle) = match ruling {
+        let (no_retry_elsewhere, retry_after) = match ruling {
             Ruling::Pass => return None,
             Ruling::Barred => (true, Micros(0)),
             Ruling::OverShare | Ruling::NoLease => (false, peers.retry_after()),
@@ -198,7 +198,7 @@
         };
         *count += 1;
         let (status, capacity) = ("503 Service Unavailable", self.engine.capacity());
-        Some(Response { status, capacity, throttle, no_retry_elsewhere, body: Rc::from([]) })
+        Some(Response { status, capacity, retry_after, no_retry_elsewhere, body: Rc::from([]) })
     }
 
     // ---- Operators -----------------------------------------------------------------------------------
--- a/crates/node/src/idempotency_store.rs
+++ b/crates/node/src/idempotency_store.rs
@@ -248,7 +248,7 @@
                 self.asked = Some((now.mono, None));
                 match Session::new(self.login.clone(), self.epoch, self.entries) {
                     Ok(session) => self.session = Some(session),
-                    Err(fault) => self.give_up(now.mono, fault),
+                    Err(fault) => self.no_retry_elsewhere(now.mono, fault),
                 }
             }
             Some(_) => return self.down(now.mono, key_table),
@@ -259,7 +259,7 @@
         self.link.consume(self.link.input().len());
         match taken {
             Ok(events) => events.into_iter().for_each(|event| self.event(now, event, key_table)),
-            Err(fault) => self.give_up(now.mono, fault),
+            Err(fault) => self.no_retry_elsewhere(now.mono, fault),
         }
     }
 
@@ -282,7 +282,7 @@
     }
 
     /// The connection is of no use; it is let go of with the end of the turn.
-    fn give_up(&mut self, now: Micros, fault: Fault) {
+    fn no_retry_elsewhere(&mut self, now: Micros, fault: Fault) {
         let told = self.last_fault.as_ref().is_some_and(|(f, t)| *f == fault && now.since(*t) < REPEAT);
         if !told {
             tracing::error!(fault = %fault, "store of record: connection given up");
@@ -306,7 +306,7 @@
     fn pump(&mut self, now: Moment, key_table: &mut KeyTable) {
         let bound = if self.epoch.is_none() { LOGIN } else { SILENT };
         if self.asked.is_some_and(|(since, _)| now.mono.since(since) >= bound) {
-            self.give_up(now.mono, Fault("no answer in time".to_string()));
+            self.no_retry_elsewhere(now.mono, Fault("no answer in time".to_string()));
         }
         if self.link.tick(now.mono).is_some() {
             self.down(now.mono, key_table);
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -334,7 +334,7 @@
     }
 
     /// After which time a refusal for want of a lease asks to come back: one is had again, or is not, by then.
-    pub fn stay_away(&self) -> Micros {
+    pub fn retry_after(&self) -> Micros {
         Micros(self.lease.0 / 2)
     }
 
--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -20,9 +20,9 @@
     /// The free value.
     pub capacity: Option<f64>,
     /// How long to keep away.
-    pub throttle: Micros,
+    pub retry_after: Micros,
     /// Asks that no other node be tried.
-    pub give_up: bool,
+    pub no_retry_elsewhere: bool,
     /// The body.
     pub body: Rc<[u8]>,
 }
@@ -30,7 +30,7 @@
 impl Response<'_> {
     /// A response with nothing but a status.
     pub fn plain(status: &str, capacity: Option<f64>) -> Response<'_> {
-        Response { status, capacity, throttle: Micros(0), give_up: false, body: Rc::from([]) }
+        Response { status, capacity, retry_after: Micros(0), no_retry_elsewhere: false, body: Rc::from([]) }
     }
 
     fn head(&self) -> String {
@@ -39,10 +39,10 @@
         if let Some(value) = self.capacity {
             let _ = write!(head, "X-Capacity: {value:.3}\r\n");
         }
-        if self.throttle > Micros(0) {
-            let _ = write!(head, "X-Throttle-Ms: {}\r\n", self.throttle.0.div_ceil(1000));
+        if self.retry_after > Micros(0) {
+            let _ = write!(head, "X-Throttle-Ms: {}\r\n", self.retry_after.0.div_ceil(1000));
         }
-        if self.give_up {
+        if self.no_retry_elsewhere {
             head.push_str("X-Give-Up: 1\r\n");
         }
         head.push_str("\r\n");
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -3,7 +3,7 @@
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
 use gaugestand_admission::engine::Micros;
-use gaugestand_simulation::fleet;
+use gaugestand_simulation::process_cluster;
 use gaugestand_simulation::world::{Outcome, play};
 use rayon::prelude::*;
 use std::collections::BTreeSet;
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -25,17 +25,17 @@
     /// Mean work on one core.
     pub work: Micros,
     /// When an answer is wanted, and when clients give up.
-    pub latency_objective: Micros,
+    pub aim: Micros,
     /// The latter.
     pub deadline: Micros,
     /// Its runs make a call.
     pub calls: bool,
     /// What an answer without that call still earns; 0 where that is not allowed.
-    pub skipped_call_weight: f64,
+    pub skip_worth: f64,
     /// What a late answer earns.
-    pub late_weight: f64,
+    pub late_worth: f64,
     /// What a request is worth.
-    pub priority_weight: f64,
+    pub worth: f64,
 }
 
 /// A site.
@@ -52,7 +52,7 @@
     /// Reads tell what they are about.
     pub rows: bool,
     /// There is a tier below.
-    pub downstream: bool,
+    pub below: bool,
     /// Refusals may say when to come back.
     pub advice: bool,
     /// What stopping a run does: `discard`, `freeze`, or `silent` where it cannot be done.
@@ -71,36 +71,32 @@
     /// The site of a seed.
     pub fn draw(seed: u64) -> Self {
         let mut dice = Dice::new(seed, 4);
-        let pick =
-            |dice: &mut Dice, words: &[&'static str]| words[dice.downstream(words.len() as u64) as usize];
+        let pick = |dice: &mut Dice, words: &[&'static str]| words[dice.below(words.len() as u64) as usize];
         let below = dice.chance(0.8);
         // Many sites have few classes, and some none that is keyed.
         let n = 1 + (dice.share().powi(2) * 8.0) as usize;
-        let keyed = [0.0, 0.4, 0.4, 1.0][dice.downstream(4) as usize];
+        let keyed = [0.0, 0.4, 0.4, 1.0][dice.below(4) as usize];
         // At some, one class takes so long that nothing passes on its connection meanwhile.
-        let slow = dice.chance(0.3).then(|| dice.downstream(n as u64) as usize);
+        let slow = dice.chance(0.3).then(|| dice.below(n as u64) as usize);
         let kinds: Vec<Kind> = (0..n)
             .map(|i| {
                 let deadline =
-                    if slow == Some(i) { 17_000 } else { [2_000, 4_000, 9_000][dice.downstream(3) as usize] };
-                let latency_objective = deadline * (3 + dice.downstream(5)) / 10;
-                let work = if slow == Some(i) {
-                    5_000 + dice.downstream(4_000)
-                } else {
-                    10 + dice.downstream(deadline / 40)
-                };
+                    if slow == Some(i) { 17_000 } else { [2_000, 4_000, 9_000][dice.below(3) as usize] };
+                let aim = deadline * (3 + dice.below(5)) / 10;
+                let work =
+                    if slow == Some(i) { 5_000 + dice.below(4_000) } else { 10 + dice.below(deadline / 40) };
                 let skips = dice.chance(0.5);
                 Kind {
                     name: format!("kind-{i}"),
                     keyed: dice.chance(keyed),
                     share: 0.2 + dice.share(),
                     work: Micros::millis(work),
-                    latency_objective: Micros::millis(latency_objective),
+                    aim: Micros::millis(aim),
                     deadline: Micros::millis(deadline),
                     calls: below && dice.chance(0.7),
-                    skipped_call_weight: if skips { 0.3 } else { 0.0 },
-                    late_weight: if dice.chance(0.5) { 0.2 } else { 0.0 },
-                    priority_weight: 1.0 + dice.downstream(5) as f64,
+                    skip_worth: if skips { 0.3 } else { 0.0 },
+                    late_worth: if dice.chance(0.5) { 0.2 } else { 0.0 },
+                    worth: 1.0 + dice.below(5) as f64,
                 }
             })
             .collect();
@@ -112,12 +108,12 @@
             marks: dice.chance(0.5),
             hints: dice.chance(0.5),
             rows: dice.chance(0.5),
-            downstream,
+            below,
             advice: dice.chance(0.8),
             halt: pick(&mut dice, &["discard", "discard", "freeze", "silent"]),
             signal: pick(&mut dice, &["allowance", "allowance", "floor", "weight", "silent"]),
-            window: Micros::millis(5_000 + dice.downstream(8_000)),
-            grace: Micros::millis(300 + dice.downstream(2_200)),
+            window: Micros::millis(5_000 + dice.below(8_000)),
+            grace: Micros::millis(300 + dice.below(2_200)),
             rate: (CORES * LOAD / work).clamp(RATE.0, RATE.1),
         }
     }
@@ -144,20 +140,20 @@
             .kinds
             .iter()
             .map(|k| {
-                json!({"name": k.name, "effect": if k.keyed { "token" } else { "pure" }, "goal-time": ns(k.latency_objective),
-                    "hard-limit": ns(k.deadline), "dedup-window": ns(self.window), "worth": k.priority_weight,
-                    "late-worth": k.late_weight})
+                json!({"name": k.name, "effect": if k.keyed { "token" } else { "pure" }, "goal-time": ns(k.aim),
+                    "hard-limit": ns(k.deadline), "dedup-window": ns(self.window), "worth": k.worth,
+                    "late-worth": k.late_worth})
             })
             .collect();
         let of = |f: fn(&Kind) -> Value| self.kinds.iter().map(f).collect::<Vec<_>>();
         json!({"classes": classes, "fleet-size": 1, "worth-by": "work", "over-share-worth": 0.1, "realms": [],
             "tick": 2_000_000, "clients": {"marks-retry": self.marks},
             "caps": {"retry-after": self.advice, "max-retry-after": 1_000_000_000u64},
-            "extra": {"below": if self.downstream { "tier" } else { "silent" }, "callers": callers, "calls-out": 0.0,
-                "class-calls": of(|k| json!(k.calls)), "class-skip-worth": of(|k| json!(k.skipped_call_weight)),
+            "extra": {"below": if self.below { "tier" } else { "silent" }, "callers": callers, "calls-out": 0.0,
+                "class-calls": of(|k| json!(k.calls)), "class-skip-worth": of(|k| json!(k.skip_worth)),
                 "cold": false, "cores": CORES, "dep-window": 5_000_000_000u64, "fresh-for": 0,
                 "full-checks": true, "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"],
-                "halt": self.preemption, "heeded": 1_000_000_000, "heap-kb": 70000.0, "key-kb": 10.0,
+                "halt": self.halt, "heeded": 1_000_000_000, "heap-kb": 70000.0, "key-kb": 10.0,
                 "list-follows": true, "run-factor": 8.0, "signal": self.signal, "stays-for": 200_000_000,
                 "caller-idle": 30_000_000_000u64, "passes-deadline": self.patience},
             "rules": {"grace-to-answer": 80_000_000, "cold-share": 0.3, "cold": 18_000_000_000u64,
@@ -169,13 +165,13 @@
     /// One line: what sets it apart.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let keyed = self.kinds.iter().filter(|k| k.keyed).count();
-        let skips = self.kinds.iter().filter(|k| k.calls && k.skipped_call_weight > 0.0).count();
+        let skips = self.kinds.iter().filter(|k| k.calls && k.skip_worth > 0.0).count();
         let told = [
             (self.patience, "patience"),
             (self.marks, "marks"),
             (self.hints, "hints"),
             (self.rows, "rows"),
-            (self.downstream, "a tier below"),
+            (self.below, "a tier below"),
             (self.advice, "advice"),
         ];
         let told: Vec<&str> = told.into_iter().filter(|t| t.0).map(|t| t.1).collect();
@@ -184,7 +180,7 @@
         write!(
             f,
             "halt {}, signal {}, {:.0} requests/s; {}",
-            self.preemption,
+            self.halt,
             self.signal,
             self.rate,
             told.join(", ")
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -44,7 +44,7 @@
     /// The process is told to leave, and is replaced.
     Drain,
     /// The tier below lets go of all its connections.
-    Downstream,
+    Below,
     /// The wall clock is set by so many milliseconds.
     Clock(i64),
 }
@@ -52,22 +52,22 @@
 /// The faults of a world, by time.
 pub fn plan(seed: u64, length: Micros) -> Vec<(Micros, Fault)> {
     let mut dice = Dice::new(seed, 2);
-    let n = dice.downstream(7);
+    let n = dice.below(7);
     let mut plan: Vec<(Micros, Fault)> = (0..n)
         .map(|_| {
             // Together on purpose: half of all faults come within a quarter of the time.
             let share = if dice.chance(0.5) { 0.4 + dice.share() * 0.25 } else { dice.share() };
             let at = Micros((length.0 as f64 * share) as u64);
-            let long = |dice: &mut Dice, ms: u64| Micros::millis(500 + dice.downstream(ms));
-            let fault = match dice.downstream(8) {
+            let long = |dice: &mut Dice, ms: u64| Micros::millis(500 + dice.below(ms));
+            let fault = match dice.below(8) {
                 0 => Fault::KernelLink,
                 1 => Fault::Reset,
                 2 => Fault::Burst(long(&mut dice, 6_000)),
                 3 => Fault::Slow(long(&mut dice, 8_000)),
                 4 => Fault::Death(long(&mut dice, 3_000)),
                 5 => Fault::Drain,
-                6 => Fault::Downstream,
-                _ => Fault::Clock(dice.downstream(20_000) as i64 - 10_000),
+                6 => Fault::Below,
+                _ => Fault::Clock(dice.below(20_000) as i64 - 10_000),
             };
             (at, fault)
         })
@@ -205,7 +205,7 @@
         };
         world.net.borrow_mut().listen(address(6100));
         world.net.borrow_mut().listen(address(9042));
-        world.kernel.halts = world.site.preemption != "silent";
+        world.kernel.halts = world.site.halt != "silent";
         world.start(seed);
         for i in (0..world.plan.len()).filter(|i| !skip.contains(i)) {
             let at = world.begin.plus(world.plan[i].0);
@@ -236,7 +236,7 @@
             "kernel": address(6100).to_string(), "members": address(7946).to_string(),
             "seed": format!("{seed:x}"), "stop_ms": STOP.0 / 1000,
             "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 384}, "settings": self.site.settings(GATEWAYS)});
-        if self.site.downstream {
+        if self.site.below {
             text["store"] = json!(address(9042).to_string());
         }
         text.to_string()
@@ -372,7 +372,7 @@
                 }
             }
             Event::Try(request) => self.attempt(request),
-            Event::GiveUp(id) => self.no_retry_elsewhere(&id),
+            Event::GiveUp(id) => self.give_up(&id),
             Event::Reply(side, bytes) => self.net.borrow_mut().say(side, &bytes),
             Event::Fault(i) => self.fault(self.plan[i].1),
             Event::Over(Fault::Burst(_)) => self.rate = self.site.rate,
@@ -380,7 +380,7 @@
             Event::Over(Fault::Death(_)) if self.node.is_none() => {
                 self.skipped += self.kernel.skipped;
                 self.kernel = Kernel::new(now, CORES, true);
-                self.kernel.halts = self.site.preemption != "silent";
+                self.kernel.halts = self.site.halt != "silent";
                 self.start(seed);
             }
             Event::Over(_) => {}
@@ -407,7 +407,7 @@
             Fault::Reset => {
                 let open: Vec<Side> = self.conns.keys().copied().collect();
                 if !open.is_empty() {
-                    let side = open[self.dice.downstream(open.len() as u64) as usize];
+                    let side = open[self.dice.below(open.len() as u64) as usize];
                     self.lose(side);
                     self.net.borrow_mut().close(side, true);
                 }
@@ -434,7 +434,7 @@
                     self.at(now.plus(STOP), Event::Stop(self.life));
                 }
             }
-            Fault::Downstream => {
+            Fault::Below => {
                 let all: Vec<Side> = std::mem::take(&mut self.fares).into_keys().collect();
                 all.into_iter().for_each(|side| self.net.borrow_mut().close(side, true));
             }
@@ -446,9 +446,9 @@
         let class = self.site.pick(&mut self.dice);
         let kind = &self.site.kinds[class];
         let work = Micros(kind.work.0 / 2).plus(self.dice.span(Micros(kind.work.0 / 2)));
-        let (keyed, row) = (kind.keyed, format!("{:016x}", self.dice.downstream(50)));
+        let (keyed, row) = (kind.keyed, format!("{:016x}", self.dice.below(50)));
         let id = self.id();
-        let tries_left = 1 + self.dice.downstream(3) as u32;
+        let tries_left = 1 + self.dice.below(3) as u32;
         let key = keyed.then(|| format!("key{id}"));
         Request { class, key, body: id.into_bytes(), work, tries_left, until: None, row }
     }
@@ -460,7 +460,7 @@
 
     /// Sends a try over a connection with room, or a new one.
     fn attempt(&mut self, mut request: Request) {
-        let gateway = self.dice.downstream(GATEWAYS);
+        let gateway = self.dice.below(GATEWAYS);
         // Some requests come on a connection of their own, so that nothing else passes on it while they are open.
         let shares = self.dice.chance(0.7);
         let fits = |c: &Conn| shares && c.gateway == gateway && c.open.len() < 8;
@@ -507,7 +507,7 @@
         conn.next = conn.next.wrapping_add(1).max(1);
         conn.open.insert(number, id.clone());
         self.net.borrow_mut().say(side, &fastcgi::request(number, &params, &request.body));
-        let (calls, skips) = (kind.calls, kind.skipped_call_weight > 0.0);
+        let (calls, skips) = (kind.calls, kind.skip_worth > 0.0);
         let (class, body, work) = (class.into(), request.body.clone(), request.work);
         self.kernel.know(&id, Known { class, body, work, calls, skips });
         let key = request.key.clone().map(|key| (key, request.body.clone()));
@@ -518,7 +518,7 @@
         self.tries.insert(id, (request, side, number));
     }
 
-    fn no_retry_elsewhere(&mut self, id: &str) {
+    fn give_up(&mut self, id: &str) {
         let Some((_, side, number)) = self.tries.remove(id) else { return };
         if self.dice.chance(0.8) {
             self.net.borrow_mut().say(side, &fastcgi::abort(number));
@@ -628,7 +628,7 @@
             if let Some((request, _, _)) = self.tries.remove(&id) {
                 if answer.status == 200 && request.key.is_some() && self.dice.chance(0.2) {
                     // Some come again round the edge of the window, from well within it to just past it.
-                    let edge = Micros(self.site.window.0 - 3_000_000 + self.dice.downstream(3_300_000));
+                    let edge = Micros(self.site.window.0 - 3_000_000 + self.dice.below(3_300_000));
                     let late = Request { tries_left: 1, until: None, ..request.clone() };
                     self.at(now.plus(edge), Event::Try(late));
                 }
--- a/src/bin/simulator_adapter/wire.rs
+++ b/src/bin/simulator_adapter/wire.rs
@@ -194,7 +194,7 @@
 fn demand(f: &Fields) -> Result<Request, WireError> {
     let deadline = f.int_or_zero("drop-dead")?;
     let work_hint = f.int_or_zero("effort")?;
-    let prior = match f.get("prior") {
+    let original = match f.get("prior") {
         None | Some("0" | "") => None,
         Some(v) => Some(request_id("prior", v)?),
     };
@@ -202,7 +202,7 @@
         id: f.id()?,
         class: f.int("lane")? as usize,
         tenant: f.int_or_zero("party")? as usize,
-        key: f.get("affinity").filter(|v| !v.is_empty()).map(|v| {
+        resource_key: f.get("affinity").filter(|v| !v.is_empty()).map(|v| {
             let mut hasher = DefaultHasher::new();
             v.hash(&mut hasher);
             hasher.finish()
@@ -312,7 +312,7 @@
             "freeze" => Preemption::Freeze,
             _ => Preemption::Never,
         },
-        signal: match k.word("extra.signal") {
+        backpressure_signal: match k.word("extra.signal") {
             "floor" => BackpressureSignal::Floor,
             "allowance" => BackpressureSignal::Allowance,
             "weight" => BackpressureSignal::Weight,
@@ -371,7 +371,7 @@
             put(
                 out,
                 format_args!(
-                    "overload_reply who={who} handle={} stay-away={away} give-up={give_up}",
+                    "overload_reply who={who} handle={} stay-away={away} give-up={no_retry_elsewhere}",
                     Id(*id)
                 ),
             );
