--- a/crates/admission/src/classes.rs
+++ b/crates/admission/src/classes.rs
@@ -99,7 +99,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::{Effect, Span};
+    use crate::interface::Effect;
+    use crate::time::Span;
 
     fn class(deadline: u64) -> Class {
         let (latency_objective, priority_weight, late_weight) = (Span::millis(1), 1.0, 0.0);
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -4,6 +4,7 @@
 //! shares, calls, memory and crowd guards, signals, health and connections, drain.
 
 use crate::interface::*;
+use crate::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/admission/src/engine.rs
+++ b/crates/admission/src/engine.rs
@@ -7,47 +7,13 @@
 
 use crate::classes::SlotPlan;
 use crate::controller::Controller;
-use crate::idempotency::{Begin, Ended, Found, IdempotencyTable, Join, Moment, RunResult, Settled};
+use crate::idempotency::{Begin, Ended, Found, IdempotencyTable, Join, RunResult, Settled};
 use crate::interface::*;
+use crate::time::{Micros, Moment};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A point on the monotonic clock, or a length of time, in whole microseconds.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Micros(pub u64);
-
-impl Micros {
-    /// Whole milliseconds.
-    pub const fn millis(ms: u64) -> Self {
-        Micros(ms.saturating_mul(1000))
-    }
-
-    /// This much later.
-    pub const fn plus(self, by: Micros) -> Self {
-        Micros(self.0.saturating_add(by.0))
-    }
-
-    /// The time since `earlier`; zero if that is later.
-    pub const fn since(self, earlier: Micros) -> Self {
-        Micros(self.0.saturating_sub(earlier.0))
-    }
-
-    fn span(self) -> Span {
-        Span(self.0.saturating_mul(1000))
-    }
-
-    fn time(self) -> Time {
-        Time(self.0.saturating_mul(1000))
-    }
-}
-
-impl From<Span> for Micros {
-    fn from(s: Span) -> Self {
-        Micros(s.0 / 1000)
-    }
-}
-
 /// A gauge answer that has not come by then is done without: the look at due times cannot wait for it.
 const GAUGE_WAIT: Micros = Micros::millis(30);
 /// Past its due time by this, a request that the controller has not answered gets a failure: the slack of the
--- a/crates/admission/src/handover.rs
+++ b/crates/admission/src/handover.rs
@@ -4,7 +4,7 @@
 //! process says what to do with the link to the other, with the claim and with its state; it does no I/O and reads
 //! no clock. The table that it follows is in `docs/design/operation.md`.
 
-use crate::engine::Micros;
+use crate::time::Micros;
 
 /// From the moment at which all was sent: how long the heir has to take over.
 pub const TAKE_OVER: Micros = Micros::millis(1_000);
--- a/crates/admission/src/idempotency.rs
+++ b/crates/admission/src/idempotency.rs
@@ -4,33 +4,10 @@
 //! when an answer may go out is the register's. It is asked in the order in which things happen, answers at
 //! once, and tells later what has settled since ([`Register::settled`]). It has no clock and does no I/O.
 
-use crate::engine::Micros;
 use crate::interface::RequestId;
-use serde::{Deserialize, Serialize};
+use crate::time::{Micros, Moment};
 use std::rc::Rc;
 
-/// A moment on both clocks. The monotonic one can't be set; the wall clock is the one that survives a restart.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Moment {
-    /// Monotonic time of this process.
-    pub mono: Micros,
-    /// Unix time.
-    pub wall: Micros,
-}
-
-impl Moment {
-    /// This much later on both.
-    pub const fn plus(self, by: Micros) -> Self {
-        Moment { mono: self.mono.plus(by), wall: self.wall.plus(by) }
-    }
-
-    /// Whether this moment is before the end of a window. Either clock will do: one that was set back or forward
-    /// may lengthen a window, never shorten it.
-    pub fn is_before(self, end: Moment) -> bool {
-        self.mono < end.mono || self.wall < end.wall
-    }
-}
-
 /// What is known of a key when a try of it comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found {
--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -2,55 +2,8 @@
 //!
 //! Nothing here decides anything: settings and events go in, actions come out.
 
+use crate::time::{Span, Time};
 use serde::{Deserialize, Serialize};
-use std::ops::{Add, Sub};
-
-/// A point on the worker's clock, in nanoseconds from no particular origin.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Time(pub u64);
-
-/// A length of time in nanoseconds.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Span(pub u64);
-
-impl Span {
-    /// A span of whole milliseconds.
-    pub const fn millis(ms: u64) -> Self {
-        Span(ms.saturating_mul(1_000_000))
-    }
-
-    /// The span in seconds.
-    pub fn secs(self) -> f64 {
-        self.0 as f64 / 1e9
-    }
-
-    /// A span from seconds; negative and undefined values give zero.
-    pub fn from_secs(s: f64) -> Self {
-        Span((s * 1e9).max(0.0) as u64)
-    }
-}
-
-impl Add<Span> for Time {
-    type Output = Time;
-    fn add(self, rhs: Span) -> Time {
-        Time(self.0.saturating_add(rhs.0))
-    }
-}
-
-impl Sub<Span> for Time {
-    type Output = Time;
-    fn sub(self, rhs: Span) -> Time {
-        Time(self.0.saturating_sub(rhs.0))
-    }
-}
-
-impl Sub<Time> for Time {
-    type Output = Span;
-    /// The time since `rhs`; zero if `rhs` is later.
-    fn sub(self, rhs: Time) -> Span {
-        Span(self.0.saturating_sub(rhs.0))
-    }
-}
 
 /// Names one try of a request; never reused by the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -80,6 +80,8 @@
 pub mod idempotency;
 mod interface;
 pub mod log_record;
+pub mod time;
 
 pub use controller::Controller;
 pub use interface::*;
+pub use time::{Span, Time};
--- a/crates/admission/tests/engine.rs
+++ b/crates/admission/tests/engine.rs
@@ -4,9 +4,10 @@
 
 use common::settings;
 use gaugestand_admission::engine::{
-    AdmitError, Arrival, CallOutcome, Engine, EngineCommand, EngineEvent, Micros, RunOutcome,
+    AdmitError, Arrival, CallOutcome, Engine, EngineCommand, EngineEvent, RunOutcome,
 };
-use gaugestand_admission::idempotency::Moment;
+use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Moment;
 use gaugestand_admission::{Downstream, RequestId, Settings};
 use gaugestand_idempotency::KeyTable;
 use std::rc::Rc;
--- a/crates/admission/tests/handover.rs
+++ b/crates/admission/tests/handover.rs
@@ -3,8 +3,8 @@
 //! What is modelled around the real machine: the claim (let go of by a death), the link as two queues whose bytes outlive
 //! the death of the side that wrote them, and one key: what each process knows of it.
 
-use gaugestand_admission::engine::Micros;
 use gaugestand_admission::handover::{Event, Handover, Role, Step};
+use gaugestand_admission::time::Micros;
 use stateright::{Checker, Model, Property};
 use std::collections::VecDeque;
 
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -13,7 +13,7 @@
 //! `v` was asked for before that. A node acts on the later one only after it has heard of the commit, and has waited for as
 //! long as a lease can last by any clock.
 
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
--- a/crates/cluster/tests/consensus.rs
+++ b/crates/cluster/tests/consensus.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{Course, Cuts};
-use gaugestand_admission::engine::Micros;
 use gaugestand_admission::log_record::{Found, LogRecord};
+use gaugestand_admission::time::Micros;
 use gaugestand_cluster::consensus::{Consensus, Event, Refusal, Setup, Step};
 use gaugestand_cluster::lease::{Acts, Defect, Member, Terms, Version};
 use gaugestand_cluster::members::{Change, Members};
--- a/crates/cluster/tests/lease.rs
+++ b/crates/cluster/tests/lease.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{Course, Cuts};
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use gaugestand_cluster::lease::{Acts, Defect, Effect, Event, Member, Step, Terms, Version, Voters};
 use std::collections::BTreeMap;
 
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -3,7 +3,7 @@
 //!
 //! What is modelled around the real machine is the log: who has the version on disk, and that a majority having it commits it.
 
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use gaugestand_cluster::lease::{Acts, Defect, Effect, Event, Member, Step, Terms, Voters};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
--- a/crates/idempotency/src/table.rs
+++ b/crates/idempotency/src/table.rs
@@ -15,8 +15,9 @@
 
 use crate::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
 use gaugestand_admission::RequestId;
-use gaugestand_admission::engine::Micros;
 use gaugestand_admission::idempotency::*;
+use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Moment;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::{BuildHasher, RandomState};
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -3,8 +3,9 @@
 //!
 //! Bound: three tries of one key, up to `depth()` steps, two crashes, two stalls, two breaks, one due time passed.
 
-use gaugestand_admission::engine::{Arrival, Engine, EngineCommand, EngineEvent, Micros, RunOutcome};
-use gaugestand_admission::idempotency::Moment;
+use gaugestand_admission::engine::{Arrival, Engine, EngineCommand, EngineEvent, RunOutcome};
+use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Moment;
 use gaugestand_admission::{
     BackpressureSignal, Class, Downstream, Effect, Preemption, RequestId, Settings, Span, WeightBy,
 };
--- a/crates/idempotency/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -1,8 +1,9 @@
 //! The ledger by itself: windows on both clocks, bounds, the breaker and its probes, recovery.
 
 use gaugestand_admission::RequestId;
-use gaugestand_admission::engine::Micros;
 use gaugestand_admission::idempotency::*;
+use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Moment;
 use gaugestand_idempotency::row::{Cause, Outcome, Recovery, Row, State, Work, Write};
 use gaugestand_idempotency::{Breaker, KeyTable, Limits};
 use std::rc::Rc;
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -5,7 +5,7 @@
 
 use super::io::{Listener, Ready, Stream, System};
 use super::response::Outbox;
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use std::io::{self, Read as _};
 use std::net::SocketAddr;
 
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration: the BALANCER variables and the JSON file that one of them names.
 
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use gaugestand_admission::{
     BackpressureSignal, Class, Controller, Downstream, Effect, Preemption, Settings, SettingsError, Span,
     Tenant, WeightBy,
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -6,7 +6,7 @@
 use super::request::Incoming;
 use super::response::Outbox;
 use gaugestand_admission::RequestId;
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -22,9 +22,10 @@
 use super::store::{self, Ended, Store};
 use gaugestand_admission::classes::ClassSlots;
 use gaugestand_admission::engine::{
-    AdmitError, Arrival, CallOutcome, Engine, EngineCommand, EngineEvent, Micros, RunOutcome,
+    AdmitError, Arrival, CallOutcome, Engine, EngineCommand, EngineEvent, RunOutcome,
 };
 use gaugestand_admission::idempotency::IdempotencyTable as _;
+use gaugestand_admission::time::Micros;
 use gaugestand_admission::{Effect, RequestId, SettingsError, handover::Event as HandoverEvent};
 use gaugestand_idempotency::{Breaker, KeyTable};
 use gaugestand_settings::Backend;
--- a/crates/node/src/event_loop/cluster.rs
+++ b/crates/node/src/event_loop/cluster.rs
@@ -5,8 +5,8 @@
 use crate::peers::{self, News};
 use crate::request::AttemptParams;
 use crate::response::Response;
-use gaugestand_admission::engine::Micros;
 use gaugestand_admission::idempotency::IdempotencyTable as _;
+use gaugestand_admission::time::Micros;
 use gaugestand_admission::{Effect, Span};
 use gaugestand_cluster::consensus::Refusal;
 use gaugestand_cluster::diff::Content;
--- a/crates/node/src/health_checks.rs
+++ b/crates/node/src/health_checks.rs
@@ -8,7 +8,7 @@
 use super::counters::Counters;
 use super::io::System;
 use super::kernel::Kernel;
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use std::collections::VecDeque;
 
 /// A check that the kernel has not answered by then has failed.
--- a/crates/node/src/idempotency_store.rs
+++ b/crates/node/src/idempotency_store.rs
@@ -6,8 +6,8 @@
 use super::counters::Counters;
 use super::io::link::{Change, Link};
 use super::io::{System, Worker};
-use gaugestand_admission::engine::Micros;
-use gaugestand_admission::idempotency::Moment;
+use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Moment;
 use gaugestand_idempotency::postgres::{Event, Fault, Login, Session};
 use gaugestand_idempotency::row::{Batch, Cause, Outcome, Work};
 use gaugestand_idempotency::sqlite::Options;
--- a/crates/node/src/io/clock.rs
+++ b/crates/node/src/io/clock.rs
@@ -1,8 +1,8 @@
 //! Monotonic and Unix time, read together once a turn.
 
 use super::System;
-use gaugestand_admission::engine::Micros;
-use gaugestand_admission::idempotency::Moment;
+use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Moment;
 
 /// Where the monotonic clock starts: later than any age that a request may have, so that the time at which it
 /// reached the machine is never before the origin.
--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -2,7 +2,7 @@
 
 use super::{Stream, System};
 use crate::response::Outbox;
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use std::io::{self, Read};
 use std::net::SocketAddr;
 
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -10,9 +10,9 @@
 pub mod poll;
 pub mod real;
 
-use gaugestand_admission::engine::Micros;
-use gaugestand_admission::idempotency::Moment;
 use gaugestand_admission::log_record::Found;
+use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Moment;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::Options;
 use std::fmt::Debug;
--- a/crates/node/src/io/poll.rs
+++ b/crates/node/src/io/poll.rs
@@ -1,7 +1,7 @@
 //! Registration of descriptors with the poller: the one place with unsafe code.
 
 use super::Ready;
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use polling::{AsSource, Event, PollMode, Poller};
 use rustix::event::Timespec;
 use rustix::event::epoll::{self, EventFlags};
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -3,9 +3,9 @@
 use super::handover_socket::{self, Door, Lock, UnixKin};
 use super::poll::{Watched, wait};
 use super::{Datagram, Listener, Ready, Stream, System, Worker};
-use gaugestand_admission::engine::Micros;
-use gaugestand_admission::idempotency::Moment;
 use gaugestand_admission::log_record::Found;
+use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Moment;
 use gaugestand_idempotency::consensus_log::ConsensusLog;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::{Options, Sqlite};
--- a/crates/node/src/kernel.rs
+++ b/crates/node/src/kernel.rs
@@ -6,7 +6,7 @@
 use super::request::{id_of, id_text};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use gaugestand_admission::{Gauges, RequestId};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
--- a/crates/node/src/membership_reports.rs
+++ b/crates/node/src/membership_reports.rs
@@ -2,7 +2,7 @@
 
 use super::counters::Counters;
 use super::io::{Datagram, System};
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use std::io;
 use std::net::SocketAddr;
 
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -2,7 +2,7 @@
 
 use super::fastcgi;
 use gaugestand_admission::RequestId;
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use serde::{Deserialize, Serialize};
 
 /// Longest body.
--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -1,7 +1,7 @@
 //! CGI responses, cut into records and queued for gathered writes.
 
 use super::fastcgi::{self, kind, status};
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use std::collections::VecDeque;
 use std::fmt::Write as _;
 use std::io::{self, IoSlice, Write};
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -9,7 +9,8 @@
 use super::io::{Ready, System};
 use super::request::{id_of, id_text};
 use gaugestand_admission::RequestId;
-use gaugestand_admission::engine::{CallOutcome, Micros};
+use gaugestand_admission::engine::CallOutcome;
+use gaugestand_admission::time::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/simulation/src/checkers/mod.rs
+++ b/crates/simulation/src/checkers/mod.rs
@@ -1,7 +1,7 @@
 //! The rules of the platform, checked on what passes over the virtual sockets and what the kernel did; they know
 //! nothing of the node.
 
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use std::collections::BTreeMap;
 
 /// Slack past the due time, with what each limit is longer on sockets.
--- a/crates/simulation/src/fakes/fares.rs
+++ b/crates/simulation/src/fakes/fares.rs
@@ -1,7 +1,7 @@
 //! The tier below: answers calls after a while, or turns them away.
 
 use crate::network::Dice;
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 
 /// Calls read from one connection, and what is left of the input.
 pub fn calls(input: &mut Vec<u8>) -> Vec<(String, Vec<u8>)> {
--- a/crates/simulation/src/fakes/kernel.rs
+++ b/crates/simulation/src/fakes/kernel.rs
@@ -2,7 +2,7 @@
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -2,7 +2,7 @@
 #![forbid(unsafe_code)]
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use gaugestand_simulation::process_cluster;
 use gaugestand_simulation::world::{Outcome, play};
 use rayon::prelude::*;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -3,9 +3,9 @@
 //! Bytes arrive in order on each connection, in pieces of any size, after a delay drawn from the seed. Nothing
 //! happens between two events; a node that is not woken does nothing.
 
-use gaugestand_admission::engine::Micros;
-use gaugestand_admission::idempotency::Moment;
 use gaugestand_admission::log_record::Found;
+use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Moment;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::Options;
 use gaugestand_node::io::{Claim, Datagram, Kin, Listener, Passed, Ready, Stream, System, Worker};
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -2,7 +2,7 @@
 //! the form of one.
 
 use crate::network::Dice;
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use serde_json::{Value, json};
 use std::fmt;
 
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -7,7 +7,7 @@
 use crate::fakes::kernel::{Kernel, Known, Seen};
 use crate::network::{Dice, Net, Side, Virtual};
 use crate::site::{CORES, Site};
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use gaugestand_node::config;
 use gaugestand_node::event_loop::Node;
 use gaugestand_node::log::Logs;
--- a/crates/simulation/tests/worlds.rs
+++ b/crates/simulation/tests/worlds.rs
@@ -1,6 +1,6 @@
 //! Worlds from fixed seeds: the rules hold, a seed is a world, and the rules can fail.
 
-use gaugestand_admission::engine::Micros;
+use gaugestand_admission::time::Micros;
 use gaugestand_simulation::checkers::Rules;
 use gaugestand_simulation::world::{Fault, play};
 use rayon::prelude::*;
