--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,10 +1,10 @@
-//! What `.ci/run` passes over: exactly what `KNOWN-RED.txt` lists, and no list that is wrong.
+//! `.ci/known-red`: CI passes over exactly the tests that `KNOWN-RED.txt` lists, and a malformed list is an error.
 
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-/// Runs the reader of the list on this list, with tests of these names; its output, or what it says is wrong.
+/// Runs `.ci/known-red` on this list, with tests of these names: its output, or its error message.
 fn known_red(list: Option<&str>, tests: &str) -> Result<String, String> {
     static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -25,29 +25,68 @@
 
 const TESTS: &str = "one\nother::one\ntwo\ntwo\nthree\nfour\n";
 
+/// A sound entry for the test of this name.
+fn entry(test: &str) -> String {
+    format!("test: {test}\ncommand: cargo test --locked {test}\nseed: 7\nseen: a race, at close\nissue: 26\n")
+}
+
 #[test]
 fn tests_that_are_listed_are_passed_over_by_their_full_names() {
-    for none in [None, Some("")] {
+    for none in [None, Some(""), Some("\n\n")] {
         assert_eq!(known_red(none, TESTS), Ok(String::new()));
     }
-    let list = "one, a race at close, with a comma, 26\nother::one, a slow dial, issue 27\nthree, x, #9";
-    assert_eq!(known_red(Some(list), TESTS), Ok("one\nother::one\nthree\n".into()));
+    let several_lines = "\
+test: other::one
+command: cargo test --locked --test other
+    one -- --exact
+seed: none
+seen: a slow dial,
+    then a reset: 3 of 20 runs
+issue: issue #27
+";
+    let list = format!("{}\n{several_lines}\n\n{}", entry("one"), entry("three").trim_end());
+    assert_eq!(known_red(Some(&list), TESTS), Ok("one\nother::one\nthree\n".into()));
 }
 
 #[test]
 fn a_list_that_is_wrong_is_an_error() {
+    let four = ["one", "other::one", "three", "four"].map(entry).join("\n");
+    let twice = [entry("one"), entry("one")].join("\n");
+    let no_blank_line = [entry("one"), entry("three")].concat();
+    let without = |field: &str| {
+        let whole = entry("one");
+        let lines = whole.lines().filter(|line| !line.starts_with(field));
+        lines.collect::<Vec<_>>().join("\n")
+    };
+    let with = |field: &str, text: &str| {
+        let whole = entry("one");
+        let lines = whole.lines().map(|line| if line.starts_with(field) { text } else { line });
+        lines.collect::<Vec<_>>().join("\n")
+    };
     for (list, why) in [
-        ("one, a, 1\nother::one, a, 1\nthree, a, 1\nfour, a, 1\n", "over 3 lines"),
-        ("one, no issue\n", "not 'test, cause, issue'"),
-        ("one\n", "not 'test, cause, issue'"),
-        ("one, , 1\n", "not 'test, cause, issue'"),
-        ("\n", "not 'test, cause, issue'"),
-        ("five, a, 1\n", "0 tests are named five"),
-        ("on, a part of a name, 1\n", "0 tests are named on"),
-        ("two, a, 1\n", "2 tests are named two"),
-        ("one, a, 1\none, a, 1\n", "twice"),
+        (four, "over 3 entries"),
+        (twice, "twice: one"),
+        (no_blank_line, "not a blank line after an entry"),
+        ("one, a race at close, 26\n".into(), "not 'test:'"),
+        ("  one\n".into(), "not a field"),
+        ("test: one\n".into(), "has no 'command:'"),
+        (without("test"), "not 'test:'"),
+        (without("command"), "not 'command:'"),
+        (without("seed"), "not 'seed:'"),
+        (without("seen"), "not 'seen:'"),
+        (without("issue"), "has no 'issue:'"),
+        (with("test", "test:"), "has an empty 'test:'"),
+        (with("command", "command: "), "has an empty 'command:'"),
+        (with("seed", "seed:"), "has an empty 'seed:'"),
+        (with("seen", "seen:\n   "), "has no 'issue:'"),
+        (with("seen", "seen:"), "has an empty 'seen:'"),
+        (with("issue", "issue:"), "has an empty 'issue:'"),
+        (with("issue", "issue: soon"), "has no issue number"),
+        (entry("five"), "0 tests are named five"),
+        (entry("on"), "0 tests are named on"),
+        (entry("two"), "2 tests are named two"),
     ] {
-        let said = known_red(Some(list), TESTS).expect_err(list);
-        assert!(said.contains(why), "{list:?}: {said}");
+        let message = known_red(Some(&list), TESTS).expect_err(&list);
+        assert!(message.contains(why), "{list:?}: {message}");
     }
 }
