--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -359,12 +359,13 @@
         }
         std::thread::sleep(Duration::from_millis(300));
         let mut clients = clients;
+        clients.stop.store(true, Ordering::Relaxed);
+        clients.threads.drain(..).for_each(|t| t.join().expect("no panic"));
         if !elder {
-            // What the new one had taken over ended with it; what it had not goes on.
+            // What the new process had taken over ended with it; what it had not goes on. The clients have stopped by
+            // now, so that none of them adds another refused connection after this.
             clients.wrong.lock().expect("no panic").retain(|w| !w.contains("refused"));
         }
-        clients.stop.store(true, Ordering::Relaxed);
-        clients.threads.drain(..).for_each(|t| t.join().expect("no panic"));
         clients.end(&kernel);
     }
 }
