--- a/crates/admission/src/engine.rs
+++ b/crates/admission/src/engine.rs
@@ -1,7 +1,7 @@
 //! The blocking-style face of the decisions, for whatever speaks to the outside.
 //!
-//! A front tells of a request with [`Engine::pick`], of everything that happens later with
-//! [`Engine::report`], and lets time pass with [`Engine::tick`]; each appends [`Verdict`]s. The engine owns
+//! A front tells of a request with [`Engine::admit`], of everything that happens later with
+//! [`Engine::on_event`], and lets time pass with [`Engine::on_timer`]; each appends [`EngineCommand`]s. The engine owns
 //! what no front should know of: the controller's events and actions, its timers, the table of keys with
 //! stored results and windows, the announced capacity, health and the drain. It knows no protocol.
 
@@ -344,7 +344,7 @@
         self.controller.is_some() && self.good && self.drain.is_none() && self.idempotency.is_ready()
     }
 
-    /// The table of keys, for whoever carries its writes out. After any change to it [`Engine::tick`] is owed.
+    /// The table of keys, for whoever carries its writes out. After any change to it [`Engine::on_timer`] is owed.
     pub fn idempotency(&mut self) -> &mut R {
         &mut self.idempotency
     }
--- a/crates/admission/src/idempotency.rs
+++ b/crates/admission/src/idempotency.rs
@@ -2,7 +2,7 @@
 //!
 //! The engine decides nothing about keys itself: which try of a keyed request may run, what its repeats get and
 //! when an answer may go out is the register's. It is asked in the order in which things happen, answers at
-//! once, and tells later what has settled since ([`Register::settled`]). It has no clock and does no I/O.
+//! once, and tells later what has settled since ([`IdempotencyTable::settled`]). It has no clock and does no I/O.
 
 use crate::interface::RequestId;
 use crate::time::{Micros, Moment};
@@ -94,7 +94,7 @@
     fn settled(&mut self, now: Moment, out: &mut Vec<Settled>);
     /// Whether keyed requests can be taken at all yet: false while what was kept before is being read.
     fn is_ready(&self) -> bool;
-    /// When to call [`Register::settled`] although nothing happens.
+    /// When to call [`IdempotencyTable::settled`] although nothing happens.
     fn wake(&self) -> Option<Micros>;
 }
 
--- a/crates/admission/src/log_record.rs
+++ b/crates/admission/src/log_record.rs
@@ -25,9 +25,9 @@
 /// What a node found on its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Found {
-    /// As in [`Page::state`].
+    /// As in [`LogRecord::state`].
     pub state: Option<Vec<u8>>,
-    /// As in [`Page::base`].
+    /// As in [`LogRecord::base`].
     pub base: Option<Vec<u8>>,
     /// Entries in the order of their places.
     pub entries: Vec<(u64, Vec<u8>)>,
--- a/crates/cluster/src/consensus.rs
+++ b/crates/cluster/src/consensus.rs
@@ -144,7 +144,7 @@
     Write(u64, LogRecord),
     /// Say whether this node could act on this content.
     Check(Asked, Rc<[u8]>, bool),
-    /// This version is agreed. It is not in effect yet: [`Accord::acts`].
+    /// This version is agreed. It is not in effect yet: [`Consensus::acts`].
     Agreed(Version, Rc<[u8]>),
     /// What became of an operator's proposal.
     Answer(u64, Result<Version, Refusal>),
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -61,7 +61,7 @@
 /// What the node has to do for the fleet.
 #[derive(Debug)]
 pub enum News {
-    /// Say whether it could act on this content, with [`Fellows::checked`].
+    /// Say whether it could act on this content, with [`Peers::checked`].
     Check(Asked, Rc<[u8]>, bool),
     /// Answer the operator who has this ticket.
     Answer(u64, Result<Version, Refusal>),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,7 @@
 //! nothing of the interpreter is left once [`load`] has returned. It does not guarantee that what a setting
 //! names is there: that is found out by whoever uses it.
 //!
-//! A builtin is one entry of [`BUILTINS`]: its fields with their types and ranges, from which come the checks,
+//! A builtin is one entry of `BUILTINS`: its fields with their types and ranges, from which come the checks,
 //! the hints and the operators' list (`gaugestand check-config --settings FILE`).
 #![forbid(unsafe_code)]
 
