--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,23 +1,24 @@
-//! Builtins as tables of fields: names, types, ranges and the hints that come of them.
+//! Builtins as tables of fields: names, types, ranges and the hints that follow from them.
 
+use crate::error::CallError;
 use starlark::collections::SmallMap;
 use starlark::values::Value;
 use starlark::values::list::ListRef;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What a field may be.
+/// The type of a field, with its range.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Kind {
+pub(crate) enum FieldType {
     /// One of these words.
     Word(&'static [&'static str]),
     /// Text that is not empty.
     Text,
     /// An address and a port.
     Address,
-    /// A whole number from the first to the second.
+    /// A whole number from the first to the second, both included.
     Int(u64, u64),
-    /// A list of texts, so many at most.
+    /// A list of texts, with at most this many.
     Texts(usize),
 }
 
@@ -25,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Field {
     pub(crate) name: &'static str,
-    pub(crate) kind: Kind,
+    pub(crate) field_type: FieldType,
 }
 
 /// A call that a script can make.
@@ -35,25 +36,24 @@
     pub(crate) fields: &'static [Field],
 }
 
-/// The fields of a call, checked.
+/// The checked arguments of a call.
 #[derive(Debug, Default)]
 pub(crate) struct Values {
-    name: &'static str,
+    builtin: &'static str,
     texts: BTreeMap<&'static str, String>,
     ints: BTreeMap<&'static str, u64>,
     lists: BTreeMap<&'static str, Vec<String>>,
 }
 
 impl Values {
-    /// A text or word, if it was given.
+    /// A text, word or address, if it was given.
     pub(crate) fn text(&self, name: &str) -> Option<&str> {
         self.texts.get(name).map(String::as_str)
     }
 
-    /// A text or word that cannot be left out.
-    pub(crate) fn must(&self, name: &str) -> anyhow::Result<&str> {
-        self.text(name)
-            .ok_or_else(|| anyhow::anyhow!("{}: `{name}` is missing; add {name} = \"...\"", self.name))
+    /// A text, word or address that cannot be left out.
+    pub(crate) fn required_text(&self, name: &str) -> Result<&str, CallError> {
+        self.text(name).ok_or_else(|| self.missing(name, "\"...\""))
     }
 
     /// A number, if it was given.
@@ -62,90 +62,120 @@
     }
 
     /// A list that cannot be left out.
-    pub(crate) fn list(&self, name: &str) -> anyhow::Result<&[String]> {
+    pub(crate) fn required_list(&self, name: &str) -> Result<&[String], CallError> {
         let list = self.lists.get(name).map(Vec::as_slice);
-        list.ok_or_else(|| anyhow::anyhow!("{}: `{name}` is missing; add {name} = [\"...\"]", self.name))
+        list.ok_or_else(|| self.missing(name, "[\"...\"]"))
     }
 
     /// Whether a field was given.
     pub(crate) fn has(&self, name: &str) -> bool {
         self.texts.contains_key(name) || self.ints.contains_key(name) || self.lists.contains_key(name)
     }
+
+    fn missing(&self, name: &str, example: &'static str) -> CallError {
+        CallError::MissingField { builtin: self.builtin, field: name.to_string(), example }
+    }
 }
 
 /// The name that may have been meant, or all there are.
 pub(crate) fn hint(name: &str, names: impl Iterator<Item = &'static str> + Clone) -> String {
-    let near = names.clone().map(|n| (strsim::damerau_levenshtein(n, name), n)).min();
-    match near {
-        Some((distance, near)) if distance <= 2.max(near.len() / 3) => format!("did you mean `{near}`?"),
+    let nearest = names.clone().map(|known| (strsim::damerau_levenshtein(known, name), known)).min();
+    match nearest {
+        Some((distance, known)) if distance <= 2.max(known.len() / 3) => format!("did you mean `{known}`?"),
         _ => format!("there are {}", names.collect::<Vec<_>>().join(", ")),
     }
 }
 
+/// A value that does not fit its field: what it is, and what would fit.
+struct Mismatch {
+    problem: String,
+    hint: String,
+}
+
+impl Mismatch {
+    fn new(problem: impl Into<String>, hint: impl Into<String>) -> Self {
+        Mismatch { problem: problem.into(), hint: hint.into() }
+    }
+}
+
 impl Builtin {
-    /// Checks the fields of a call.
-    pub(crate) fn check(&self, given: &SmallMap<String, Value>) -> anyhow::Result<Values> {
-        let mut values = Values { name: self.name, ..Values::default() };
-        for (name, value) in given {
-            let Some(field) = self.fields.iter().find(|f| f.name == name) else {
-                let hint = hint(name, self.fields.iter().map(|f| f.name));
-                anyhow::bail!("{}: `{name}` is no field of it; {hint}", self.name);
+    /// Checks the arguments of a call against the fields.
+    pub(crate) fn check(&self, arguments: &SmallMap<String, Value>) -> Result<Values, CallError> {
+        let mut values = Values { builtin: self.name, ..Values::default() };
+        for (name, value) in arguments {
+            let Some(field) = self.fields.iter().find(|field| field.name == name) else {
+                let hint = hint(name, self.fields.iter().map(|field| field.name));
+                return Err(CallError::UnknownField { builtin: self.name, field: name.clone(), hint });
             };
-            let wrong = |what: &str, hint: String| anyhow::anyhow!("{}: `{name}` {what}; {hint}", self.name);
-            let text = value.unpack_str();
-            let of = value.get_type();
-            match field.kind {
-                Kind::Int(least, most) => {
-                    let hint = format!("a whole number from {least} to {most}");
-                    let n = i64::from(
-                        value.unpack_i32().ok_or_else(|| wrong(&format!("is a {of}"), hint.clone()))?,
-                    );
-                    let n = u64::try_from(n).ok().filter(|n| (least..=most).contains(n));
-                    values.ints.insert(field.name, n.ok_or_else(|| wrong("is out of range", hint))?);
-                }
-                Kind::Word(words) => {
-                    let hint = format!("one of {}", words.map_words());
-                    let text = text.ok_or_else(|| wrong(&format!("is a {of}"), hint.clone()))?;
-                    if !words.contains(&text) {
-                        return Err(wrong(&format!("is \"{text}\""), hint));
-                    }
-                    values.texts.insert(field.name, text.to_string());
-                }
-                Kind::Texts(most) => {
-                    let hint = format!("a list of texts, {most} at most");
-                    let items = ListRef::from_value(*value)
-                        .ok_or_else(|| wrong(&format!("is a {of}"), hint.clone()))?;
-                    let texts: Option<Vec<String>> = items
-                        .iter()
-                        .map(|v| v.unpack_str().filter(|t| !t.is_empty()).map(String::from))
-                        .collect();
-                    let texts =
-                        texts.filter(|t| t.len() <= most).ok_or_else(|| wrong("is not that", hint))?;
-                    values.lists.insert(field.name, texts);
-                }
-                Kind::Text | Kind::Address => {
-                    let address = matches!(field.kind, Kind::Address);
-                    let hint =
-                        if address { "an address and a port, as in \"10.0.0.7:5432\"" } else { "text" };
-                    let text = text.ok_or_else(|| wrong(&format!("is a {of}"), hint.to_string()))?;
-                    let sound = !text.is_empty() && !text.contains('\0');
-                    if !sound || address && text.parse::<SocketAddr>().is_err() {
-                        return Err(wrong(&format!("is \"{}\"", text.escape_default()), hint.to_string()));
-                    }
-                    values.texts.insert(field.name, text.to_string());
-                }
-            }
+            values.add(field, *value).map_err(|mismatch| CallError::BadField {
+                builtin: self.name,
+                field: name.clone(),
+                problem: mismatch.problem,
+                hint: mismatch.hint,
+            })?;
         }
         Ok(values)
     }
 }
 
-trait Words {
-    fn map_words(&self) -> String;
+impl Values {
+    fn add(&mut self, field: &Field, value: Value) -> Result<(), Mismatch> {
+        match field.field_type {
+            FieldType::Int(min, max) => {
+                self.ints.insert(field.name, int_in_range(value, min, max)?);
+            }
+            FieldType::Word(words) => {
+                self.texts.insert(field.name, one_of(value, words)?);
+            }
+            FieldType::Texts(max) => {
+                self.lists.insert(field.name, list_of_texts(value, max)?);
+            }
+            FieldType::Text => {
+                self.texts.insert(field.name, text(value, "text", |_| true)?);
+            }
+            FieldType::Address => {
+                let hint = "an address and a port, as in \"10.0.0.7:5432\"";
+                let is_address = |text: &str| text.parse::<SocketAddr>().is_ok();
+                self.texts.insert(field.name, text(value, hint, is_address)?);
+            }
+        }
+        Ok(())
+    }
+}
+
+fn wrong_type(value: Value, hint: &str) -> Mismatch {
+    Mismatch::new(format!("is a {}", value.get_type()), hint)
+}
+
+fn int_in_range(value: Value, min: u64, max: u64) -> Result<u64, Mismatch> {
+    let hint = format!("a whole number from {min} to {max}");
+    let number = value.unpack_i32().ok_or_else(|| wrong_type(value, &hint))?;
+    let number = u64::try_from(number).ok().filter(|number| (min..=max).contains(number));
+    number.ok_or_else(|| Mismatch::new("is out of range", hint))
+}
+
+fn one_of(value: Value, words: &[&str]) -> Result<String, Mismatch> {
+    let quoted: Vec<String> = words.iter().map(|word| format!("\"{word}\"")).collect();
+    let hint = format!("one of {}", quoted.join(", "));
+    let text = value.unpack_str().ok_or_else(|| wrong_type(value, &hint))?;
+    if !words.contains(&text) {
+        return Err(Mismatch::new(format!("is \"{text}\""), hint));
+    }
+    Ok(text.to_string())
+}
+
+fn list_of_texts(value: Value, max: usize) -> Result<Vec<String>, Mismatch> {
+    let hint = format!("a list of texts, {max} at most");
+    let items = ListRef::from_value(value).ok_or_else(|| wrong_type(value, &hint))?;
+    let text = |item: &Value| item.unpack_str().filter(|text| !text.is_empty()).map(String::from);
+    let texts: Option<Vec<String>> = items.iter().map(|item| text(&item)).collect();
+    texts.filter(|texts| texts.len() <= max).ok_or_else(|| Mismatch::new("is not that", hint))
 }
 
-impl Words for [&str] {
-    fn map_words(&self) -> String {
-        self.iter().map(|w| format!("\"{w}\"")).collect::<Vec<_>>().join(", ")
+fn text(value: Value, hint: &str, is_valid: impl Fn(&str) -> bool) -> Result<String, Mismatch> {
+    let text = value.unpack_str().ok_or_else(|| wrong_type(value, hint))?;
+    if text.is_empty() || text.contains('\0') || !is_valid(text) {
+        return Err(Mismatch::new(format!("is \"{}\"", text.escape_default()), hint));
     }
+    Ok(text.to_string())
 }
