--- a/crates/simulation/src/fakes/fares.rs
+++ b/crates/simulation/src/fakes/fares.rs
@@ -1,6 +1,6 @@
 //! The tier below: answers calls after a while, or turns them away.
 
-use crate::network::Dice;
+use crate::random::SimRng;
 use gaugestand_admission::time::Micros;
 
 /// Calls read from one connection, and what is left of the input.
@@ -24,9 +24,9 @@
 }
 
 /// What comes of a call, and when: mostly its body again.
-pub fn reply(dice: &mut Dice, id: &str, body: &[u8]) -> (Micros, Vec<u8>) {
-    let after = Micros::millis(5).plus(dice.span(Micros::millis(20)));
-    if dice.chance(0.02) {
+pub fn reply(rng: &mut SimRng, id: &str, body: &[u8]) -> (Micros, Vec<u8>) {
+    let after = Micros::millis(5).plus(rng.exponential(Micros::millis(20)));
+    if rng.chance(0.02) {
         return (after, format!("{id} BUSY\r\n").into_bytes());
     }
     let mut reply = format!("{id} OK {}\r\n", body.len()).into_bytes();
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,227 +1,273 @@
-//! A network and a clock that exist only here: connections as two buffers with delays, under the node's seam.
+//! A network and a clock that exist only in the simulation: each connection is two buffers with delays.
 //!
-//! Bytes arrive in order on each connection, in pieces of any size, after a delay drawn from the seed. Nothing
-//! happens between two events; a node that is not woken does nothing.
-
-use gaugestand_admission::log_record::Found;
-use gaugestand_admission::time::Micros;
-use gaugestand_admission::time::Moment;
-use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
-use gaugestand_idempotency::sqlite::Options;
-use gaugestand_node::io::{Claim, Datagram, Kin, Listener, Passed, Ready, Stream, System, Worker};
-use rand_pcg::Pcg64Mcg;
-use rand_pcg::rand_core::{Rng, SeedableRng};
+//! Bytes arrive in order on each connection, in pieces of any size, after a delay drawn from the seed. Nothing happens
+//! between two events. The node reaches the network through its seam ([`crate::system`]); whatever else takes part (the
+//! fakes of gateways, kernel and downstream tier) calls it directly and is here called an actor.
+
+use crate::random::SimRng;
+use gaugestand_admission::time::{Micros, Moment};
+use gaugestand_node::io::Ready;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::io::{self, Read, Write};
+use std::io::{self, Read};
 use std::net::SocketAddr;
-use std::path::Path;
 use std::rc::Rc;
 
-/// Unix time at which every world begins.
-const EPOCH: Micros = Micros::millis(1_764_576_000_000);
-/// Where the monotonic clock begins.
-const START: Micros = Micros::millis(3_600_000);
-/// Most bytes on their way and unread in one direction.
-const WINDOW: usize = 256 * 1024;
-
-/// Random numbers: PCG XSL 128/64 (MCG), by O'Neill.
-#[derive(Debug)]
-pub struct Dice(Pcg64Mcg);
-
-impl Dice {
-    /// Dice of this seed; `stream` tells apart those of one world.
-    pub fn new(seed: u64, stream: u64) -> Self {
-        Dice(Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ stream))
-    }
-
-    /// A number below `n`; 0 if that is 0. The bias is under `n` in 2^64.
-    pub fn below(&mut self, n: u64) -> u64 {
-        ((u128::from(self.0.next_u64()) * u128::from(n)) >> 64) as u64
-    }
-
-    /// A number from 0 to under 1.
-    pub fn share(&mut self) -> f64 {
-        (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
-    }
-
-    /// True with this chance.
-    pub fn chance(&mut self, p: f64) -> bool {
-        self.share() < p
-    }
-
-    /// A length of time with this mean, exponentially distributed.
-    pub fn span(&mut self, mean: Micros) -> Micros {
-        Micros((-(1.0 - self.share()).ln() * mean.0 as f64) as u64)
-    }
-}
-
-/// What is under way on the network.
+/// Unix time at which every world begins: any date does, as long as it is the same in every run.
+const WALL_CLOCK_START: Micros = Micros::millis(1_764_576_000_000);
+/// Where the monotonic clock begins: well above zero, so that subtracting from an early time does not saturate.
+const MONOTONIC_START: Micros = Micros::millis(3_600_000);
+/// Most bytes on their way and unread in one direction, as the buffers of real sockets hold.
+const WINDOW_BYTES: usize = 256 * 1024;
+/// Delay of a packet: this at least, plus an exponentially distributed part with this mean and this bound.
+const MIN_DELAY: Micros = Micros(20);
+const MEAN_EXTRA_DELAY: Micros = Micros(80);
+const MAX_EXTRA_DELAY: Micros = Micros(2_000);
+/// Chance that bytes arrive in one piece.
+const WHOLE_CHANCE: f64 = 0.9;
+
+/// What is on its way to one side of a connection.
 #[derive(Debug)]
 enum Packet {
     Bytes(Vec<u8>),
     End,
     Reset,
-    /// A connection reaches the other side, or is refused there.
-    Open(SocketAddr),
-    /// The word of that comes back.
-    Made(bool),
+    /// A connection request reaches the listener's side.
+    Connect(SocketAddr),
+    /// The answer to that: accepted or refused.
+    ConnectAnswer(bool),
+}
+
+/// What the node's poller watches a connection for.
+#[derive(Clone, Copy, Debug)]
+struct Interest {
+    key: usize,
+    reading: bool,
+    writing: bool,
 }
 
 /// One side of a connection.
 #[derive(Debug, Default)]
-struct End {
+struct Endpoint {
     inbox: VecDeque<u8>,
+    /// The other side has ended its stream.
     ended: bool,
     reset: bool,
-    /// Still held by its owner.
-    held: bool,
+    /// Its owner has not closed it.
+    is_open: bool,
     /// Its owner has ended the stream to the other side.
-    shut: bool,
-    made: Option<bool>,
-    /// Of a node: its key and what it is watched for.
-    node: Option<(usize, bool, bool)>,
-    /// Bytes to the other side that it has not taken out.
-    out: usize,
-    /// When the last packet to the other side arrives: the next is not earlier.
-    last: Micros,
+    write_shut: bool,
+    /// Whether it was connected or refused, once that is known.
+    connected: Option<bool>,
+    /// What the node watches it for; `None` where it belongs to an actor.
+    interest: Option<Interest>,
+    /// Bytes sent to the other side that it has not read.
+    unread_by_peer: usize,
+    /// When the last packet to the other side arrives: the next does not overtake it.
+    last_arrival: Micros,
 }
 
-/// A connection, by its two sides: who began it, and who took it.
-pub type Side = (usize, bool);
+/// One side of a connection, by the connection's number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Side {
+    connection: usize,
+    /// The side that accepted the connection, not the one that began it.
+    accepting: bool,
+}
+
+impl Side {
+    fn peer(self) -> Side {
+        Side { accepting: !self.accepting, ..self }
+    }
 
-/// A listener of an actor (`None`) or of the node (its key and whether it is watched), with what waits.
-type Listening = (Option<(usize, bool)>, VecDeque<usize>);
+    fn accepting(connection: usize) -> Side {
+        Side { connection, accepting: true }
+    }
+}
 
-/// The network.
+/// How the node watches its listener.
+#[derive(Clone, Copy, Debug)]
+struct ListenerInterest {
+    key: usize,
+    reading: bool,
+}
+
+#[derive(Debug, Default)]
+struct Backlog {
+    /// `None` where an actor listens.
+    interest: Option<ListenerInterest>,
+    /// Connections that wait to be accepted.
+    waiting: VecDeque<usize>,
+}
+
+/// The simulated network, with its clock.
 #[derive(Debug)]
-pub struct Net {
+pub struct Network {
     now: Micros,
     /// The wall clock is off by this, in microseconds.
-    step: i64,
-    dice: Dice,
-    ends: BTreeMap<Side, End>,
-    next: usize,
-    under_way: BTreeMap<(Micros, u64), (Side, Packet)>,
-    serial: u64,
-    listeners: BTreeMap<SocketAddr, Listening>,
+    wall_clock_offset: i64,
+    rng: SimRng,
+    endpoints: BTreeMap<Side, Endpoint>,
+    next_connection: usize,
+    in_flight: BTreeMap<(Micros, u64), (Side, Packet)>,
+    next_packet: u64,
+    listeners: BTreeMap<SocketAddr, Backlog>,
     datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    /// Sides of actors with something new.
+    /// Sides of actors on which something has arrived.
     news: BTreeSet<Side>,
-    signals: BTreeMap<usize, bool>,
-    by_signal: BTreeMap<i32, usize>,
+    /// Whether a signal is pending, by the key under which the node watches for it.
+    pending_signals: BTreeMap<usize, bool>,
+    signal_keys: BTreeMap<i32, usize>,
     /// Of all that the node has sent.
     digest: blake3::Hasher,
 }
 
-impl Net {
+impl Network {
     /// A network of this seed.
     pub fn new(seed: u64) -> Rc<RefCell<Self>> {
-        Rc::new(RefCell::new(Net {
-            now: START,
-            step: 0,
-            dice: Dice::new(seed, 1),
-            ends: BTreeMap::new(),
-            next: 0,
-            under_way: BTreeMap::new(),
-            serial: 0,
+        Rc::new(RefCell::new(Network {
+            now: MONOTONIC_START,
+            wall_clock_offset: 0,
+            rng: SimRng::new(seed, 1),
+            endpoints: BTreeMap::new(),
+            next_connection: 0,
+            in_flight: BTreeMap::new(),
+            next_packet: 0,
             listeners: BTreeMap::new(),
             datagrams: Vec::new(),
             news: BTreeSet::new(),
-            signals: BTreeMap::new(),
-            by_signal: BTreeMap::new(),
+            pending_signals: BTreeMap::new(),
+            signal_keys: BTreeMap::new(),
             digest: blake3::Hasher::new(),
         }))
     }
 
     /// The time on both clocks.
     pub fn moment(&self) -> Moment {
-        let wall = EPOCH.plus(self.now.since(START)).0.saturating_add_signed(self.step);
+        let elapsed = self.now.since(MONOTONIC_START);
+        let wall = WALL_CLOCK_START.plus(elapsed).0.saturating_add_signed(self.wall_clock_offset);
         Moment { mono: self.now, wall: Micros(wall) }
     }
 
-    /// What the node has sent so far, in short.
+    /// Sets the wall clock forward or back by so many microseconds.
+    pub fn step_clock(&mut self, by: i64) {
+        self.wall_clock_offset += by;
+    }
+
+    /// A digest of all bytes that the node has sent so far, with their times.
     pub fn digest(&self) -> String {
         self.digest.finalize().to_hex()[..16].to_string()
     }
 
     /// When the next packet arrives.
-    pub fn next(&self) -> Option<Micros> {
-        self.under_way.first_key_value().map(|((t, _), _)| *t)
+    pub fn next_arrival(&self) -> Option<Micros> {
+        self.in_flight.first_key_value().map(|((at, _), _)| *at)
+    }
+
+    /// Moves the clock to `to` and delivers what arrives by then.
+    pub fn advance(&mut self, to: Micros) {
+        while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= to) {
+            let ((at, _), (side, packet)) = entry.remove_entry();
+            self.now = self.now.max(at);
+            self.deliver(side, packet);
+        }
+        self.now = self.now.max(to);
     }
 
     fn send(&mut self, from: Side, packet: Packet) {
-        let delay = Micros(20 + self.dice.span(Micros(80)).0.min(2_000));
-        let Some(end) = self.ends.get_mut(&from) else { return };
-        let at = self.now.plus(delay).max(end.last);
-        end.last = at;
-        self.serial += 1;
-        self.under_way.insert((at, self.serial), ((from.0, !from.1), packet));
+        let extra = self.rng.exponential(MEAN_EXTRA_DELAY).min(MAX_EXTRA_DELAY);
+        let delay = MIN_DELAY.plus(extra);
+        let Some(endpoint) = self.endpoints.get_mut(&from) else { return };
+        let at = self.now.plus(delay).max(endpoint.last_arrival);
+        endpoint.last_arrival = at;
+        self.next_packet += 1;
+        self.in_flight.insert((at, self.next_packet), (from.peer(), packet));
     }
 
     /// Sends bytes in pieces of any size.
     fn send_bytes(&mut self, from: Side, mut bytes: &[u8]) {
-        if let Some(end) = self.ends.get_mut(&from) {
-            end.out += bytes.len();
+        if let Some(endpoint) = self.endpoints.get_mut(&from) {
+            endpoint.unread_by_peer += bytes.len();
         }
         while !bytes.is_empty() {
-            let whole = self.dice.chance(0.9);
-            let n = if whole { bytes.len() } else { 1 + self.dice.below(bytes.len() as u64) as usize };
-            let (piece, rest) = bytes.split_at(n.min(bytes.len()));
+            let whole = self.rng.chance(WHOLE_CHANCE);
+            let len = if whole { bytes.len() } else { 1 + self.rng.below(bytes.len() as u64) as usize };
+            let (piece, rest) = bytes.split_at(len.min(bytes.len()));
             self.send(from, Packet::Bytes(piece.to_vec()));
             bytes = rest;
         }
     }
 
-    /// Moves the clock to `to` and delivers what arrives by then.
-    pub fn advance(&mut self, to: Micros) {
-        while let Some(entry) = self.under_way.first_entry().filter(|e| e.key().0 <= to) {
-            let ((at, _), (side, packet)) = entry.remove_entry();
-            self.now = self.now.max(at);
-            self.deliver(side, packet);
-        }
-        self.now = self.now.max(to);
-    }
-
     fn deliver(&mut self, side: Side, packet: Packet) {
-        if let Packet::Open(to) = packet {
-            let listening = self.listeners.get_mut(&to);
-            let taken = listening.is_some();
-            if let Some((_, waiting)) = listening {
-                waiting.push_back(side.0);
-                self.ends.insert(side, End { held: true, made: Some(true), ..End::default() });
-                self.news.insert(side);
-            } else {
-                self.ends.insert(side, End { made: Some(false), ..End::default() });
-            }
-            return self.send(side, Packet::Made(taken));
+        if let Packet::Connect(to) = packet {
+            return self.deliver_connect(side, to);
         }
-        let Some(end) = self.ends.get_mut(&side) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&side) else { return };
         match packet {
-            Packet::Bytes(bytes) if end.held => end.inbox.extend(bytes),
-            // What comes for a side that was let go of is answered with a reset.
+            Packet::Bytes(bytes) if endpoint.is_open => endpoint.inbox.extend(bytes),
+            // As TCP does: bytes for a closed socket are answered with a reset.
             Packet::Bytes(_) => return self.send(side, Packet::Reset),
-            Packet::End => end.ended = true,
+            Packet::End => endpoint.ended = true,
             Packet::Reset => {
-                end.reset = true;
-                end.inbox.clear();
+                endpoint.reset = true;
+                endpoint.inbox.clear();
             }
-            Packet::Made(made) => end.made = Some(made),
-            Packet::Open(_) => {}
+            Packet::ConnectAnswer(accepted) => endpoint.connected = Some(accepted),
+            Packet::Connect(_) => {}
+        }
+        if endpoint.interest.is_none() {
+            self.news.insert(side);
         }
-        if end.node.is_none() {
+    }
+
+    fn deliver_connect(&mut self, side: Side, to: SocketAddr) {
+        let backlog = self.listeners.get_mut(&to);
+        let accepted = backlog.is_some();
+        if let Some(backlog) = backlog {
+            backlog.waiting.push_back(side.connection);
+            let endpoint = Endpoint { is_open: true, connected: Some(true), ..Endpoint::default() };
+            self.endpoints.insert(side, endpoint);
             self.news.insert(side);
+        } else {
+            let endpoint = Endpoint { connected: Some(false), ..Endpoint::default() };
+            self.endpoints.insert(side, endpoint);
         }
+        self.send(side, Packet::ConnectAnswer(accepted));
     }
 
-    fn open(&mut self, to: SocketAddr, node: Option<(usize, bool, bool)>) -> Side {
-        let side = (self.next, false);
-        self.next += 1;
-        self.ends.insert(side, End { held: true, node, ..End::default() });
-        self.send(side, Packet::Open(to));
+    fn open(&mut self, to: SocketAddr, interest: Option<Interest>) -> Side {
+        let side = Side { connection: self.next_connection, accepting: false };
+        self.next_connection += 1;
+        self.endpoints.insert(side, Endpoint { is_open: true, interest, ..Endpoint::default() });
+        self.send(side, Packet::Connect(to));
         side
     }
 
+    fn note_read(&mut self, side: Side, len: usize) {
+        if let Some(peer) = self.endpoints.get_mut(&side.peer()) {
+            peer.unread_by_peer = peer.unread_by_peer.saturating_sub(len);
+        }
+    }
+
+    /// Closes a side: the other one sees an end, or a reset.
+    pub fn close(&mut self, side: Side, reset: bool) {
+        let Some(endpoint) = self.endpoints.get_mut(&side).filter(|endpoint| endpoint.is_open) else {
+            return;
+        };
+        // As TCP does: a close over unread bytes is a reset.
+        let reset = reset || !endpoint.inbox.is_empty();
+        let already_ended = endpoint.write_shut && !reset;
+        endpoint.is_open = false;
+        endpoint.interest = None;
+        endpoint.inbox.clear();
+        if !already_ended {
+            self.send(side, if reset { Packet::Reset } else { Packet::End });
+        }
+    }
+}
+
+/// What actors call.
+impl Network {
     /// An actor connects.
     pub fn connect(&mut self, to: SocketAddr) -> Side {
         self.open(to, None)
@@ -229,110 +275,84 @@
 
     /// An actor listens.
     pub fn listen(&mut self, at: SocketAddr) {
-        self.listeners.insert(at, (None, VecDeque::new()));
+        self.listeners.insert(at, Backlog::default());
     }
 
-    /// An actor takes the connections that wait.
+    /// An actor accepts the connections that wait.
     pub fn accept(&mut self, at: SocketAddr) -> Vec<Side> {
-        let Some((_, waiting)) = self.listeners.get_mut(&at) else { return Vec::new() };
-        waiting.drain(..).map(|n| (n, true)).collect()
+        let Some(backlog) = self.listeners.get_mut(&at) else { return Vec::new() };
+        backlog.waiting.drain(..).map(Side::accepting).collect()
     }
 
-    /// An actor's sides with something new since the last time.
-    pub fn news(&mut self) -> BTreeSet<Side> {
+    /// An actor's sides on which something has arrived since the last call.
+    pub fn take_news(&mut self) -> BTreeSet<Side> {
         std::mem::take(&mut self.news)
     }
 
     /// An actor reads all that there is; `None` after the end.
-    pub fn take(&mut self, side: Side) -> Option<Vec<u8>> {
-        let end = self.ends.get_mut(&side)?;
-        let bytes: Vec<u8> = end.inbox.drain(..).collect();
-        let over = end.ended || end.reset || end.made == Some(false);
-        self.taken(side, bytes.len());
+    pub fn read_all(&mut self, side: Side) -> Option<Vec<u8>> {
+        let endpoint = self.endpoints.get_mut(&side)?;
+        let bytes: Vec<u8> = endpoint.inbox.drain(..).collect();
+        let over = endpoint.ended || endpoint.reset || endpoint.connected == Some(false);
+        self.note_read(side, bytes.len());
         if bytes.is_empty() && over { None } else { Some(bytes) }
     }
 
-    fn taken(&mut self, side: Side, n: usize) {
-        if let Some(other) = self.ends.get_mut(&(side.0, !side.1)) {
-            other.out = other.out.saturating_sub(n);
-        }
-    }
-
     /// An actor sends.
-    pub fn say(&mut self, side: Side, bytes: &[u8]) {
+    pub fn write_all(&mut self, side: Side, bytes: &[u8]) {
         self.send_bytes(side, bytes);
     }
 
-    /// A side is let go of: the other sees an end, or a reset.
-    pub fn close(&mut self, side: Side, reset: bool) {
-        let Some(end) = self.ends.get_mut(&side).filter(|e| e.held) else { return };
-        // Whoever lets go of what is unread resets.
-        let reset = reset || !end.inbox.is_empty();
-        let told = end.shut && !reset;
-        (end.held, end.node) = (false, None);
-        end.inbox.clear();
-        if !told {
-            self.send(side, if reset { Packet::Reset } else { Packet::End });
+    /// Sends a signal to the node.
+    pub fn signal(&mut self, signal: i32) {
+        if let Some(key) = self.signal_keys.get(&signal) {
+            self.pending_signals.insert(*key, true);
         }
     }
 
-    /// A side ends the stream to the other one, and still reads.
-    fn shut_writing(&mut self, side: Side) {
-        if let Some(end) = self.ends.get_mut(&side).filter(|e| e.held && !e.shut) {
-            end.shut = true;
-            self.send(side, Packet::End);
-        }
+    /// Datagrams that the node has sent since the last call, and to whom.
+    pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+        std::mem::take(&mut self.datagrams)
     }
 
-    /// The node's process is gone: all that it held ends.
+    /// The node's process is gone: its connections are reset, its listeners and signals forgotten.
     pub fn kill_node(&mut self) {
-        let held: Vec<Side> = self.ends.iter().filter(|(_, e)| e.node.is_some()).map(|(s, _)| *s).collect();
-        held.into_iter().for_each(|side| self.close(side, true));
-        let unaccepted: Vec<usize> =
-            self.listeners.values_mut().filter(|l| l.0.is_some()).flat_map(|l| l.1.drain(..)).collect();
-        unaccepted.into_iter().for_each(|n| self.close((n, true), true));
-        self.listeners.retain(|_, l| l.0.is_none());
-        self.signals.clear();
-        self.by_signal.clear();
-    }
-
-    /// Connections that the node holds.
+        let of_node = self.endpoints.iter().filter(|(_, endpoint)| endpoint.interest.is_some());
+        let open: Vec<Side> = of_node.map(|(side, _)| *side).collect();
+        open.into_iter().for_each(|side| self.close(side, true));
+        let of_node = self.listeners.values_mut().filter(|backlog| backlog.interest.is_some());
+        let unaccepted: Vec<usize> = of_node.flat_map(|backlog| backlog.waiting.drain(..)).collect();
+        unaccepted.into_iter().for_each(|connection| self.close(Side::accepting(connection), true));
+        self.listeners.retain(|_, backlog| backlog.interest.is_none());
+        self.pending_signals.clear();
+        self.signal_keys.clear();
+    }
+
+    /// Connections that the node has open.
     pub fn node_sockets(&self) -> usize {
-        self.ends.values().filter(|e| e.node.is_some()).count()
-    }
-
-    /// A signal for the node.
-    pub fn signal(&mut self, signal: i32) {
-        if let Some(key) = self.by_signal.get(&signal) {
-            self.signals.insert(*key, true);
-        }
-    }
-
-    /// Sets the wall clock forward or back by so many microseconds.
-    pub fn step_clock(&mut self, by: i64) {
-        self.step += by;
+        self.endpoints.values().filter(|endpoint| endpoint.interest.is_some()).count()
     }
 
-    /// Reports that were sent, and to whom.
-    pub fn datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        std::mem::take(&mut self.datagrams)
-    }
-
-    /// What the node's poller would tell.
+    /// What the node's poller would report.
     pub fn ready(&self) -> Vec<Ready> {
         let mut ready = Vec::new();
-        for (key, waiting) in self.listeners.values().filter_map(|(l, w)| l.map(|l| (l, w))) {
-            if key.1 && !waiting.is_empty() {
-                ready.push(Ready { key: key.0, readable: true, writable: false });
+        for backlog in self.listeners.values() {
+            if let Some(interest) = backlog.interest
+                && interest.reading
+                && !backlog.waiting.is_empty()
+            {
+                ready.push(Ready { key: interest.key, readable: true, writable: false });
             }
         }
-        let told = self.signals.iter().filter(|(_, told)| **told);
-        ready.extend(told.map(|(key, _)| Ready { key: *key, readable: true, writable: false }));
-        for end in self.ends.values() {
-            let Some((key, reading, writing)) = end.node else { continue };
-            let failed = end.reset || end.made == Some(false);
-            let readable = failed || reading && (!end.inbox.is_empty() || end.ended);
-            let writable = failed || writing && end.made == Some(true) && end.out < WINDOW;
+        let pending = self.pending_signals.iter().filter(|(_, pending)| **pending);
+        ready.extend(pending.map(|(key, _)| Ready { key: *key, readable: true, writable: false }));
+        for endpoint in self.endpoints.values() {
+            let Some(Interest { key, reading, writing }) = endpoint.interest else { continue };
+            let failed = endpoint.reset || endpoint.connected == Some(false);
+            let has_input = !endpoint.inbox.is_empty() || endpoint.ended;
+            let has_room = endpoint.connected == Some(true) && endpoint.unread_by_peer < WINDOW_BYTES;
+            let readable = failed || reading && has_input;
+            let writable = failed || writing && has_room;
             if readable || writable {
                 ready.push(Ready { key, readable, writable });
             }
@@ -341,290 +361,102 @@
     }
 }
 
-/// The system of a node in this world.
-#[derive(Clone, Debug)]
-pub struct Virtual(pub Rc<RefCell<Net>>);
-
-impl System for Virtual {
-    type Stream = Pipe;
-    type Listener = Door;
-    type Datagram = Reports;
-    type Signals = Told;
-    type Worker = NoStore;
-    type Kin = Nobody;
-    type Door = Nobody;
-    type Claim = Nobody;
-
-    fn moment(&self) -> Moment {
-        self.0.borrow().moment()
-    }
-
-    fn listen(&self, at: SocketAddr, key: usize) -> io::Result<Door> {
-        self.0.borrow_mut().listeners.insert(at, (Some((key, true)), VecDeque::new()));
-        Ok(Door { net: self.0.clone(), at })
-    }
-
-    fn connect(&self, to: SocketAddr, key: usize) -> io::Result<Pipe> {
-        let side = self.0.borrow_mut().open(to, Some((key, true, true)));
-        Ok(Pipe { net: self.0.clone(), side })
-    }
-
-    fn datagram(&self, to: SocketAddr) -> io::Result<Reports> {
-        Ok(Reports { net: self.0.clone(), to })
-    }
-
-    fn signals(&self, key: usize, signals: &[i32]) -> io::Result<Told> {
-        let mut net = self.0.borrow_mut();
-        net.signals.insert(key, false);
-        net.by_signal.extend(signals.iter().map(|s| (*s, key)));
-        Ok(Told { net: self.0.clone(), key })
-    }
-
-    fn store(&self, path: &Path, _: &Options, _: usize, _: usize) -> Result<(NoStore, Recovery), String> {
-        Err(format!("{}: there is no disk in this world yet", path.display()))
-    }
-
-    fn consensus_log(&self, path: &Path, _: &str, _: usize) -> Result<(NoStore, Found), String> {
-        Err(format!("{}: there is no disk in this world yet", path.display()))
-    }
-
-    fn door(&self, _: &Path, _: usize) -> io::Result<Nobody> {
-        Err(io::ErrorKind::Unsupported.into())
-    }
-
-    fn kin(&self, _: &Path, _: usize) -> io::Result<Nobody> {
-        Err(io::ErrorKind::Unsupported.into())
-    }
-
-    fn claim(&self, _: &Path) -> io::Result<Option<Nobody>> {
-        Err(io::ErrorKind::Unsupported.into())
-    }
-
-    fn align(&self, _: Moment) {}
-
-    fn wait(&self, _: Micros, ready: &mut Vec<Ready>) -> io::Result<()> {
-        *ready = self.0.borrow().ready();
-        Ok(())
-    }
-}
-
-/// Another process of the node: there is none in this world yet.
-#[derive(Debug)]
-pub enum Nobody {}
-
-impl Kin for Nobody {
-    type Stream = Pipe;
-    type Listener = Door;
-
-    fn send(&mut self, _: &[u8], _: Passed<'_, Pipe, Door>) -> io::Result<usize> {
-        match *self {}
-    }
-
-    fn receive(&mut self, _: &mut [u8]) -> io::Result<usize> {
-        match *self {}
-    }
-
-    fn take_stream(&mut self, _: usize) -> io::Result<Pipe> {
-        match *self {}
-    }
-
-    fn take_listener(&mut self, _: usize) -> io::Result<Door> {
-        match *self {}
-    }
-
-    fn watch(&mut self, _: bool, _: bool) -> io::Result<()> {
-        match *self {}
-    }
-}
-
-impl Claim for Nobody {
-    fn marks(&self) -> io::Result<u64> {
-        match *self {}
+/// What the node calls through its seam; errors are those of non-blocking sockets.
+impl Network {
+    pub(crate) fn node_listen(&mut self, at: SocketAddr, key: usize) {
+        let interest = Some(ListenerInterest { key, reading: true });
+        self.listeners.insert(at, Backlog { interest, waiting: VecDeque::new() });
     }
 
-    fn mark(&self) -> io::Result<()> {
-        match *self {}
+    pub(crate) fn node_connect(&mut self, to: SocketAddr, key: usize) -> Side {
+        self.open(to, Some(Interest { key, reading: true, writing: true }))
     }
-}
-
-impl Listener for Nobody {
-    type Stream = Nobody;
 
-    fn accept(&self, _: usize) -> io::Result<Nobody> {
-        match *self {}
+    pub(crate) fn node_accept(&mut self, at: SocketAddr, key: usize) -> io::Result<Side> {
+        let waiting = self.listeners.get_mut(&at).and_then(|backlog| backlog.waiting.pop_front());
+        let side = Side::accepting(waiting.ok_or(io::ErrorKind::WouldBlock)?);
+        if let Some(endpoint) = self.endpoints.get_mut(&side) {
+            endpoint.interest = Some(Interest { key, reading: true, writing: false });
+        }
+        Ok(side)
     }
 
-    fn watch(&mut self, _: bool) -> io::Result<()> {
-        match *self {}
+    pub(crate) fn watch_listener(&mut self, at: SocketAddr, reading: bool) {
+        let backlog = self.listeners.get_mut(&at);
+        if let Some(interest) = backlog.and_then(|backlog| backlog.interest.as_mut()) {
+            interest.reading = reading;
+        }
     }
 
-    fn address(&self) -> Option<SocketAddr> {
-        match *self {}
+    pub(crate) fn close_listener(&mut self, at: SocketAddr) {
+        let waiting = self.listeners.remove(&at).map(|backlog| backlog.waiting).unwrap_or_default();
+        waiting.into_iter().for_each(|connection| self.close(Side::accepting(connection), true));
     }
-}
 
-/// The node's side of a connection.
-#[derive(Debug)]
-pub struct Pipe {
-    net: Rc<RefCell<Net>>,
-    side: Side,
-}
-
-impl Stream for Pipe {
-    fn watch(&mut self, reading: bool, writing: bool) -> io::Result<()> {
-        if let Some((_, r, w)) = self.net.borrow_mut().ends.get_mut(&self.side).and_then(|e| e.node.as_mut())
-        {
-            (*r, *w) = (reading, writing);
+    pub(crate) fn watch(&mut self, side: Side, reading: bool, writing: bool) {
+        let endpoint = self.endpoints.get_mut(&side);
+        if let Some(interest) = endpoint.and_then(|endpoint| endpoint.interest.as_mut()) {
+            interest.reading = reading;
+            interest.writing = writing;
         }
-        Ok(())
     }
 
-    fn is_made(&self) -> bool {
-        self.net.borrow().ends.get(&self.side).is_some_and(|e| e.made == Some(true) && !e.reset)
+    pub(crate) fn is_connected(&self, side: Side) -> bool {
+        let endpoint = self.endpoints.get(&side);
+        endpoint.is_some_and(|endpoint| endpoint.connected == Some(true) && !endpoint.reset)
     }
 
-    fn has_unread(&self) -> bool {
-        self.net.borrow().ends.get(&self.side).is_some_and(|e| !e.inbox.is_empty())
+    pub(crate) fn has_unread(&self, side: Side) -> bool {
+        self.endpoints.get(&side).is_some_and(|endpoint| !endpoint.inbox.is_empty())
     }
 
-    fn shut_writing(&mut self) -> io::Result<()> {
-        self.net.borrow_mut().shut_writing(self.side);
-        Ok(())
+    /// A side ends its stream to the other one, and still reads.
+    pub(crate) fn shut_writing(&mut self, side: Side) {
+        let endpoint = self.endpoints.get_mut(&side);
+        if let Some(endpoint) = endpoint.filter(|endpoint| endpoint.is_open && !endpoint.write_shut) {
+            endpoint.write_shut = true;
+            self.send(side, Packet::End);
+        }
     }
-}
 
-impl Read for Pipe {
-    fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
-        let mut net = self.net.borrow_mut();
-        let Some(end) = net.ends.get_mut(&self.side) else { return Err(io::ErrorKind::NotConnected.into()) };
-        if end.reset {
+    pub(crate) fn read(&mut self, side: Side, buf: &mut [u8]) -> io::Result<usize> {
+        let endpoint = self.endpoints.get_mut(&side).ok_or(io::ErrorKind::NotConnected)?;
+        if endpoint.reset {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        if end.inbox.is_empty() {
-            return if end.ended { Ok(0) } else { Err(io::ErrorKind::WouldBlock.into()) };
+        if endpoint.inbox.is_empty() {
+            return if endpoint.ended { Ok(0) } else { Err(io::ErrorKind::WouldBlock.into()) };
         }
-        let n = end.inbox.read(buf)?;
-        net.taken(self.side, n);
-        Ok(n)
+        let len = endpoint.inbox.read(buf)?;
+        self.note_read(side, len);
+        Ok(len)
     }
-}
 
-impl Write for Pipe {
-    fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        let mut net = self.net.borrow_mut();
-        let Some(end) = net.ends.get(&self.side) else { return Err(io::ErrorKind::NotConnected.into()) };
-        if end.reset {
+    pub(crate) fn write(&mut self, side: Side, buf: &[u8]) -> io::Result<usize> {
+        let endpoint = self.endpoints.get(&side).ok_or(io::ErrorKind::NotConnected)?;
+        if endpoint.reset {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
-        let n = buf.len().min(WINDOW.saturating_sub(end.out));
-        if n == 0 && !buf.is_empty() {
+        let len = buf.len().min(WINDOW_BYTES.saturating_sub(endpoint.unread_by_peer));
+        if len == 0 && !buf.is_empty() {
             return Err(io::ErrorKind::WouldBlock.into());
         }
-        let now = net.now.0;
-        net.digest.update(&now.to_be_bytes()).update(&buf[..n]);
-        net.send_bytes(self.side, &buf[..n]);
-        Ok(n)
-    }
-
-    fn flush(&mut self) -> io::Result<()> {
-        Ok(())
-    }
-}
-
-impl Drop for Pipe {
-    fn drop(&mut self) {
-        self.net.borrow_mut().close(self.side, false);
-    }
-}
-
-/// The node's listener.
-#[derive(Debug)]
-pub struct Door {
-    net: Rc<RefCell<Net>>,
-    at: SocketAddr,
-}
-
-impl Listener for Door {
-    type Stream = Pipe;
-
-    fn accept(&self, key: usize) -> io::Result<Pipe> {
-        let mut net = self.net.borrow_mut();
-        let waiting = net.listeners.get_mut(&self.at).and_then(|l| l.1.pop_front());
-        let Some(n) = waiting else { return Err(io::ErrorKind::WouldBlock.into()) };
-        let side = (n, true);
-        if let Some(end) = net.ends.get_mut(&side) {
-            end.node = Some((key, true, false));
-        }
-        drop(net);
-        Ok(Pipe { net: self.net.clone(), side })
-    }
-
-    fn watch(&mut self, reading: bool) -> io::Result<()> {
-        if let Some((Some(node), _)) = self.net.borrow_mut().listeners.get_mut(&self.at) {
-            node.1 = reading;
-        }
-        Ok(())
-    }
-
-    fn address(&self) -> Option<SocketAddr> {
-        Some(self.at)
-    }
-}
-
-impl Drop for Door {
-    fn drop(&mut self) {
-        let mut net = self.net.borrow_mut();
-        let waiting = net.listeners.remove(&self.at).map(|l| l.1).unwrap_or_default();
-        waiting.into_iter().for_each(|n| net.close((n, true), true));
-    }
-}
-
-/// The node's socket for reports.
-#[derive(Debug)]
-pub struct Reports {
-    net: Rc<RefCell<Net>>,
-    to: SocketAddr,
-}
-
-impl Datagram for Reports {
-    fn send(&self, bytes: &[u8]) -> io::Result<()> {
-        self.net.borrow_mut().datagrams.push((self.to, bytes.to_vec()));
-        Ok(())
-    }
-}
-
-/// What tells the node of a signal.
-#[derive(Debug)]
-pub struct Told {
-    net: Rc<RefCell<Net>>,
-    key: usize,
-}
-
-impl Read for Told {
-    fn read(&mut self, _: &mut [u8]) -> io::Result<usize> {
-        match self.net.borrow_mut().signals.insert(self.key, false) {
-            Some(true) => Ok(1),
-            _ => Err(io::ErrorKind::WouldBlock.into()),
-        }
+        self.digest.update(&self.now.0.to_be_bytes()).update(&buf[..len]);
+        self.send_bytes(side, &buf[..len]);
+        Ok(len)
     }
-}
 
-/// There is no disk in this world yet: no store is ever opened, so none of this is ever called.
-#[derive(Debug)]
-pub struct NoStore;
-
-impl Worker for NoStore {
-    fn submit(&mut self, batch: Batch) -> Result<(), Batch> {
-        Err(batch)
+    pub(crate) fn send_datagram(&mut self, to: SocketAddr, bytes: &[u8]) {
+        self.datagrams.push((to, bytes.to_vec()));
     }
 
-    fn outcome(&mut self) -> Option<(u64, Outcome)> {
-        None
+    pub(crate) fn watch_signals(&mut self, key: usize, signals: &[i32]) {
+        self.pending_signals.insert(key, false);
+        self.signal_keys.extend(signals.iter().map(|signal| (*signal, key)));
     }
 
-    fn is_dead(&self) -> bool {
-        true
+    /// Whether a signal was pending under this key; it no longer is.
+    pub(crate) fn take_signal(&mut self, key: usize) -> bool {
+        self.pending_signals.insert(key, false) == Some(true)
     }
-
-    fn woken(&mut self) {}
 }
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -1,7 +1,7 @@
 //! Sites of no operator: what a site may tell, allow or leave out, drawn by seed, so that no rule of the node depends on
 //! the form of one.
 
-use crate::network::Dice;
+use crate::random::SimRng;
 use gaugestand_admission::time::Micros;
 use serde_json::{Value, json};
 use std::fmt;
@@ -70,33 +70,33 @@
 impl Site {
     /// The site of a seed.
     pub fn draw(seed: u64) -> Self {
-        let mut dice = Dice::new(seed, 4);
-        let pick = |dice: &mut Dice, words: &[&'static str]| words[dice.below(words.len() as u64) as usize];
-        let below = dice.chance(0.8);
+        let mut rng = SimRng::new(seed, 4);
+        let pick = |rng: &mut SimRng, words: &[&'static str]| words[rng.below(words.len() as u64) as usize];
+        let below = rng.chance(0.8);
         // Many sites have few classes, and some none that is keyed.
-        let n = 1 + (dice.share().powi(2) * 8.0) as usize;
-        let keyed = [0.0, 0.4, 0.4, 1.0][dice.below(4) as usize];
+        let n = 1 + (rng.unit().powi(2) * 8.0) as usize;
+        let keyed = [0.0, 0.4, 0.4, 1.0][rng.below(4) as usize];
         // At some, one class takes so long that nothing passes on its connection meanwhile.
-        let slow = dice.chance(0.3).then(|| dice.below(n as u64) as usize);
+        let slow = rng.chance(0.3).then(|| rng.below(n as u64) as usize);
         let kinds: Vec<Kind> = (0..n)
             .map(|i| {
                 let deadline =
-                    if slow == Some(i) { 17_000 } else { [2_000, 4_000, 9_000][dice.below(3) as usize] };
-                let aim = deadline * (3 + dice.below(5)) / 10;
+                    if slow == Some(i) { 17_000 } else { [2_000, 4_000, 9_000][rng.below(3) as usize] };
+                let aim = deadline * (3 + rng.below(5)) / 10;
                 let work =
-                    if slow == Some(i) { 5_000 + dice.below(4_000) } else { 10 + dice.below(deadline / 40) };
-                let skips = dice.chance(0.5);
+                    if slow == Some(i) { 5_000 + rng.below(4_000) } else { 10 + rng.below(deadline / 40) };
+                let skips = rng.chance(0.5);
                 Kind {
                     name: format!("kind-{i}"),
-                    keyed: dice.chance(keyed),
-                    share: 0.2 + dice.share(),
+                    keyed: rng.chance(keyed),
+                    share: 0.2 + rng.unit(),
                     work: Micros::millis(work),
                     aim: Micros::millis(aim),
                     deadline: Micros::millis(deadline),
-                    calls: below && dice.chance(0.7),
+                    calls: below && rng.chance(0.7),
                     skip_worth: if skips { 0.3 } else { 0.0 },
-                    late_worth: if dice.chance(0.5) { 0.2 } else { 0.0 },
-                    worth: 1.0 + dice.below(5) as f64,
+                    late_worth: if rng.chance(0.5) { 0.2 } else { 0.0 },
+                    worth: 1.0 + rng.below(5) as f64,
                 }
             })
             .collect();
@@ -104,23 +104,23 @@
         let work: f64 = kinds.iter().map(|k| k.share / shares * k.work.0 as f64 / 1e6).sum();
         Site {
             kinds,
-            patience: dice.chance(0.5),
-            marks: dice.chance(0.5),
-            hints: dice.chance(0.5),
-            rows: dice.chance(0.5),
+            patience: rng.chance(0.5),
+            marks: rng.chance(0.5),
+            hints: rng.chance(0.5),
+            rows: rng.chance(0.5),
             below,
-            advice: dice.chance(0.8),
-            halt: pick(&mut dice, &["discard", "discard", "freeze", "silent"]),
-            signal: pick(&mut dice, &["allowance", "allowance", "floor", "weight", "silent"]),
-            window: Micros::millis(5_000 + dice.below(8_000)),
-            grace: Micros::millis(300 + dice.below(2_200)),
+            advice: rng.chance(0.8),
+            halt: pick(&mut rng, &["discard", "discard", "freeze", "silent"]),
+            signal: pick(&mut rng, &["allowance", "allowance", "floor", "weight", "silent"]),
+            window: Micros::millis(5_000 + rng.below(8_000)),
+            grace: Micros::millis(300 + rng.below(2_200)),
             rate: (CORES * LOAD / work).clamp(RATE.0, RATE.1),
         }
     }
 
     /// The class of the next request.
-    pub fn pick(&self, dice: &mut Dice) -> usize {
-        let mut at = dice.share() * self.kinds.iter().map(|k| k.share).sum::<f64>();
+    pub fn pick(&self, rng: &mut SimRng) -> usize {
+        let mut at = rng.unit() * self.kinds.iter().map(|k| k.share).sum::<f64>();
         let found = self.kinds.iter().position(|k| {
             at -= k.share;
             at < 0.0
--- /dev/null
+++ b/crates/simulation/src/system.rs
@@ -0,0 +1,266 @@
+//! The system that a simulated node runs on: the node's seam ([`System`]) over the simulated [`Network`].
+//!
+//! There is no disk and no second process of the node in a simulated world: what would need one is `Unsupported`.
+
+use crate::network::{Network, Side};
+use gaugestand_admission::log_record::Found;
+use gaugestand_admission::time::{Micros, Moment};
+use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
+use gaugestand_idempotency::sqlite::Options;
+use gaugestand_node::io::{Claim, Datagram, Kin, Listener, Passed, Ready, Stream, System, Worker};
+use std::cell::RefCell;
+use std::io::{self, Read, Write};
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+
+/// The system of a simulated node.
+#[derive(Clone, Debug)]
+pub struct VirtualSystem(pub Rc<RefCell<Network>>);
+
+impl System for VirtualSystem {
+    type Stream = VirtualStream;
+    type Listener = VirtualListener;
+    type Datagram = VirtualDatagram;
+    type Signals = VirtualSignals;
+    type Worker = NoWorker;
+    type Kin = NoSecondProcess;
+    type Door = NoSecondProcess;
+    type Claim = NoSecondProcess;
+
+    fn moment(&self) -> Moment {
+        self.0.borrow().moment()
+    }
+
+    fn listen(&self, at: SocketAddr, key: usize) -> io::Result<VirtualListener> {
+        self.0.borrow_mut().node_listen(at, key);
+        Ok(VirtualListener { net: self.0.clone(), at })
+    }
+
+    fn connect(&self, to: SocketAddr, key: usize) -> io::Result<VirtualStream> {
+        let side = self.0.borrow_mut().node_connect(to, key);
+        Ok(VirtualStream { net: self.0.clone(), side })
+    }
+
+    fn datagram(&self, to: SocketAddr) -> io::Result<VirtualDatagram> {
+        Ok(VirtualDatagram { net: self.0.clone(), to })
+    }
+
+    fn signals(&self, key: usize, signals: &[i32]) -> io::Result<VirtualSignals> {
+        self.0.borrow_mut().watch_signals(key, signals);
+        Ok(VirtualSignals { net: self.0.clone(), key })
+    }
+
+    fn store(&self, path: &Path, _: &Options, _: usize, _: usize) -> Result<(NoWorker, Recovery), String> {
+        Err(format!("{}: there is no disk in this world yet", path.display()))
+    }
+
+    fn consensus_log(&self, path: &Path, _: &str, _: usize) -> Result<(NoWorker, Found), String> {
+        Err(format!("{}: there is no disk in this world yet", path.display()))
+    }
+
+    fn door(&self, _: &Path, _: usize) -> io::Result<NoSecondProcess> {
+        Err(io::ErrorKind::Unsupported.into())
+    }
+
+    fn kin(&self, _: &Path, _: usize) -> io::Result<NoSecondProcess> {
+        Err(io::ErrorKind::Unsupported.into())
+    }
+
+    fn claim(&self, _: &Path) -> io::Result<Option<NoSecondProcess>> {
+        Err(io::ErrorKind::Unsupported.into())
+    }
+
+    fn align(&self, _: Moment) {}
+
+    fn wait(&self, _: Micros, ready: &mut Vec<Ready>) -> io::Result<()> {
+        *ready = self.0.borrow().ready();
+        Ok(())
+    }
+}
+
+/// A second process of the node: there is none in a simulated world.
+#[derive(Debug)]
+pub enum NoSecondProcess {}
+
+impl Kin for NoSecondProcess {
+    type Stream = VirtualStream;
+    type Listener = VirtualListener;
+
+    fn send(&mut self, _: &[u8], _: Passed<'_, VirtualStream, VirtualListener>) -> io::Result<usize> {
+        match *self {}
+    }
+
+    fn receive(&mut self, _: &mut [u8]) -> io::Result<usize> {
+        match *self {}
+    }
+
+    fn take_stream(&mut self, _: usize) -> io::Result<VirtualStream> {
+        match *self {}
+    }
+
+    fn take_listener(&mut self, _: usize) -> io::Result<VirtualListener> {
+        match *self {}
+    }
+
+    fn watch(&mut self, _: bool, _: bool) -> io::Result<()> {
+        match *self {}
+    }
+}
+
+impl Claim for NoSecondProcess {
+    fn marks(&self) -> io::Result<u64> {
+        match *self {}
+    }
+
+    fn mark(&self) -> io::Result<()> {
+        match *self {}
+    }
+}
+
+impl Listener for NoSecondProcess {
+    type Stream = NoSecondProcess;
+
+    fn accept(&self, _: usize) -> io::Result<NoSecondProcess> {
+        match *self {}
+    }
+
+    fn watch(&mut self, _: bool) -> io::Result<()> {
+        match *self {}
+    }
+
+    fn address(&self) -> Option<SocketAddr> {
+        match *self {}
+    }
+}
+
+/// The node's side of a connection.
+#[derive(Debug)]
+pub struct VirtualStream {
+    net: Rc<RefCell<Network>>,
+    side: Side,
+}
+
+impl Stream for VirtualStream {
+    fn watch(&mut self, reading: bool, writing: bool) -> io::Result<()> {
+        self.net.borrow_mut().watch(self.side, reading, writing);
+        Ok(())
+    }
+
+    fn is_made(&self) -> bool {
+        self.net.borrow().is_connected(self.side)
+    }
+
+    fn has_unread(&self) -> bool {
+        self.net.borrow().has_unread(self.side)
+    }
+
+    fn shut_writing(&mut self) -> io::Result<()> {
+        self.net.borrow_mut().shut_writing(self.side);
+        Ok(())
+    }
+}
+
+impl Read for VirtualStream {
+    fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
+        self.net.borrow_mut().read(self.side, buf)
+    }
+}
+
+impl Write for VirtualStream {
+    fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
+        self.net.borrow_mut().write(self.side, buf)
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
+
+impl Drop for VirtualStream {
+    fn drop(&mut self) {
+        self.net.borrow_mut().close(self.side, false);
+    }
+}
+
+/// The node's listener.
+#[derive(Debug)]
+pub struct VirtualListener {
+    net: Rc<RefCell<Network>>,
+    at: SocketAddr,
+}
+
+impl Listener for VirtualListener {
+    type Stream = VirtualStream;
+
+    fn accept(&self, key: usize) -> io::Result<VirtualStream> {
+        let side = self.net.borrow_mut().node_accept(self.at, key)?;
+        Ok(VirtualStream { net: self.net.clone(), side })
+    }
+
+    fn watch(&mut self, reading: bool) -> io::Result<()> {
+        self.net.borrow_mut().watch_listener(self.at, reading);
+        Ok(())
+    }
+
+    fn address(&self) -> Option<SocketAddr> {
+        Some(self.at)
+    }
+}
+
+impl Drop for VirtualListener {
+    fn drop(&mut self) {
+        self.net.borrow_mut().close_listener(self.at);
+    }
+}
+
+/// The node's socket for reports.
+#[derive(Debug)]
+pub struct VirtualDatagram {
+    net: Rc<RefCell<Network>>,
+    to: SocketAddr,
+}
+
+impl Datagram for VirtualDatagram {
+    fn send(&self, bytes: &[u8]) -> io::Result<()> {
+        self.net.borrow_mut().send_datagram(self.to, bytes);
+        Ok(())
+    }
+}
+
+/// Notifies the node of a signal.
+#[derive(Debug)]
+pub struct VirtualSignals {
+    net: Rc<RefCell<Network>>,
+    key: usize,
+}
+
+impl Read for VirtualSignals {
+    fn read(&mut self, _: &mut [u8]) -> io::Result<usize> {
+        if self.net.borrow_mut().take_signal(self.key) {
+            Ok(1)
+        } else {
+            Err(io::ErrorKind::WouldBlock.into())
+        }
+    }
+}
+
+/// There is no disk in a simulated world: no store is ever opened, so none of this is ever called.
+#[derive(Debug)]
+pub struct NoWorker;
+
+impl Worker for NoWorker {
+    fn submit(&mut self, batch: Batch) -> Result<(), Batch> {
+        Err(batch)
+    }
+
+    fn outcome(&mut self) -> Option<(u64, Outcome)> {
+        None
+    }
+
+    fn is_dead(&self) -> bool {
+        true
+    }
+
+    fn woken(&mut self) {}
+}
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,12 +1,15 @@
 //! One world: a node on the virtual network, its kernel, gateways, the tier below and the membership service, and a
 //! plan of faults, all drawn from one seed. Every event is followed by a look at the rules.
 
-use crate::checkers::{Rules, Violation};
 use crate::fakes::fares;
 use crate::fakes::fastcgi::{self, Reader};
 use crate::fakes::kernel::{Kernel, Known, Seen};
-use crate::network::{Dice, Net, Side, Virtual};
+use crate::faults::{Fault, draw_faults};
+use crate::network::{Network, Side};
+use crate::random::SimRng;
+use crate::rules::{Rules, Violation};
 use crate::site::{CORES, Site};
+use crate::system::VirtualSystem;
 use gaugestand_admission::time::Micros;
 use gaugestand_node::config;
 use gaugestand_node::event_loop::Node;
@@ -28,54 +31,6 @@
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-/// Something that goes wrong.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fault {
-    /// The link to the kernel breaks, and the last commands on it are lost.
-    KernelLink,
-    /// A gateway resets one of its connections.
-    Reset,
-    /// Traffic is three times the usual for so long.
-    Burst(Micros),
-    /// The cores are four times slower for so long.
-    Slow(Micros),
-    /// The process and its kernel die, and come back cold after so long.
-    Death(Micros),
-    /// The process is told to leave, and is replaced.
-    Drain,
-    /// The tier below lets go of all its connections.
-    Below,
-    /// The wall clock is set by so many milliseconds.
-    Clock(i64),
-}
-
-/// The faults of a world, by time.
-pub fn plan(seed: u64, length: Micros) -> Vec<(Micros, Fault)> {
-    let mut dice = Dice::new(seed, 2);
-    let n = dice.below(7);
-    let mut plan: Vec<(Micros, Fault)> = (0..n)
-        .map(|_| {
-            // Together on purpose: half of all faults come within a quarter of the time.
-            let share = if dice.chance(0.5) { 0.4 + dice.share() * 0.25 } else { dice.share() };
-            let at = Micros((length.0 as f64 * share) as u64);
-            let long = |dice: &mut Dice, ms: u64| Micros::millis(500 + dice.below(ms));
-            let fault = match dice.below(8) {
-                0 => Fault::KernelLink,
-                1 => Fault::Reset,
-                2 => Fault::Burst(long(&mut dice, 6_000)),
-                3 => Fault::Slow(long(&mut dice, 8_000)),
-                4 => Fault::Death(long(&mut dice, 3_000)),
-                5 => Fault::Drain,
-                6 => Fault::Below,
-                _ => Fault::Clock(dice.below(20_000) as i64 - 10_000),
-            };
-            (at, fault)
-        })
-        .collect();
-    plan.sort();
-    plan
-}
-
 #[derive(Debug)]
 enum Event {
     /// A client's request comes to some gateway.
@@ -144,8 +99,8 @@
 
 /// A world.
 pub struct World {
-    net: Rc<RefCell<Net>>,
-    node: Option<Node<Virtual>>,
+    net: Rc<RefCell<Network>>,
+    node: Option<Node<VirtualSystem>>,
     life: u32,
     wake: Micros,
     kernel: Kernel,
@@ -156,7 +111,7 @@
     events: BTreeMap<(Micros, u64), Event>,
     serial: u64,
     rules: Rules,
-    dice: Dice,
+    rng: SimRng,
     plan: Vec<(Micros, Fault)>,
     site: Site,
     skipped: u64,
@@ -173,9 +128,9 @@
 impl World {
     /// The world of a seed, for so long; `skip` leaves faults of the plan out; `trace` keeps what happens in words.
     pub fn new(seed: u64, length: Micros, skip: &BTreeSet<usize>, trace: bool) -> Self {
-        let net = Net::new(seed);
+        let net = Network::new(seed);
         let now = net.borrow().moment().mono;
-        let plan = plan(seed, length);
+        let plan = draw_faults(seed, length);
         let site = Site::draw(seed);
         let mut world = World {
             net,
@@ -190,7 +145,7 @@
             events: BTreeMap::new(),
             serial: 0,
             rules: Rules::new(site.window, site.grace),
-            dice: Dice::new(seed, 3),
+            rng: SimRng::new(seed, 3),
             plan,
             rate: site.rate,
             site,
@@ -248,7 +203,7 @@
         self.leaving = false;
         let text = self.configuration(seed.wrapping_add(u64::from(self.life)));
         let node = config::parse(&text, None, None, None).map_err(|e| e.to_string()).and_then(|c| {
-            Node::start(Virtual(self.net.clone()), c, Logs::default()).map_err(|e| e.to_string())
+            Node::start(VirtualSystem(self.net.clone()), c, Logs::default()).map_err(|e| e.to_string())
         });
         match node {
             Ok(node) => self.node = Some(node),
@@ -298,7 +253,7 @@
     fn step_time(&self) -> Option<Micros> {
         let event = self.events.first_key_value().map(|((t, _), _)| *t);
         let node = self.node.as_ref().map(|_| self.wake);
-        let times = [event, node, self.kernel.next(), self.net.borrow().next(), self.rules.next()];
+        let times = [event, node, self.kernel.next(), self.net.borrow().next_arrival(), self.rules.next()];
         times.into_iter().flatten().min().map(|t| t.max(self.now()))
     }
 
@@ -365,7 +320,7 @@
         match event {
             Event::Arrive => {
                 if now < self.end {
-                    let gap = self.dice.span(Micros((1e6 / self.rate) as u64));
+                    let gap = self.rng.exponential(Micros((1e6 / self.rate) as u64));
                     self.at(now.plus(gap), Event::Arrive);
                     let request = self.draw();
                     self.attempt(request);
@@ -373,7 +328,7 @@
             }
             Event::Try(request) => self.attempt(request),
             Event::GiveUp(id) => self.give_up(&id),
-            Event::Reply(side, bytes) => self.net.borrow_mut().say(side, &bytes),
+            Event::Reply(side, bytes) => self.net.borrow_mut().write_all(side, &bytes),
             Event::Fault(i) => self.fault(self.plan[i].1),
             Event::Over(Fault::Burst(_)) => self.rate = self.site.rate,
             Event::Over(Fault::Slow(_)) => self.kernel.speed = 1.0,
@@ -407,7 +362,7 @@
             Fault::Reset => {
                 let open: Vec<Side> = self.conns.keys().copied().collect();
                 if !open.is_empty() {
-                    let side = open[self.dice.below(open.len() as u64) as usize];
+                    let side = open[self.rng.below(open.len() as u64) as usize];
                     self.lose(side);
                     self.net.borrow_mut().close(side, true);
                 }
@@ -443,12 +398,12 @@
     }
 
     fn draw(&mut self) -> Request {
-        let class = self.site.pick(&mut self.dice);
+        let class = self.site.pick(&mut self.rng);
         let kind = &self.site.kinds[class];
-        let work = Micros(kind.work.0 / 2).plus(self.dice.span(Micros(kind.work.0 / 2)));
-        let (keyed, row) = (kind.keyed, format!("{:016x}", self.dice.below(50)));
+        let work = Micros(kind.work.0 / 2).plus(self.rng.exponential(Micros(kind.work.0 / 2)));
+        let (keyed, row) = (kind.keyed, format!("{:016x}", self.rng.below(50)));
         let id = self.id();
-        let tries_left = 1 + self.dice.below(3) as u32;
+        let tries_left = 1 + self.rng.below(3) as u32;
         let key = keyed.then(|| format!("key{id}"));
         Request { class, key, body: id.into_bytes(), work, tries_left, until: None, row }
     }
@@ -460,9 +415,9 @@
 
     /// Sends a try over a connection with room, or a new one.
     fn attempt(&mut self, mut request: Request) {
-        let gateway = self.dice.below(GATEWAYS);
+        let gateway = self.rng.below(GATEWAYS);
         // Some requests come on a connection of their own, so that nothing else passes on it while they are open.
-        let shares = self.dice.chance(0.7);
+        let shares = self.rng.chance(0.7);
         let fits = |c: &Conn| shares && c.gateway == gateway && c.open.len() < 8;
         let free = self.conns.iter().find(|(_, c)| fits(c)).map(|(s, _)| *s);
         let side = free.unwrap_or_else(|| {
@@ -478,9 +433,9 @@
         let kind = self.site.kinds[request.class].clone();
         let (class, further) = (kind.name.as_str(), request.until.is_some());
         // Some wait for less than the deadline of their class; a further try has what is left.
-        let patient = !self.dice.chance(0.2);
+        let patient = !self.rng.chance(0.2);
         let until = *request.until.get_or_insert_with(|| {
-            let short = Micros::millis(300).plus(self.dice.span(kind.deadline)).min(kind.deadline);
+            let short = Micros::millis(300).plus(self.rng.exponential(kind.deadline)).min(kind.deadline);
             moment.mono.plus(if patient { kind.deadline } else { short })
         });
         let left = Micros(until.since(moment.mono).0 / 1000 * 1000);
@@ -492,7 +447,7 @@
             ("HTTP_X_INGRESS_TIME", (ingress.0 / 1000).to_string()),
             ("HTTP_X_ROUTER", gateway.to_string()),
             ("HTTP_X_WORKING_SET_KB", "24.5".to_string()),
-            ("HTTP_X_SHED_ORDER", format!("{:.4}", self.dice.share() * 0.999)),
+            ("HTTP_X_SHED_ORDER", format!("{:.4}", self.rng.unit() * 0.999)),
         ];
         params.extend(request.key.clone().map(|key| ("HTTP_X_TXN_KEY", key)));
         let told = [
@@ -506,7 +461,7 @@
         let number = conn.next;
         conn.next = conn.next.wrapping_add(1).max(1);
         conn.open.insert(number, id.clone());
-        self.net.borrow_mut().say(side, &fastcgi::request(number, &params, &request.body));
+        self.net.borrow_mut().write_all(side, &fastcgi::request(number, &params, &request.body));
         let (calls, skips) = (kind.calls, kind.skip_worth > 0.0);
         let (class, body, work) = (class.into(), request.body.clone(), request.work);
         self.kernel.know(&id, Known { class, body, work, calls, skips });
@@ -520,8 +475,8 @@
 
     fn give_up(&mut self, id: &str) {
         let Some((_, side, number)) = self.tries.remove(id) else { return };
-        if self.dice.chance(0.8) {
-            self.net.borrow_mut().say(side, &fastcgi::abort(number));
+        if self.rng.chance(0.8) {
+            self.net.borrow_mut().write_all(side, &fastcgi::abort(number));
             self.rules.excuse(id);
         }
     }
@@ -539,7 +494,7 @@
 
     /// A further try, if there is one left.
     fn again(&mut self, request: Request) {
-        let after = Micros::millis(5).plus(self.dice.span(Micros::millis(300)));
+        let after = Micros::millis(5).plus(self.rng.exponential(Micros::millis(300)));
         let at = self.now().plus(after);
         if request.tries_left > 0 && request.until.is_none_or(|until| at < until) {
             self.at(at, Event::Try(request));
@@ -558,7 +513,7 @@
         }
         let accepted = self.net.borrow_mut().accept(address(9042));
         self.fares.extend(accepted.into_iter().map(|side| (side, Vec::new())));
-        let news = self.net.borrow_mut().news();
+        let news = self.net.borrow_mut().take_news();
         for side in news {
             // What the node has not accepted yet is not the actors' to read.
             let ours = self.kernel_side == Some(side)
@@ -567,7 +522,7 @@
             if !ours {
                 continue;
             }
-            let bytes = self.net.borrow_mut().take(side);
+            let bytes = self.net.borrow_mut().read_all(side);
             if self.kernel_side == Some(side) {
                 match bytes {
                     Some(bytes) => self.kernel.take(now, &bytes),
@@ -582,7 +537,7 @@
                     Some(bytes) => {
                         input.extend(bytes);
                         for (id, body) in fares::calls(input) {
-                            let (after, reply) = fares::reply(&mut self.dice, &id, &body);
+                            let (after, reply) = fares::reply(&mut self.rng, &id, &body);
                             self.serial += 1;
                             self.events.insert((now.plus(after), self.serial), Event::Reply(side, reply));
                         }
@@ -626,14 +581,14 @@
             self.note(|| format!("{id} answered {}", answer.status));
             self.rules.answered(now, &id, answer.status, &answer.body);
             if let Some((request, _, _)) = self.tries.remove(&id) {
-                if answer.status == 200 && request.key.is_some() && self.dice.chance(0.2) {
+                if answer.status == 200 && request.key.is_some() && self.rng.chance(0.2) {
                     // Some come again round the edge of the window, from well within it to just past it.
-                    let edge = Micros(self.site.window.0 - 3_000_000 + self.dice.below(3_300_000));
+                    let edge = Micros(self.site.window.0 - 3_000_000 + self.rng.below(3_300_000));
                     let late = Request { tries_left: 1, until: None, ..request.clone() };
                     self.at(now.plus(edge), Event::Try(late));
                 }
                 // A booking is asked for again also after its result, as the way back may have been lost.
-                if answer.status != 200 || request.key.is_some() && self.dice.chance(0.3) {
+                if answer.status != 200 || request.key.is_some() && self.rng.chance(0.3) {
                     self.again(request);
                 }
             }
@@ -657,9 +612,9 @@
         }
         if let Some(side) = self.kernel_side {
             let output = std::mem::take(&mut self.kernel.output);
-            self.net.borrow_mut().say(side, &output);
+            self.net.borrow_mut().write_all(side, &output);
         }
-        let _ = self.net.borrow_mut().datagrams();
+        let _ = self.net.borrow_mut().take_datagrams();
     }
 }
 
--- a/crates/simulation/tests/worlds.rs
+++ b/crates/simulation/tests/worlds.rs
@@ -1,8 +1,9 @@
 //! Worlds from fixed seeds: the rules hold, a seed is a world, and the rules can fail.
 
 use gaugestand_admission::time::Micros;
-use gaugestand_simulation::checkers::Rules;
-use gaugestand_simulation::world::{Fault, play};
+use gaugestand_simulation::faults::{Fault, draw_faults};
+use gaugestand_simulation::rules::Rules;
+use gaugestand_simulation::world::play;
 use rayon::prelude::*;
 use std::collections::BTreeSet;
 
@@ -29,9 +30,7 @@
 
 #[test]
 fn a_seed_is_a_world_and_another_seed_another() {
-    let busy = (0..50).find(|s| {
-        gaugestand_simulation::world::plan(*s, SECS).iter().any(|(_, f)| matches!(f, Fault::Death(_)))
-    });
+    let busy = (0..50).find(|s| draw_faults(*s, SECS).iter().any(|(_, f)| matches!(f, Fault::Death(_))));
     let seed = busy.expect("a world with a death");
     let (a, b) = (play(seed, SECS, &BTreeSet::new(), false), play(seed, SECS, &BTreeSet::new(), true));
     assert_eq!((&a.digest, a.tries, a.served), (&b.digest, b.tries, b.served));
