--- a/crates/simulation/src/fakes/fastcgi.rs
+++ b/crates/simulation/src/fakes/fastcgi.rs
@@ -41,7 +41,7 @@
     /// The number of its status; 0 if the protocol itself ended it.
     pub status: u16,
     /// It asks that no other node be tried.
-    pub give_up: bool,
+    pub no_retry_elsewhere: bool,
     /// Its body.
     pub body: Vec<u8>,
 }
@@ -83,13 +83,13 @@
 
 fn answer(id: u16, out: &[u8], end: &[u8]) -> Result<Answer, &'static str> {
     if end.get(4) != Some(&0) {
-        return Ok(Answer { id, status: 0, give_up: false, body: Vec::new() });
+        return Ok(Answer { id, status: 0, no_retry_elsewhere: false, body: Vec::new() });
     }
     let at = out.windows(4).position(|w| w == b"\r\n\r\n").ok_or("a response without a head")?;
     let head = String::from_utf8_lossy(&out[..at]);
     let status =
         head.lines().find_map(|l| l.strip_prefix("Status: ")).ok_or("a response without a status")?;
     let status = status.get(..3).and_then(|s| s.parse().ok()).ok_or("a status that is no number")?;
-    let give_up = head.lines().any(|l| l == "X-Give-Up: 1");
-    Ok(Answer { id, status, give_up, body: out[at + 4..].to_vec() })
+    let no_retry_elsewhere = head.lines().any(|l| l == "X-Give-Up: 1");
+    Ok(Answer { id, status, no_retry_elsewhere, body: out[at + 4..].to_vec() })
 }
--- a/crates/simulation/src/fakes/gateway.rs
+++ b/crates/simulation/src/fakes/gateway.rs
@@ -78,7 +78,7 @@
 fn verdict(answer: Answer) -> Verdict {
     match answer.status {
         200 => Verdict::Served(answer.body),
-        429 | 503 if answer.give_up => Verdict::Barred,
+        429 | 503 if answer.no_retry_elsewhere => Verdict::Barred,
         429 | 503 | 0 => Verdict::Refused,
         other => Verdict::Failed(other),
     }
--- a/crates/simulation/src/fakes/kernel.rs
+++ b/crates/simulation/src/fakes/kernel.rs
@@ -13,7 +13,7 @@
 
 /// What the kernel was told of a request when it came to the machine.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct RequestFacts {
     /// Its class.
     pub class: String,
     /// Its body.
@@ -40,7 +40,7 @@
 
 /// Something that the rules want to know.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum Observation {
     /// This request's run began.
     Began(String),
     /// It ended with this result.
@@ -62,22 +62,22 @@
     cold_share: f64,
     cold: bool,
     /// Runs can be stopped.
-    pub halts: bool,
+    pub can_preempt: bool,
     /// Runs that went on without their call.
     pub skipped: u64,
     cursor: u64,
     kept: VecDeque<(u64, String)>,
     runs: BTreeMap<String, Run>,
-    known: BTreeMap<String, Known>,
+    known: BTreeMap<String, RequestFacts>,
     last: Micros,
     input: Vec<u8>,
     /// Lines to be sent on the link.
     pub output: Vec<u8>,
     linked: bool,
     /// What the rules want to know, since the last look.
-    pub seen: Vec<Seen>,
+    pub observed: Vec<Observation>,
     /// How many were on the cores, and since when: for the crowd's mean.
-    crowd: VecDeque<(Micros, f64)>,
+    concurrency_samples: VecDeque<(Micros, f64)>,
     results: u64,
 }
 
@@ -91,7 +91,7 @@
             cold_for: Micros::millis(18_000),
             cold_share: 0.3,
             cold,
-            halts: true,
+            can_preempt: true,
             skipped: 0,
             cursor: 0,
             kept: VecDeque::new(),
@@ -101,14 +101,14 @@
             input: Vec::new(),
             output: Vec::new(),
             linked: false,
-            seen: Vec::new(),
-            crowd: VecDeque::new(),
+            observed: Vec::new(),
+            concurrency_samples: VecDeque::new(),
             results: 0,
         }
     }
 
     /// A request came to the machine.
-    pub fn know(&mut self, id: &str, known: Known) {
+    pub fn add_request(&mut self, id: &str, known: RequestFacts) {
         self.known.insert(id.to_string(), known);
     }
 
@@ -128,12 +128,12 @@
     /// Work a microsecond that each run gets.
     fn rate(&self, now: Micros) -> f64 {
         let n = self.on_cores() as f64;
-        let crowd = 1.0 / (1.0 + 0.08 * (n / self.cores - 2.0).max(0.0));
-        self.speed * self.warmth(now) * crowd * (self.cores / n.max(1.0)).min(1.0)
+        let concurrency_samples = 1.0 / (1.0 + 0.08 * (n / self.cores - 2.0).max(0.0));
+        self.speed * self.warmth(now) * concurrency_samples * (self.cores / n.max(1.0)).min(1.0)
     }
 
     /// When the next run is at its call or over, if nothing changes.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_wake(&self) -> Option<Micros> {
         let rate = self.rate(self.last);
         let to_go = |r: &Run| r.left - r.call_at.unwrap_or(0.0);
         let least = self.runs.values().filter(|r| !r.waits).map(to_go).min_by(f64::total_cmp)?;
@@ -143,7 +143,7 @@
     /// Time passes up to `now`.
     pub fn advance(&mut self, now: Micros) {
         let passed = now.since(self.last).0 as f64 * self.rate(self.last);
-        self.note_crowd(now);
+        self.sample_concurrency(now);
         self.last = now;
         let (mut called, mut over) = (Vec::new(), Vec::new());
         for (id, run) in self.runs.iter_mut().filter(|(_, r)| !r.waits) {
@@ -167,22 +167,23 @@
             self.runs.remove(&id);
             self.results += 1;
             let result = format!("result {} of {id}", self.results).into_bytes();
-            self.seen.push(Seen::Result(id.clone(), result.clone()));
+            self.observed.push(Observation::Result(id.clone(), result.clone()));
             let (arg, lasted) = (STANDARD.encode(&result), now.since(began).0 as f64 / 1000.0);
             self.notice(json!({"event": "REAP", "handle": id, "fate": "good", "lasted": lasted, "arg": arg}));
         }
     }
 
-    fn note_crowd(&mut self, now: Micros) {
-        self.crowd.push_back((self.last, self.on_cores() as f64 * now.since(self.last).0 as f64));
-        while self.crowd.front().is_some_and(|c| now.since(c.0) > Micros::millis(2_000)) {
-            self.crowd.pop_front();
+    fn sample_concurrency(&mut self, now: Micros) {
+        self.concurrency_samples
+            .push_back((self.last, self.on_cores() as f64 * now.since(self.last).0 as f64));
+        while self.concurrency_samples.front().is_some_and(|c| now.since(c.0) > Micros::millis(2_000)) {
+            self.concurrency_samples.pop_front();
         }
     }
 
     /// Requests on the cores for each core, in the mean of 2 s, over what it survives: 1 or more is a fall.
-    pub fn crowding(&self, now: Micros) -> f64 {
-        let mean = self.crowd.iter().map(|c| c.1).sum::<f64>() / 2e6 / self.cores;
+    pub fn concurrency_load(&self, now: Micros) -> f64 {
+        let mean = self.concurrency_samples.iter().map(|c| c.1).sum::<f64>() / 2e6 / self.cores;
         mean / (1.0 + 4.0 * self.warmth(now))
     }
 
@@ -256,14 +257,14 @@
             Some("NOIO") => {
                 let Some(run) = self.runs.get_mut(&id) else { return };
                 if !run.skips {
-                    self.seen.push(Seen::Barred(format!("{id} had to go on without its call")));
+                    self.observed.push(Observation::Barred(format!("{id} had to go on without its call")));
                 } else if run.waits && command["cursor"] == run.call {
                     run.waits = false;
                     self.skipped += 1;
                 }
             }
-            Some("PREEMPT") if !self.halts => {
-                self.seen.push(Seen::Barred(format!("{id} had to stop")));
+            Some("PREEMPT") if !self.can_preempt => {
+                self.observed.push(Observation::Barred(format!("{id} had to stop")));
             }
             Some("PREEMPT") if self.runs.remove(&id).is_some() => {
                 self.notice(json!({"event": "REAP", "handle": id, "fate": "cut", "lasted": 1}));
@@ -279,7 +280,7 @@
         };
         let body = STANDARD.decode(command["arg"].as_str().unwrap_or("")).unwrap_or_default();
         if command["entry"].as_str() != Some(known.class.as_str()) || body != known.body {
-            self.seen.push(Seen::Changed(id.clone()));
+            self.observed.push(Observation::Changed(id.clone()));
         }
         if self.runs.contains_key(&id) {
             return;
@@ -288,6 +289,6 @@
         let call_at = known.calls.then_some(left * CALL_AT);
         let run = Run { left, call_at, waits: false, call: 0, skips: known.skips, began: now };
         self.runs.insert(id.clone(), run);
-        self.seen.push(Seen::Began(id));
+        self.observed.push(Observation::Began(id));
     }
 }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -89,7 +89,7 @@
 
 fn tell(outcome: &Outcome) {
     for v in &outcome.violations {
-        println!("seed {}: rule '{}' broken at {} us: {}", outcome.seed, v.rule, v.at.0, v.seen);
+        println!("seed {}: rule '{}' broken at {} us: {}", outcome.seed, v.rule, v.at.0, v.observed);
     }
     println!("  site: {}", outcome.site);
     for (at, fault) in &outcome.plan {
@@ -123,9 +123,9 @@
     let virtual_secs = n as u64 * secs;
     println!(
         "{n} worlds, {} tries: {} served, {} refused, {} failed; {violations} broke a rule; {virtual_secs} s in {real:.1} s",
-        sum(|o| o.tries),
+        sum(|o| o.attempts),
         sum(|o| o.served),
-        sum(|o| o.refused),
+        sum(|o| o.rejected),
         sum(|o| o.failed)
     );
     if json {
--- a/crates/simulation/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -1,158 +1,161 @@
-//! The rules of the platform, checked on what passes over the virtual sockets and what the kernel did; they know
-//! nothing of the node.
+//! The rules of the platform, checked on what passes over the simulated sockets and on what the kernel did; they know
+//! nothing of the node's own state.
 
 use gaugestand_admission::time::Micros;
 use std::collections::BTreeMap;
 
-/// Slack past the due time, with what each limit is longer on sockets.
+/// Time past the due time in which an answer still counts: the platform's slack, and what sockets add to it.
 const SLACK: Micros = Micros::millis(80 + 50);
-/// A request that was written this long before a close, or less, may cross it.
+/// A request that was written this long before a close, or less, may cross it on the network.
 const CROSSING: Micros = Micros::millis(50);
-/// The same for other limits.
-const MORE: Micros = Micros::millis(50);
+/// What sockets add to the grace of a drain.
+const DRAIN_SLACK: Micros = Micros::millis(50);
 
-/// A rule that was broken, and what was seen of it.
+/// A rule that was violated, and what was observed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Its name.
+    /// The name of the rule.
     pub rule: &'static str,
     /// When, on the virtual clock.
     pub at: Micros,
-    /// What each party saw.
-    pub seen: String,
+    /// What was observed.
+    pub observed: String,
 }
 
-/// One try as the rules see it.
+/// One attempt as the rules see it.
 #[derive(Clone, Debug)]
-pub struct Try {
-    /// The class is keyed, with this key and body.
+pub struct Attempt {
+    /// Idempotency key and body, where the class is keyed.
     pub key: Option<(String, Vec<u8>)>,
     /// When it reached the machine.
     pub ingress: Micros,
-    /// When its caller gives up.
+    /// When its answer is due.
     pub due: Micros,
-    /// The process that has it.
-    pub life: u32,
+    /// The incarnation of the node that it was sent to.
+    pub incarnation: u32,
     answers: u32,
     ran: bool,
-    /// Its gateway gave it up, or the connection or the process is gone: no answer is owed.
-    excused: bool,
+    /// No answer is owed: its gateway abandoned it, or the connection or the process is gone.
+    answer_waived: bool,
 }
 
-/// What is known so far.
+/// The state of all rules.
 #[derive(Debug)]
 pub struct Rules {
     window: Micros,
     grace: Micros,
-    tries: BTreeMap<String, Try>,
-    /// Due times of what is owed.
+    attempts: BTreeMap<String, Attempt>,
+    /// Attempts that are owed an answer, by due time.
     owed: BTreeMap<(Micros, String), ()>,
     results: BTreeMap<String, Vec<u8>>,
-    /// Runs of a key in the present life: ingress of each, and the try.
+    /// Runs of a key in the present incarnation: ingress time and id of each attempt that ran.
     runs: BTreeMap<String, Vec<(Micros, String)>>,
     drain: Option<Micros>,
-    /// What was broken.
+    /// The violations so far.
     pub violations: Vec<Violation>,
-    /// Answers by what they said, for the summary.
+    /// Attempts that were served, for the summary.
     pub served: u64,
-    /// Refusals.
-    pub refused: u64,
-    /// Failures.
+    /// Attempts that were rejected.
+    pub rejected: u64,
+    /// Attempts that failed.
     pub failed: u64,
 }
 
 impl Rules {
-    /// Rules with this window of keys and this grace of a drain.
+    /// Rules with this deduplication window and this grace of a drain.
     pub fn new(window: Micros, grace: Micros) -> Self {
         Rules {
             window,
             grace,
-            tries: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             owed: BTreeMap::new(),
             results: BTreeMap::new(),
             runs: BTreeMap::new(),
             drain: None,
             violations: Vec::new(),
             served: 0,
-            refused: 0,
+            rejected: 0,
             failed: 0,
         }
     }
 
-    fn broken(&mut self, rule: &'static str, at: Micros, seen: String) {
-        self.violations.push(Violation { rule, at, seen });
+    fn violate(&mut self, rule: &'static str, at: Micros, observed: String) {
+        self.violations.push(Violation { rule, at, observed });
     }
 
-    /// A try was written whole to a connection that the machine accepted.
-    pub fn sent(
+    /// An attempt was written completely to a connection that the machine accepted.
+    pub fn on_sent(
         &mut self,
         id: &str,
         key: Option<(String, Vec<u8>)>,
         ingress: Micros,
         due: Micros,
-        life: u32,
+        incarnation: u32,
     ) {
-        let (answers, ran, excused) = (0, false, false);
+        let (answers, ran, answer_waived) = (0, false, false);
         self.owed.insert((due, id.to_string()), ());
-        self.tries.insert(id.to_string(), Try { key, ingress, due, life, answers, ran, excused });
+        self.attempts
+            .insert(id.to_string(), Attempt { key, ingress, due, incarnation, answers, ran, answer_waived });
     }
 
-    /// No answer is owed for this try any more.
-    pub fn excuse(&mut self, id: &str) {
-        if let Some(t) = self.tries.get_mut(id) {
-            t.excused = true;
-            self.owed.remove(&(t.due, id.to_string()));
+    /// No answer is owed to this attempt any more.
+    pub fn waive_answer(&mut self, id: &str) {
+        if let Some(attempt) = self.attempts.get_mut(id) {
+            attempt.answer_waived = true;
+            self.owed.remove(&(attempt.due, id.to_string()));
         }
     }
 
-    /// The node has closed the connection of this try: it may, unless an answer was owed on it. One that was on its way
-    /// is sent again by its gateway.
-    pub fn closed(&mut self, now: Micros, id: &str) {
-        let owed = self.tries.get(id).is_some_and(|t| !t.excused && t.answers == 0);
-        if owed && self.tries.get(id).is_some_and(|t| now > t.ingress.plus(CROSSING)) {
-            self.broken("lost", now, format!("the connection of {id} was closed, which had no answer"));
+    /// The node has closed the connection of this attempt. It must not while an answer is owed; an attempt that crossed
+    /// the close on the network is made again by its gateway.
+    pub fn on_closed(&mut self, now: Micros, id: &str) {
+        let owed =
+            self.attempts.get(id).is_some_and(|attempt| !attempt.answer_waived && attempt.answers == 0);
+        if owed && self.attempts.get(id).is_some_and(|attempt| now > attempt.ingress.plus(CROSSING)) {
+            self.violate("lost", now, format!("the connection of {id} was closed, which had no answer"));
         }
-        self.excuse(id);
+        self.waive_answer(id);
     }
 
-    /// The process is gone with all that it had.
-    pub fn killed(&mut self) {
+    /// The process was killed, with all its state.
+    pub fn on_killed(&mut self) {
         let owed: Vec<String> = self.owed.keys().map(|(_, id)| id.clone()).collect();
-        owed.iter().for_each(|id| self.excuse(id));
+        owed.iter().for_each(|id| self.waive_answer(id));
         self.runs.clear();
         self.drain = None;
     }
 
-    /// The process was told to leave.
-    pub fn draining(&mut self, at: Micros) {
+    /// The process was sent SIGTERM.
+    pub fn on_drain(&mut self, at: Micros) {
         self.drain = Some(at);
     }
 
-    /// The process has ended by itself, or is about to be stopped: nothing may be owed but what crosses the close of
-    /// its connection, which its gateway sends again.
-    pub fn stopped(&mut self, now: Micros) {
-        let crosses = |id: &String| self.tries.get(id).is_some_and(|t| now <= t.ingress.plus(CROSSING));
+    /// The process has ended by itself, or is about to be killed after its drain: nothing may be owed but what crossed
+    /// the close of its connection, which its gateway sends again.
+    pub fn on_stopped(&mut self, now: Micros) {
+        let crosses =
+            |id: &String| self.attempts.get(id).is_some_and(|attempt| now <= attempt.ingress.plus(CROSSING));
         let owed: Vec<String> =
             self.owed.keys().map(|(_, id)| id.clone()).filter(|id| !crosses(id)).collect();
         if !owed.is_empty() {
-            self.broken("drain", now, format!("unanswered at the end of the process: {}", owed.join(", ")));
+            self.violate("drain", now, format!("unanswered at the end of the process: {}", owed.join(", ")));
         }
-        self.killed();
+        self.on_killed();
     }
 
-    /// A run began.
-    pub fn began(&mut self, now: Micros, id: &str) {
-        let Some(t) = self.tries.get_mut(id) else {
-            return self.broken("run", now, format!("{id} was run and never sent"));
+    /// A run started.
+    pub fn on_run_started(&mut self, now: Micros, id: &str) {
+        let Some(attempt) = self.attempts.get_mut(id) else {
+            return self.violate("run", now, format!("{id} was run and never sent"));
         };
-        t.ran = true;
-        let (ingress, key) = (t.ingress, t.key.clone());
-        if let Some(notice) = self.drain.filter(|d| ingress > d.plus(self.grace).plus(MORE)) {
-            let seen = format!(
+        attempt.ran = true;
+        let (ingress, key) = (attempt.ingress, attempt.key.clone());
+        if let Some(notice) = self.drain.filter(|d| ingress > d.plus(self.grace).plus(DRAIN_SLACK)) {
+            let observed = format!(
                 "{id} reached the machine {} us after the notice and was run",
                 ingress.since(notice).0
             );
-            self.broken("drain", now, seen);
+            self.violate("drain", now, observed);
         }
         let Some((key, _)) = key else { return };
         let window = self.window;
@@ -160,70 +163,71 @@
         let twice = runs.iter().find(|(first, _)| ingress.0 < first.plus(window).0).cloned();
         runs.push((ingress, id.to_string()));
         if let Some((first, other)) = twice {
-            let seen = format!("{key} ran as {other} and {} us later as {id}", ingress.since(first).0);
-            self.broken("duplicate", now, seen);
+            let observed = format!("{key} ran as {other} and {} us later as {id}", ingress.since(first).0);
+            self.violate("duplicate", now, observed);
         }
     }
 
     /// A run ended with a result.
-    pub fn result(&mut self, id: &str, result: Vec<u8>) {
+    pub fn on_result(&mut self, id: &str, result: Vec<u8>) {
         self.results.insert(id.to_string(), result);
     }
 
-    /// Something that no rule allows at all.
-    pub fn wrong(&mut self, now: Micros, rule: &'static str, seen: String) {
-        self.broken(rule, now, seen);
+    /// Something that is never allowed.
+    pub fn report(&mut self, now: Micros, rule: &'static str, observed: String) {
+        self.violate(rule, now, observed);
     }
 
-    /// A whole answer came.
-    pub fn answered(&mut self, now: Micros, id: &str, status: u16, body: &[u8]) {
-        let Some(t) = self.tries.get_mut(id) else { return };
-        t.answers += 1;
-        let (answers, ran, excused, key) = (t.answers, t.ran, t.excused, t.key.clone());
-        let due = t.due;
+    /// A complete answer arrived.
+    pub fn on_answer(&mut self, now: Micros, id: &str, status: u16, body: &[u8]) {
+        let Some(attempt) = self.attempts.get_mut(id) else { return };
+        attempt.answers += 1;
+        let (answers, ran, answer_waived, key) =
+            (attempt.answers, attempt.ran, attempt.answer_waived, attempt.key.clone());
+        let due = attempt.due;
         self.owed.remove(&(due, id.to_string()));
         match status {
             200 => self.served += 1,
-            0 | 429 | 503 => self.refused += 1,
+            0 | 429 | 503 => self.rejected += 1,
             _ => self.failed += 1,
         }
         if answers > 1 {
-            self.broken("duplicate", now, format!("{id} got {answers} answers"));
+            self.violate("duplicate", now, format!("{id} got {answers} answers"));
         }
-        if !excused && now > due.plus(SLACK) {
-            self.broken("lost", now, format!("{id} was answered {} us past its due time", now.since(due).0));
+        if !answer_waived && now > due.plus(SLACK) {
+            self.violate("lost", now, format!("{id} was answered {} us past its due time", now.since(due).0));
         }
         match status {
             200 => {
                 let same =
-                    |other: &str| self.tries.get(other).is_some_and(|o| o.key.is_some() && o.key == key);
+                    |other: &str| self.attempts.get(other).is_some_and(|o| o.key.is_some() && o.key == key);
                 let made = |(other, r): (&String, &Vec<u8>)| r == body && (other == id || same(other));
                 if !self.results.iter().any(made) {
-                    let seen = format!("{id} was served {:?}", String::from_utf8_lossy(body));
-                    self.broken("served", now, seen);
+                    let observed = format!("{id} was served {:?}", String::from_utf8_lossy(body));
+                    self.violate("served", now, observed);
                 }
             }
             0 | 429 | 503 if ran => {
-                self.broken("refused", now, format!("{id} ran and was answered {status}"))
+                self.violate("refused", now, format!("{id} ran and was answered {status}"))
             }
             _ => {}
         }
     }
 
-    /// Looks at what is overdue.
-    pub fn look(&mut self, now: Micros) {
+    /// Reports what is overdue.
+    pub fn check_overdue(&mut self, now: Micros) {
         while let Some(((due, id), ())) =
             self.owed.first_key_value().filter(|((d, _), _)| now > d.plus(SLACK))
         {
             let (due, id) = (*due, id.clone());
             self.owed.remove(&(due, id.clone()));
-            let ran = self.tries.get(&id).is_some_and(|t| t.ran);
-            self.broken("lost", now, format!("{id}, due at {} us, ran {ran}, got no answer", due.0));
+            let ran = self.attempts.get(&id).is_some_and(|attempt| attempt.ran);
+            self.violate("lost", now, format!("{id}, due at {} us, ran {ran}, got no answer", due.0));
         }
     }
 
-    /// When the next look is due.
-    pub fn next(&self) -> Option<Micros> {
+    /// When the next answer becomes overdue.
+    pub fn next_wake(&self) -> Option<Micros> {
         self.owed.first_key_value().map(|((due, _), ())| due.plus(SLACK).plus(Micros(1)))
     }
 }
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -15,7 +15,7 @@
 
 /// A class of requests.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct RequestClass {
     /// Its name.
     pub name: String,
     /// Its requests run once in their window.
@@ -25,40 +25,40 @@
     /// Mean work on one core.
     pub work: Micros,
     /// When an answer is wanted, and when clients give up.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The latter.
     pub deadline: Micros,
     /// Its runs make a call.
     pub calls: bool,
     /// What an answer without that call still earns; 0 where that is not allowed.
-    pub skip_worth: f64,
+    pub skipped_call_weight: f64,
     /// What a late answer earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// What a request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
 /// A site.
 #[derive(Clone, Debug)]
 pub struct Site {
     /// Its classes, one to eight.
-    pub kinds: Vec<Kind>,
+    pub classes: Vec<RequestClass>,
     /// Requests tell how long their caller waits.
-    pub patience: bool,
+    pub sends_timeout: bool,
     /// Further tries are marked.
-    pub marks: bool,
+    pub marks_retries: bool,
     /// Requests tell what work to expect.
-    pub hints: bool,
+    pub sends_work_hints: bool,
     /// Reads tell what they are about.
-    pub rows: bool,
+    pub sends_resource_keys: bool,
     /// There is a tier below.
-    pub below: bool,
+    pub has_downstream: bool,
     /// Refusals may say when to come back.
-    pub advice: bool,
+    pub accepts_retry_after: bool,
     /// What stopping a run does: `discard`, `freeze`, or `silent` where it cannot be done.
-    pub halt: &'static str,
+    pub preemption: &'static str,
     /// What the free value means.
-    pub signal: &'static str,
+    pub backpressure_signal: &'static str,
     /// How long a key may come again.
     pub window: Micros,
     /// After the notice to leave.
@@ -72,46 +72,46 @@
     pub fn draw(seed: u64) -> Self {
         let mut rng = SimRng::new(seed, 4);
         let pick = |rng: &mut SimRng, words: &[&'static str]| words[rng.below(words.len() as u64) as usize];
-        let below = rng.chance(0.8);
+        let has_downstream = rng.chance(0.8);
         // Many sites have few classes, and some none that is keyed.
         let n = 1 + (rng.unit().powi(2) * 8.0) as usize;
         let keyed = [0.0, 0.4, 0.4, 1.0][rng.below(4) as usize];
         // At some, one class takes so long that nothing passes on its connection meanwhile.
         let slow = rng.chance(0.3).then(|| rng.below(n as u64) as usize);
-        let kinds: Vec<Kind> = (0..n)
+        let classes: Vec<RequestClass> = (0..n)
             .map(|i| {
                 let deadline =
                     if slow == Some(i) { 17_000 } else { [2_000, 4_000, 9_000][rng.below(3) as usize] };
-                let aim = deadline * (3 + rng.below(5)) / 10;
+                let latency_objective = deadline * (3 + rng.below(5)) / 10;
                 let work =
                     if slow == Some(i) { 5_000 + rng.below(4_000) } else { 10 + rng.below(deadline / 40) };
                 let skips = rng.chance(0.5);
-                Kind {
+                RequestClass {
                     name: format!("kind-{i}"),
                     keyed: rng.chance(keyed),
                     share: 0.2 + rng.unit(),
                     work: Micros::millis(work),
-                    aim: Micros::millis(aim),
+                    latency_objective: Micros::millis(latency_objective),
                     deadline: Micros::millis(deadline),
-                    calls: below && rng.chance(0.7),
-                    skip_worth: if skips { 0.3 } else { 0.0 },
-                    late_worth: if rng.chance(0.5) { 0.2 } else { 0.0 },
-                    worth: 1.0 + rng.below(5) as f64,
+                    calls: has_downstream && rng.chance(0.7),
+                    skipped_call_weight: if skips { 0.3 } else { 0.0 },
+                    late_weight: if rng.chance(0.5) { 0.2 } else { 0.0 },
+                    priority_weight: 1.0 + rng.below(5) as f64,
                 }
             })
             .collect();
-        let shares: f64 = kinds.iter().map(|k| k.share).sum();
-        let work: f64 = kinds.iter().map(|k| k.share / shares * k.work.0 as f64 / 1e6).sum();
+        let shares: f64 = classes.iter().map(|k| k.share).sum();
+        let work: f64 = classes.iter().map(|k| k.share / shares * k.work.0 as f64 / 1e6).sum();
         Site {
-            kinds,
-            patience: rng.chance(0.5),
-            marks: rng.chance(0.5),
-            hints: rng.chance(0.5),
-            rows: rng.chance(0.5),
-            below,
-            advice: rng.chance(0.8),
-            halt: pick(&mut rng, &["discard", "discard", "freeze", "silent"]),
-            signal: pick(&mut rng, &["allowance", "allowance", "floor", "weight", "silent"]),
+            classes,
+            sends_timeout: rng.chance(0.5),
+            marks_retries: rng.chance(0.5),
+            sends_work_hints: rng.chance(0.5),
+            sends_resource_keys: rng.chance(0.5),
+            has_downstream,
+            accepts_retry_after: rng.chance(0.8),
+            preemption: pick(&mut rng, &["discard", "discard", "freeze", "silent"]),
+            backpressure_signal: pick(&mut rng, &["allowance", "allowance", "floor", "weight", "silent"]),
             window: Micros::millis(5_000 + rng.below(8_000)),
             grace: Micros::millis(300 + rng.below(2_200)),
             rate: (CORES * LOAD / work).clamp(RATE.0, RATE.1),
@@ -119,9 +119,9 @@
     }
 
     /// The class of the next request.
-    pub fn pick(&self, rng: &mut SimRng) -> usize {
-        let mut at = rng.unit() * self.kinds.iter().map(|k| k.share).sum::<f64>();
-        let found = self.kinds.iter().position(|k| {
+    pub fn draw_class(&self, rng: &mut SimRng) -> usize {
+        let mut at = rng.unit() * self.classes.iter().map(|k| k.share).sum::<f64>();
+        let found = self.classes.iter().position(|k| {
             at -= k.share;
             at < 0.0
         });
@@ -129,33 +129,33 @@
     }
 
     /// The longest deadline.
-    pub fn longest(&self) -> Micros {
-        self.kinds.iter().map(|k| k.deadline).max().unwrap_or_default()
+    pub fn max_deadline(&self) -> Micros {
+        self.classes.iter().map(|k| k.deadline).max().unwrap_or_default()
     }
 
     /// The settings as a node is told them.
     pub fn settings(&self, callers: u64) -> Value {
         let ns = |t: Micros| t.0 * 1000;
         let classes: Vec<Value> = self
-            .kinds
+            .classes
             .iter()
             .map(|k| {
-                json!({"name": k.name, "effect": if k.keyed { "token" } else { "pure" }, "goal-time": ns(k.aim),
-                    "hard-limit": ns(k.deadline), "dedup-window": ns(self.window), "worth": k.worth,
-                    "late-worth": k.late_worth})
+                json!({"name": k.name, "effect": if k.keyed { "token" } else { "pure" }, "goal-time": ns(k.latency_objective),
+                    "hard-limit": ns(k.deadline), "dedup-window": ns(self.window), "worth": k.priority_weight,
+                    "late-worth": k.late_weight})
             })
             .collect();
-        let of = |f: fn(&Kind) -> Value| self.kinds.iter().map(f).collect::<Vec<_>>();
+        let of = |f: fn(&RequestClass) -> Value| self.classes.iter().map(f).collect::<Vec<_>>();
         json!({"classes": classes, "fleet-size": 1, "worth-by": "work", "over-share-worth": 0.1, "realms": [],
-            "tick": 2_000_000, "clients": {"marks-retry": self.marks},
-            "caps": {"retry-after": self.advice, "max-retry-after": 1_000_000_000u64},
-            "extra": {"below": if self.below { "tier" } else { "silent" }, "callers": callers, "calls-out": 0.0,
-                "class-calls": of(|k| json!(k.calls)), "class-skip-worth": of(|k| json!(k.skip_worth)),
+            "tick": 2_000_000, "clients": {"marks-retry": self.marks_retries},
+            "caps": {"retry-after": self.accepts_retry_after, "max-retry-after": 1_000_000_000u64},
+            "extra": {"below": if self.has_downstream { "tier" } else { "silent" }, "callers": callers, "calls-out": 0.0,
+                "class-calls": of(|k| json!(k.calls)), "class-skip-worth": of(|k| json!(k.skipped_call_weight)),
                 "cold": false, "cores": CORES, "dep-window": 5_000_000_000u64, "fresh-for": 0,
                 "full-checks": true, "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"],
-                "halt": self.halt, "heeded": 1_000_000_000, "heap-kb": 70000.0, "key-kb": 10.0,
-                "list-follows": true, "run-factor": 8.0, "signal": self.signal, "stays-for": 200_000_000,
-                "caller-idle": 30_000_000_000u64, "passes-deadline": self.patience},
+                "halt": self.preemption, "heeded": 1_000_000_000, "heap-kb": 70000.0, "key-kb": 10.0,
+                "list-follows": true, "run-factor": 8.0, "signal": self.backpressure_signal, "stays-for": 200_000_000,
+                "caller-idle": 30_000_000_000u64, "passes-deadline": self.sends_timeout},
             "rules": {"grace-to-answer": 80_000_000, "cold-share": 0.3, "cold": 18_000_000_000u64,
                 "drain-grace": ns(self.grace), "fall": 2_000_000_000, "fall-multiple": 5.0}})
     }
@@ -164,26 +164,26 @@
 impl fmt::Display for Site {
     /// One line: what sets it apart.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let keyed = self.kinds.iter().filter(|k| k.keyed).count();
-        let skips = self.kinds.iter().filter(|k| k.calls && k.skip_worth > 0.0).count();
-        let told = [
-            (self.patience, "patience"),
-            (self.marks, "marks"),
-            (self.hints, "hints"),
-            (self.rows, "rows"),
-            (self.below, "a tier below"),
-            (self.advice, "advice"),
+        let keyed = self.classes.iter().filter(|k| k.keyed).count();
+        let skips = self.classes.iter().filter(|k| k.calls && k.skipped_call_weight > 0.0).count();
+        let features = [
+            (self.sends_timeout, "patience"),
+            (self.marks_retries, "marks"),
+            (self.sends_work_hints, "hints"),
+            (self.sends_resource_keys, "rows"),
+            (self.has_downstream, "a tier below"),
+            (self.accepts_retry_after, "advice"),
         ];
-        let told: Vec<&str> = told.into_iter().filter(|t| t.0).map(|t| t.1).collect();
-        let (n, longest) = (self.kinds.len(), self.longest().0 / 1000);
-        write!(f, "{n} classes, {keyed} keyed, {skips} may skip calls, deadlines to {longest} ms, ")?;
+        let features: Vec<&str> = features.into_iter().filter(|t| t.0).map(|t| t.1).collect();
+        let (n, max_deadline) = (self.classes.len(), self.max_deadline().0 / 1000);
+        write!(f, "{n} classes, {keyed} keyed, {skips} may skip calls, deadlines to {max_deadline} ms, ")?;
         write!(
             f,
             "halt {}, signal {}, {:.0} requests/s; {}",
-            self.halt,
-            self.signal,
+            self.preemption,
+            self.backpressure_signal,
             self.rate,
-            told.join(", ")
+            features.join(", ")
         )
     }
 }
--- a/crates/simulation/tests/worlds.rs
+++ b/crates/simulation/tests/worlds.rs
@@ -17,15 +17,15 @@
     assert!(broken.is_empty(), "{broken:?}");
     // They saw something: requests of all endings, and faults of every kind.
     let sum = |of: fn(&gaugestand_simulation::world::Outcome) -> u64| outcomes.iter().map(of).sum::<u64>();
-    assert!(sum(|o| o.served) > 10_000 && sum(|o| o.refused) > 100 && sum(|o| o.failed) > 0);
+    assert!(sum(|o| o.served) > 10_000 && sum(|o| o.rejected) > 100 && sum(|o| o.failed) > 0);
     assert!(sum(|o| o.skipped) > 20, "{} calls left out", sum(|o| o.skipped));
-    let kinds: BTreeSet<_> = outcomes
+    let fault_kinds: BTreeSet<_> = outcomes
         .iter()
         .flat_map(|o| &o.plan)
         .map(|(_, f)| std::mem::discriminant(f))
         .map(|d| format!("{d:?}"))
         .collect();
-    assert_eq!(kinds.len(), 8, "{kinds:?}");
+    assert_eq!(fault_kinds.len(), 8, "{fault_kinds:?}");
 }
 
 #[test]
@@ -33,7 +33,7 @@
     let busy = (0..50).find(|s| draw_faults(*s, SECS).iter().any(|(_, f)| matches!(f, Fault::Death(_))));
     let seed = busy.expect("a world with a death");
     let (a, b) = (play(seed, SECS, &BTreeSet::new(), false), play(seed, SECS, &BTreeSet::new(), true));
-    assert_eq!((&a.digest, a.tries, a.served), (&b.digest, b.tries, b.served));
+    assert_eq!((&a.digest, a.attempts, a.served), (&b.digest, b.attempts, b.served));
     assert!(b.trace.iter().any(|l| l.contains("fault: Death")), "{:?}", b.plan);
     assert_ne!(a.digest, play(seed + 1, SECS, &BTreeSet::new(), false).digest);
     // Leaving a fault out makes another world.
@@ -50,58 +50,58 @@
     let key = || Some(("k".to_string(), b"b".to_vec()));
     let rules = || {
         let mut rules = Rules::new(ms(9_000), ms(600));
-        rules.sent("a", key(), ms(1_000), ms(5_000), 1);
-        rules.sent("b", key(), ms(9_999), ms(14_000), 1);
-        rules.sent("c", key(), ms(10_000), ms(14_000), 1);
+        rules.on_sent("a", key(), ms(1_000), ms(5_000), 1);
+        rules.on_sent("b", key(), ms(9_999), ms(14_000), 1);
+        rules.on_sent("c", key(), ms(10_000), ms(14_000), 1);
         rules
     };
     type Story = fn(&mut Rules);
     let cases: [(Option<&str>, Story); 18] = [
         (None, |r| {
-            r.began(ms(1_001), "a");
-            r.result("a", b"r".to_vec());
-            r.answered(ms(1_100), "a", 200, b"r");
-            r.answered(ms(10_001), "b", 200, b"r");
+            r.on_run_started(ms(1_001), "a");
+            r.on_result("a", b"r".to_vec());
+            r.on_answer(ms(1_100), "a", 200, b"r");
+            r.on_answer(ms(10_001), "b", 200, b"r");
             // Its window is over: it may run again.
-            r.began(ms(10_002), "c");
+            r.on_run_started(ms(10_002), "c");
         }),
         (Some("duplicate"), |r| {
-            r.began(ms(1_001), "a");
-            r.began(ms(10_000), "b");
+            r.on_run_started(ms(1_001), "a");
+            r.on_run_started(ms(10_000), "b");
         }),
         (Some("duplicate"), |r| {
-            r.answered(ms(1_100), "a", 500, b"");
-            r.answered(ms(1_101), "a", 500, b"");
+            r.on_answer(ms(1_100), "a", 500, b"");
+            r.on_answer(ms(1_101), "a", 500, b"");
         }),
-        (Some("served"), |r| r.answered(ms(1_100), "a", 200, b"r")),
+        (Some("served"), |r| r.on_answer(ms(1_100), "a", 200, b"r")),
         (Some("served"), |r| {
-            r.sent("d", Some(("other".into(), b"b".to_vec())), ms(1_000), ms(5_000), 1);
-            r.result("d", b"r".to_vec());
-            r.answered(ms(1_100), "a", 200, b"r");
+            r.on_sent("d", Some(("other".into(), b"b".to_vec())), ms(1_000), ms(5_000), 1);
+            r.on_result("d", b"r".to_vec());
+            r.on_answer(ms(1_100), "a", 200, b"r");
         }),
         (Some("refused"), |r| {
-            r.began(ms(1_001), "a");
-            r.answered(ms(1_100), "a", 503, b"");
+            r.on_run_started(ms(1_001), "a");
+            r.on_answer(ms(1_100), "a", 503, b"");
         }),
-        (None, |r| r.answered(ms(5_130), "a", 500, b"")),
-        (Some("lost"), |r| r.answered(ms(5_131), "a", 500, b"")),
-        (None, |r| r.look(ms(5_130))),
-        (Some("lost"), |r| r.look(ms(5_131))),
+        (None, |r| r.on_answer(ms(5_130), "a", 500, b"")),
+        (Some("lost"), |r| r.on_answer(ms(5_131), "a", 500, b"")),
+        (None, |r| r.check_overdue(ms(5_130))),
+        (Some("lost"), |r| r.check_overdue(ms(5_131))),
         (None, |r| {
-            r.excuse("a");
-            r.look(ms(6_000));
+            r.waive_answer("a");
+            r.check_overdue(ms(6_000));
         }),
-        (None, |r| r.closed(ms(1_050), "a")),
-        (Some("lost"), |r| r.closed(ms(1_051), "a")),
+        (None, |r| r.on_closed(ms(1_050), "a")),
+        (Some("lost"), |r| r.on_closed(ms(1_051), "a")),
         (Some("drain"), |r| {
-            r.draining(ms(300));
-            r.began(ms(1_001), "a");
+            r.on_drain(ms(300));
+            r.on_run_started(ms(1_001), "a");
         }),
-        (Some("drain"), |r| r.stopped(ms(1_100))),
+        (Some("drain"), |r| r.on_stopped(ms(1_100))),
         // One that crosses the close is sent again by its gateway.
-        (None, |r| r.stopped(ms(1_050))),
-        (Some("drain"), |r| r.stopped(ms(1_051))),
-        (Some("run"), |r| r.began(ms(1_100), "nobody")),
+        (None, |r| r.on_stopped(ms(1_050))),
+        (Some("drain"), |r| r.on_stopped(ms(1_051))),
+        (Some("run"), |r| r.on_run_started(ms(1_100), "nobody")),
     ];
     for (i, (rule, story)) in cases.into_iter().enumerate() {
         let mut rules = rules();
