--- a/crates/simulation/src/fakes/kernel.rs
+++ b/crates/simulation/src/fakes/kernel.rs
@@ -1,4 +1,5 @@
-//! The kernel: cores shared by all that runs, less efficient past a crowd, cold at first; notices with numbers.
+//! Fake of the kernel: its cores are shared by all runs, lose efficiency with too many of them and are slow while cold;
+//! its notices are numbered and said again on a new link.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -6,12 +7,12 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Notices that are kept for a new link.
-const KEPT: usize = 4_000;
-/// Of a call, at this share of the work.
-const CALL_AT: f64 = 0.5;
+/// Most notices that are kept to be said again on a new link.
+const MAX_KEPT_NOTICES: usize = 4_000;
+/// A run makes its outbound call when this share of its work is left.
+const CALL_AT_SHARE: f64 = 0.5;
 
-/// What the kernel was told of a request when it came to the machine.
+/// What the world knows of a request that was sent to the node: the kernel compares its commands with it.
 #[derive(Clone, Debug)]
 pub struct RequestFacts {
     /// Its class.
@@ -20,56 +21,57 @@
     pub body: Vec<u8>,
     /// Its work on one core of speed 1.
     pub work: Micros,
-    /// It calls half way through.
+    /// Its run makes an outbound call.
     pub calls: bool,
-    /// It may go on without that call.
+    /// The run may continue without that call.
     pub skips: bool,
 }
 
 #[derive(Debug)]
 struct Run {
-    /// Microseconds of work that are left, and where it calls.
-    left: f64,
+    /// Microseconds of work that are left on one core of speed 1.
+    work_left: f64,
+    /// Work left at which it makes its call, until it has.
     call_at: Option<f64>,
-    waits: bool,
-    /// The notice that asked for its call.
-    call: u64,
+    awaits_call: bool,
+    /// Number of the notice that requested its call.
+    call_notice: u64,
     skips: bool,
-    began: Micros,
+    started: Micros,
 }
 
-/// Something that the rules want to know.
+/// Something that the kernel observed, for the rules.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
-    /// This request's run began.
-    Began(String),
-    /// It ended with this result.
+    /// The run of this request started.
+    Started(String),
+    /// The run of this request ended with this result.
     Result(String, Vec<u8>),
-    /// A command with another class or body than the request came with.
-    Changed(String),
+    /// A command has another class or body than the request had.
+    ChangedOnTheWay(String),
     /// A command that the site does not allow.
-    Barred(String),
+    NotAllowed(String),
 }
 
 /// The kernel of one node.
 #[derive(Debug)]
 pub struct Kernel {
     cores: f64,
-    /// 1 unless it runs slowly for a while.
+    /// Speed of the cores: 1 unless a fault makes them slow.
     pub speed: f64,
-    up: Micros,
-    cold_for: Micros,
-    cold_share: f64,
+    started_at: Micros,
+    warmup_duration: Micros,
+    cold_speed_share: f64,
     cold: bool,
     /// Runs can be stopped.
     pub can_preempt: bool,
     /// Runs that went on without their call.
     pub skipped: u64,
     cursor: u64,
-    kept: VecDeque<(u64, String)>,
+    kept_notices: VecDeque<(u64, String)>,
     runs: BTreeMap<String, Run>,
-    known: BTreeMap<String, RequestFacts>,
-    last: Micros,
+    requests: BTreeMap<String, RequestFacts>,
+    advanced_to: Micros,
     input: Vec<u8>,
     /// Lines to be sent on the link.
     pub output: Vec<u8>,
@@ -87,17 +89,17 @@
         Kernel {
             cores,
             speed: 1.0,
-            up: now,
-            cold_for: Micros::millis(18_000),
-            cold_share: 0.3,
+            started_at: now,
+            warmup_duration: Micros::millis(18_000),
+            cold_speed_share: 0.3,
             cold,
             can_preempt: true,
             skipped: 0,
             cursor: 0,
-            kept: VecDeque::new(),
+            kept_notices: VecDeque::new(),
             runs: BTreeMap::new(),
-            known: BTreeMap::new(),
-            last: now,
+            requests: BTreeMap::new(),
+            advanced_to: now,
             input: Vec::new(),
             output: Vec::new(),
             linked: false,
@@ -108,12 +110,12 @@
     }
 
     /// A request came to the machine.
-    pub fn add_request(&mut self, id: &str, known: RequestFacts) {
-        self.known.insert(id.to_string(), known);
+    pub fn add_request(&mut self, id: &str, requests: RequestFacts) {
+        self.requests.insert(id.to_string(), requests);
     }
 
     fn on_cores(&self) -> usize {
-        self.runs.values().filter(|r| !r.waits).count()
+        self.runs.values().filter(|r| !r.awaits_call).count()
     }
 
     /// Share of its full speed.
@@ -121,8 +123,8 @@
         if !self.cold {
             return 1.0;
         }
-        let done = now.since(self.up).0 as f64 / self.cold_for.0 as f64;
-        (self.cold_share + (1.0 - self.cold_share) * done).min(1.0)
+        let done = now.since(self.started_at).0 as f64 / self.warmup_duration.0 as f64;
+        (self.cold_speed_share + (1.0 - self.cold_speed_share) * done).min(1.0)
     }
 
     /// Work a microsecond that each run gets.
@@ -134,25 +136,25 @@
 
     /// When the next run is at its call or over, if nothing changes.
     pub fn next_wake(&self) -> Option<Micros> {
-        let rate = self.rate(self.last);
-        let to_go = |r: &Run| r.left - r.call_at.unwrap_or(0.0);
-        let least = self.runs.values().filter(|r| !r.waits).map(to_go).min_by(f64::total_cmp)?;
-        Some(self.last.plus(Micros((least / rate).ceil().max(1.0) as u64)))
+        let rate = self.rate(self.advanced_to);
+        let to_go = |r: &Run| r.work_left - r.call_at.unwrap_or(0.0);
+        let least = self.runs.values().filter(|r| !r.awaits_call).map(to_go).min_by(f64::total_cmp)?;
+        Some(self.advanced_to.plus(Micros((least / rate).ceil().max(1.0) as u64)))
     }
 
     /// Time passes up to `now`.
     pub fn advance(&mut self, now: Micros) {
-        let passed = now.since(self.last).0 as f64 * self.rate(self.last);
+        let passed = now.since(self.advanced_to).0 as f64 * self.rate(self.advanced_to);
         self.sample_concurrency(now);
-        self.last = now;
+        self.advanced_to = now;
         let (mut called, mut over) = (Vec::new(), Vec::new());
-        for (id, run) in self.runs.iter_mut().filter(|(_, r)| !r.waits) {
-            run.left -= passed;
-            if run.call_at.is_some_and(|at| run.left <= at + 0.5) {
-                (run.call_at, run.waits) = (None, true);
+        for (id, run) in self.runs.iter_mut().filter(|(_, r)| !r.awaits_call) {
+            run.work_left -= passed;
+            if run.call_at.is_some_and(|at| run.work_left <= at + 0.5) {
+                (run.call_at, run.awaits_call) = (None, true);
                 called.push(id.clone());
-            } else if run.left <= 0.5 {
-                over.push((id.clone(), run.began));
+            } else if run.work_left <= 0.5 {
+                over.push((id.clone(), run.started));
             }
         }
         for id in called {
@@ -160,22 +162,22 @@
             self.notice(json!({"event": "IOREQ", "handle": id, "arg": arg}));
             let cursor = self.cursor;
             if let Some(run) = self.runs.get_mut(&id) {
-                run.call = cursor;
+                run.call_notice = cursor;
             }
         }
-        for (id, began) in over {
+        for (id, started) in over {
             self.runs.remove(&id);
             self.results += 1;
             let result = format!("result {} of {id}", self.results).into_bytes();
             self.observed.push(Observation::Result(id.clone(), result.clone()));
-            let (arg, lasted) = (STANDARD.encode(&result), now.since(began).0 as f64 / 1000.0);
+            let (arg, lasted) = (STANDARD.encode(&result), now.since(started).0 as f64 / 1000.0);
             self.notice(json!({"event": "REAP", "handle": id, "fate": "good", "lasted": lasted, "arg": arg}));
         }
     }
 
     fn sample_concurrency(&mut self, now: Micros) {
         self.concurrency_samples
-            .push_back((self.last, self.on_cores() as f64 * now.since(self.last).0 as f64));
+            .push_back((self.advanced_to, self.on_cores() as f64 * now.since(self.advanced_to).0 as f64));
         while self.concurrency_samples.front().is_some_and(|c| now.since(c.0) > Micros::millis(2_000)) {
             self.concurrency_samples.pop_front();
         }
@@ -199,17 +201,17 @@
         notice["cursor"] = json!(self.cursor);
         let text = notice.to_string();
         self.line(&text);
-        self.kept.push_back((self.cursor, text));
-        if self.kept.len() > KEPT {
-            self.kept.pop_front();
+        self.kept_notices.push_back((self.cursor, text));
+        if self.kept_notices.len() > MAX_KEPT_NOTICES {
+            self.kept_notices.pop_front();
         }
     }
 
     /// A new link takes the place of the one before.
-    pub fn link(&mut self, up: bool) {
+    pub fn link(&mut self, started_at: bool) {
         self.input.clear();
         self.output.clear();
-        self.linked = up;
+        self.linked = started_at;
     }
 
     /// Takes in bytes of the link.
@@ -229,11 +231,11 @@
         match command["event"].as_str() {
             Some("OPEN") => {
                 let (from, lasted) =
-                    (command["cursor"].as_u64().unwrap_or(0), now.since(self.up).0 as f64 / 1e3);
+                    (command["cursor"].as_u64().unwrap_or(0), now.since(self.started_at).0 as f64 / 1e3);
                 let fate = if self.cold { "new" } else { "old" };
                 self.line(&json!({"event": "BOOTED", "fate": fate, "lasted": lasted}).to_string());
                 let again: Vec<String> =
-                    self.kept.iter().filter(|(n, _)| *n > from).map(|(_, t)| t.clone()).collect();
+                    self.kept_notices.iter().filter(|(n, _)| *n > from).map(|(_, t)| t.clone()).collect();
                 again.iter().for_each(|text| self.line(text));
             }
             Some("SYSINFO") => {
@@ -251,20 +253,21 @@
             Some("SCHED") => self.sched(now, id, command),
             Some("IODONE") => {
                 if let Some(run) = self.runs.get_mut(&id) {
-                    run.waits = false;
+                    run.awaits_call = false;
                 }
             }
             Some("NOIO") => {
                 let Some(run) = self.runs.get_mut(&id) else { return };
                 if !run.skips {
-                    self.observed.push(Observation::Barred(format!("{id} had to go on without its call")));
-                } else if run.waits && command["cursor"] == run.call {
-                    run.waits = false;
+                    self.observed
+                        .push(Observation::NotAllowed(format!("{id} had to go on without its call")));
+                } else if run.awaits_call && command["cursor"] == run.call_notice {
+                    run.awaits_call = false;
                     self.skipped += 1;
                 }
             }
             Some("PREEMPT") if !self.can_preempt => {
-                self.observed.push(Observation::Barred(format!("{id} had to stop")));
+                self.observed.push(Observation::NotAllowed(format!("{id} had to stop")));
             }
             Some("PREEMPT") if self.runs.remove(&id).is_some() => {
                 self.notice(json!({"event": "REAP", "handle": id, "fate": "cut", "lasted": 1}));
@@ -274,21 +277,28 @@
     }
 
     fn sched(&mut self, now: Micros, id: String, command: &Value) {
-        let Some(known) = self.known.get(&id) else {
+        let Some(requests) = self.requests.get(&id) else {
             let text = json!({"event": "EINVAL", "fate": "SCHED", "handle": id}).to_string();
             return self.line(&text);
         };
         let body = STANDARD.decode(command["arg"].as_str().unwrap_or("")).unwrap_or_default();
-        if command["entry"].as_str() != Some(known.class.as_str()) || body != known.body {
-            self.observed.push(Observation::Changed(id.clone()));
+        if command["entry"].as_str() != Some(requests.class.as_str()) || body != requests.body {
+            self.observed.push(Observation::ChangedOnTheWay(id.clone()));
         }
         if self.runs.contains_key(&id) {
             return;
         }
-        let left = known.work.0 as f64;
-        let call_at = known.calls.then_some(left * CALL_AT);
-        let run = Run { left, call_at, waits: false, call: 0, skips: known.skips, began: now };
+        let work_left = requests.work.0 as f64;
+        let call_at = requests.calls.then_some(work_left * CALL_AT_SHARE);
+        let run = Run {
+            work_left,
+            call_at,
+            awaits_call: false,
+            call_notice: 0,
+            skips: requests.skips,
+            started: now,
+        };
         self.runs.insert(id.clone(), run);
-        self.observed.push(Observation::Began(id));
+        self.observed.push(Observation::Started(id));
     }
 }
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -1,5 +1,5 @@
-//! Sites of no operator: what a site may tell, allow or leave out, drawn by seed, so that no rule of the node depends on
-//! the form of one.
+//! Settings of sites that no operator has, drawn from a seed: which fields requests carry, what is allowed, which classes
+//! there are. No rule of the node may depend on the form of one site.
 
 use crate::random::SimRng;
 use gaugestand_admission::time::Micros;
@@ -8,60 +8,61 @@
 
 /// Cores of every node.
 pub const CORES: f64 = 4.0;
-/// Share of the cores that is asked for outside bursts.
+/// Share of the cores that requests need outside bursts.
 const LOAD: f64 = 0.55;
-/// Requests a second, at least and at most.
-const RATE: (f64, f64) = (1.5, 60.0);
+/// Bounds on the arrival rate, in requests a second: fewer show nothing, more only take longer to simulate.
+const MIN_RATE: f64 = 1.5;
+const MAX_RATE: f64 = 60.0;
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
     /// Its name.
     pub name: String,
-    /// Its requests run once in their window.
+    /// Its requests carry an idempotency key and run once in their window.
     pub keyed: bool,
     /// Share of the requests.
     pub share: f64,
     /// Mean work on one core.
     pub work: Micros,
-    /// When an answer is wanted, and when clients give up.
+    /// An answer within this time earns the full weight.
     pub latency_objective: Micros,
-    /// The latter.
+    /// Clients stop waiting after this time.
     pub deadline: Micros,
-    /// Its runs make a call.
+    /// Its runs make an outbound call.
     pub calls: bool,
-    /// What an answer without that call still earns; 0 where that is not allowed.
+    /// Share of the weight that an answer without that call earns; 0 where that is not allowed.
     pub skipped_call_weight: f64,
-    /// What a late answer earns.
+    /// Share of the weight that a late answer earns.
     pub late_weight: f64,
-    /// What a request is worth.
+    /// Priority weight of a request.
     pub priority_weight: f64,
 }
 
-/// A site.
+/// The settings of a site.
 #[derive(Clone, Debug)]
 pub struct Site {
     /// Its classes, one to eight.
     pub classes: Vec<RequestClass>,
-    /// Requests tell how long their caller waits.
+    /// Requests say how long their caller waits.
     pub sends_timeout: bool,
-    /// Further tries are marked.
+    /// Retries are marked.
     pub marks_retries: bool,
-    /// Requests tell what work to expect.
+    /// Requests say how much work to expect.
     pub sends_work_hints: bool,
-    /// Reads tell what they are about.
+    /// Reads say which resource they concern.
     pub sends_resource_keys: bool,
-    /// There is a tier below.
+    /// There is a downstream tier.
     pub has_downstream: bool,
-    /// Refusals may say when to come back.
+    /// Rejections may carry a Retry-After.
     pub accepts_retry_after: bool,
-    /// What stopping a run does: `discard`, `freeze`, or `silent` where it cannot be done.
+    /// What preempting a run does: `discard`, `freeze`, or `silent` where runs cannot be preempted.
     pub preemption: &'static str,
-    /// What the free value means.
+    /// What the announced capacity means.
     pub backpressure_signal: &'static str,
-    /// How long a key may come again.
+    /// Deduplication window of keyed requests.
     pub window: Micros,
-    /// After the notice to leave.
+    /// Grace after SIGTERM in which arrivals still run.
     pub grace: Micros,
     /// Requests a second.
     pub rate: f64,
@@ -76,7 +77,7 @@
         // Many sites have few classes, and some none that is keyed.
         let n = 1 + (rng.unit().powi(2) * 8.0) as usize;
         let keyed = [0.0, 0.4, 0.4, 1.0][rng.below(4) as usize];
-        // At some, one class takes so long that nothing passes on its connection meanwhile.
+        // Some sites have a class whose runs are so long that nothing passes on its connection meanwhile.
         let slow = rng.chance(0.3).then(|| rng.below(n as u64) as usize);
         let classes: Vec<RequestClass> = (0..n)
             .map(|i| {
@@ -114,7 +115,7 @@
             backpressure_signal: pick(&mut rng, &["allowance", "allowance", "floor", "weight", "silent"]),
             window: Micros::millis(5_000 + rng.below(8_000)),
             grace: Micros::millis(300 + rng.below(2_200)),
-            rate: (CORES * LOAD / work).clamp(RATE.0, RATE.1),
+            rate: (CORES * LOAD / work).clamp(MIN_RATE, MAX_RATE),
         }
     }
 
@@ -133,7 +134,7 @@
         self.classes.iter().map(|k| k.deadline).max().unwrap_or_default()
     }
 
-    /// The settings as a node is told them.
+    /// The settings as a node's configuration has them.
     pub fn settings(&self, callers: u64) -> Value {
         let ns = |t: Micros| t.0 * 1000;
         let classes: Vec<Value> = self
--- a/crates/simulation/src/world/actors.rs
+++ b/crates/simulation/src/world/actors.rs
@@ -77,13 +77,13 @@
         let now = self.now();
         for observation in std::mem::take(&mut self.kernel.observed) {
             match observation {
-                Observation::Began(id) => {
+                Observation::Started(id) => {
                     self.note(|| format!("{id} runs"));
                     self.rules.on_run_started(now, &id);
                 }
                 Observation::Result(id, result) => self.rules.on_result(&id, result),
-                Observation::Barred(what) => self.rules.report(now, "barred", what),
-                Observation::Changed(id) => {
+                Observation::NotAllowed(what) => self.rules.report(now, "barred", what),
+                Observation::ChangedOnTheWay(id) => {
                     self.rules.report(now, "changed", format!("{id} reached the kernel changed"));
                 }
             }
