--- a/crates/admission/src/engine.rs
+++ b/crates/admission/src/engine.rs
@@ -7,7 +7,9 @@
 
 use crate::classes::SlotPlan;
 use crate::controller::Controller;
-use crate::idempotency::{Begin, Ended, Found, IdempotencyTable, Join, RunResult, Settled};
+use crate::idempotency::{
+    Completion, IdempotencyTable, JoinOutcome, Lookup, RunPermit, RunResult, Settlement,
+};
 use crate::interface::*;
 use crate::time::{Micros, Moment};
 use serde::{Deserialize, Serialize};
@@ -378,28 +380,28 @@
         let longest: Micros = settings.deadline.into();
         let due = ingress.mono.plus(a.caller_timeout.map_or(longest, |p| p.min(longest))).max(now.mono);
         let fingerprint = repeat_key.as_ref().map_or(0, |_| self.idempotency.fingerprint(a.body));
-        let found = repeat_key.as_ref().map(|key| self.idempotency.find(now, key, fingerprint, ingress));
+        let found = repeat_key.as_ref().map(|key| self.idempotency.lookup(now, key, fingerprint, ingress));
         let original = match found {
-            Some(Found::BodyMismatch) => return Err(AdmitError::KeyConflict),
-            Some(Found::Closed(advice)) => {
+            Some(Lookup::BodyMismatch) => return Err(AdmitError::KeyConflict),
+            Some(Lookup::Unavailable(advice)) => {
                 // It can't be recorded, so it is not run: told at once, with when to come back.
                 let most = self.settings.max_retry_after.unwrap_or_default().into();
                 self.turn_back(a.id, advice.min(most), out);
                 return Ok(());
             }
-            Some(Found::Prior(id)) => Some(id),
+            Some(Lookup::Original(id)) => Some(id),
             // The grace was over as it came.
-            Some(Found::Nothing) | None if self.is_past(ingress.mono) => {
+            Some(Lookup::Vacant) | None if self.is_past(ingress.mono) => {
                 let retry_after = self.settings.max_retry_after.unwrap_or_default().into();
                 self.turn_back(a.id, retry_after, out);
                 return Ok(());
             }
             // The class takes no requests any more: this one never runs.
-            Some(Found::Nothing) | None if !self.open.get(class).copied().unwrap_or(false) => {
+            Some(Lookup::Vacant) | None if !self.open.get(class).copied().unwrap_or(false) => {
                 self.turn_back(a.id, Micros(0), out);
                 return Ok(());
             }
-            Some(Found::Nothing) | None => None,
+            Some(Lookup::Vacant) | None => None,
         };
         let (owed, awaits, running, ran, calling) = (true, false, false, false, false);
         let t = Attempt { class, repeat_key, fingerprint, ingress, due, owed, awaits, running, ran, calling };
@@ -488,7 +490,7 @@
         let overdue = self.owed.first().map(|(t, _)| t.plus(OVERDUE));
         let timer = self.timers.first().map(|(t, _)| *t);
         let fallback = self.asked.map(|t| t.plus(GAUGE_WAIT)).filter(|_| !self.due_timers.is_empty());
-        [overdue, timer, fallback, self.idempotency.wake()].into_iter().flatten().min()
+        [overdue, timer, fallback, self.idempotency.next_wakeup()].into_iter().flatten().min()
     }
 
     fn boot(&mut self, now: Moment, cold: bool, age: Micros, out: &mut Vec<EngineCommand>) {
@@ -573,19 +575,19 @@
 
     fn run(&mut self, now: Moment, id: RequestId, out: &mut Vec<EngineCommand>) {
         let Some(t) = self.attempts.get_mut(&id) else { return };
-        let begin = t.repeat_key.as_ref().map_or(Begin::Go, |key| {
+        let begin = t.repeat_key.as_ref().map_or(RunPermit::Granted, |key| {
             let window = self.settings.classes[t.class].dedup_window.into();
             let until = t.ingress.plus(window).plus(WINDOW_MARGIN);
-            self.idempotency.begin(now, key, id, t.ingress, until)
+            self.idempotency.begin_run(now, key, id, t.ingress, until)
         });
         match begin {
-            Begin::Go => {
+            RunPermit::Granted => {
                 (t.running, t.ran) = (true, true);
                 out.push(EngineCommand::Run(id));
             }
-            Begin::Wait => t.awaits = true,
+            RunPermit::Pending => t.awaits = true,
             // Guards against an effect twice, whatever was decided.
-            Begin::Never => {
+            RunPermit::Denied => {
                 self.pending.push(Event::RunEnded(id, Outcome::NeverStarted));
                 self.fail(now, id, out);
             }
@@ -599,7 +601,7 @@
         };
         t.awaits = false;
         let key = t.repeat_key.clone();
-        let waiting = key.map(|key| self.idempotency.leave(now, &key, id).waiting);
+        let waiting = key.map(|key| self.idempotency.release(now, &key, id).waiters);
         self.answer_waiting(waiting.unwrap_or_default(), None, out);
         self.pending.push(Event::RunEnded(id, Outcome::Cancelled));
         self.close(id, out);
@@ -608,16 +610,16 @@
     /// Carries out what the register has settled since.
     fn settle_waiting(&mut self, now: Moment, out: &mut Vec<EngineCommand>) {
         let mut settled = Vec::new();
-        self.idempotency.settled(now, &mut settled);
+        self.idempotency.drain_settled(now, &mut settled);
         for s in settled {
             match s {
-                Settled::Begun(id) => {
+                Settlement::IntentDurable(id) => {
                     if let Some(t) = self.attempts.get_mut(&id).filter(|t| t.awaits) {
                         (t.awaits, t.running, t.ran) = (false, true, true);
                         out.push(EngineCommand::Run(id));
                     }
                 }
-                Settled::Unwritten(id, waiting, advice) => {
+                Settlement::IntentFailed(id, waiting, advice) => {
                     let most = self.settings.max_retry_after.unwrap_or_default().into();
                     let advice = advice.min(most);
                     for id in std::iter::once(id).chain(waiting) {
@@ -628,7 +630,7 @@
                         self.turn_away(now, id, advice, false, out);
                     }
                 }
-                Settled::Stored(id, waiting, result) => {
+                Settlement::ResultDurable(id, waiting, result) => {
                     if self.settle(id) {
                         out.push(EngineCommand::Serve(id, result.clone()));
                     }
@@ -669,11 +671,11 @@
     fn leave(&mut self, now: Moment, id: RequestId, out: &mut Vec<EngineCommand>) {
         let Some(t) = self.attempts.get_mut(&id) else { return };
         if let (Some(key), false) = (t.repeat_key.clone(), t.running) {
-            let left = self.idempotency.leave(now, &key, id);
-            if std::mem::take(&mut t.awaits) || left.withdrawn {
+            let left = self.idempotency.release(now, &key, id);
+            if std::mem::take(&mut t.awaits) || left.intent_withdrawn {
                 self.pending.push(Event::RunEnded(id, Outcome::NeverStarted));
             }
-            self.answer_waiting(left.waiting, None, out);
+            self.answer_waiting(left.waiters, None, out);
         }
         self.close(id, out);
     }
@@ -699,17 +701,17 @@
 
     fn reuse(&mut self, id: RequestId, out: &mut Vec<EngineCommand>) {
         let key = self.attempts.get(&id).and_then(|t| t.repeat_key.as_ref());
-        match key.map_or(Join::Fail, |key| self.idempotency.join(key, id)) {
-            Join::Wait => {}
-            Join::Replay(result) => self.answer_waiting(vec![id], Some(&result), out),
-            Join::Fail => self.answer_waiting(vec![id], None, out),
+        match key.map_or(JoinOutcome::Failed, |key| self.idempotency.join(key, id)) {
+            JoinOutcome::Pending => {}
+            JoinOutcome::Replay(result) => self.answer_waiting(vec![id], Some(&result), out),
+            JoinOutcome::Failed => self.answer_waiting(vec![id], None, out),
         }
     }
 
     fn keep(&mut self, id: RequestId, until: Moment, out: &mut Vec<EngineCommand>) {
         let Some(t) = self.attempts.get(&id) else { return };
         if let Some(key) = &t.repeat_key {
-            let waiting = self.idempotency.keep(key, id, t.fingerprint, until);
+            let waiting = self.idempotency.reserve(key, id, t.fingerprint, until);
             self.answer_waiting(waiting, None, out);
         }
     }
@@ -718,8 +720,8 @@
     fn forget(&mut self, now: Moment, id: RequestId, out: &mut Vec<EngineCommand>) {
         let Some(t) = self.attempts.get(&id).filter(|t| !t.running && !t.awaits) else { return };
         let Some(key) = &t.repeat_key else { return };
-        let left = self.idempotency.leave(now, key, id);
-        self.answer_waiting(left.waiting, None, out);
+        let left = self.idempotency.release(now, key, id);
+        self.answer_waiting(left.waiters, None, out);
     }
 
     fn ended(&mut self, now: Moment, id: RequestId, end: RunOutcome, out: &mut Vec<EngineCommand>) {
@@ -737,17 +739,17 @@
         };
         self.pending.push(Event::RunEnded(id, outcome));
         let result = match end {
-            RunOutcome::Succeeded(result) => RunResult::Good(result),
-            RunOutcome::Failed | RunOutcome::Cancelled => RunResult::None,
+            RunOutcome::Succeeded(result) => RunResult::Succeeded(result),
+            RunOutcome::Failed | RunOutcome::Cancelled => RunResult::NoResult,
             RunOutcome::NeverRan => RunResult::NeverRan,
         };
         let ended = match (key, result) {
-            (Some(key), result) => self.idempotency.end(now, &key, id, result),
-            (None, RunResult::Good(result)) => Ended::Now(Vec::new(), Some(result)),
-            (None, _) => Ended::Now(Vec::new(), None),
+            (Some(key), result) => self.idempotency.complete_run(now, &key, id, result),
+            (None, RunResult::Succeeded(result)) => Completion::Settled(Vec::new(), Some(result)),
+            (None, _) => Completion::Settled(Vec::new(), None),
         };
         // What waits to be durable is served, or fails at its due time.
-        let Ended::Now(waiting, result) = ended else { return self.close(id, out) };
+        let Completion::Settled(waiting, result) = ended else { return self.close(id, out) };
         self.answer_waiting(waiting, result.as_ref(), out);
         if self.settle(id) {
             out.push(match result {
--- a/crates/admission/src/log_record.rs
+++ b/crates/admission/src/log_record.rs
@@ -24,7 +24,7 @@
 
 /// What a node found on its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Found {
+pub struct RecoveredLog {
     /// As in [`Page::state`].
     pub state: Option<Vec<u8>>,
     /// As in [`Page::base`].
--- a/crates/cluster/src/consensus.rs
+++ b/crates/cluster/src/consensus.rs
@@ -10,7 +10,7 @@
 use crate::log_storage::{LogStorage, raft_id, version_of};
 use crate::members::{Change, Members, Number, Refused, Seen};
 use crate::wire::{Answer, Ask, Body, Check, Checked, Entry as Versioned, Forward, MOST_CONTENT};
-use gaugestand_admission::log_record::{Found, LogRecord};
+use gaugestand_admission::log_record::{LogRecord, RecoveredLog};
 use gaugestand_admission::time::Micros;
 use prost::Message as _;
 use protobuf::Message as _;
@@ -248,7 +248,7 @@
 
 impl Consensus {
     /// A node that has just started, with what it found on its disk; `found` must be of this node and this fleet.
-    pub fn new(now: Micros, setup: Setup, found: &Found, out: &mut Vec<Step>) -> Result<Self, String> {
+    pub fn new(now: Micros, setup: Setup, found: &RecoveredLog, out: &mut Vec<Step>) -> Result<Self, String> {
         let shelf = LogStorage::open(found, setup.members.clone())?;
         let timeout = ELECTION.0 + ELECTION.1 * usize::from(setup.me % TURNS);
         let config = Config {
--- a/crates/cluster/src/log_storage.rs
+++ b/crates/cluster/src/log_storage.rs
@@ -3,7 +3,7 @@
 use crate::lease::Version;
 use crate::members::{Members, Role};
 use crate::wire::{Base, Entry as Versioned};
-use gaugestand_admission::log_record::{Found, LogRecord};
+use gaugestand_admission::log_record::{LogRecord, RecoveredLog};
 use prost::Message as _;
 use raft::prelude::{ConfState, Entry, EntryType, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
@@ -64,7 +64,7 @@
 
 impl LogStorage {
     /// From what was found, for a fleet that began with these members.
-    pub fn open(found: &Found, first: Members) -> Result<Self, &'static str> {
+    pub fn open(found: &RecoveredLog, first: Members) -> Result<Self, &'static str> {
         let hard: HardState = found.state.as_deref().map_or(Ok(HardState::default()), read)?;
         let base = found.base.as_deref().map_or(Ok(Base::default()), Base::decode);
         let base = base.map_err(|_| "what stands for the forgotten entries cannot be read")?;
--- a/crates/cluster/tests/consensus.rs
+++ b/crates/cluster/tests/consensus.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Course, Cuts};
-use gaugestand_admission::log_record::{Found, LogRecord};
+use gaugestand_admission::log_record::{LogRecord, RecoveredLog};
 use gaugestand_admission::time::Micros;
 use gaugestand_cluster::consensus::{Consensus, Event, Refusal, Setup, Step};
 use gaugestand_cluster::lease::{Acts, Defect, Member, Terms, Version};
@@ -51,9 +51,9 @@
         self.base = page.base.or(self.base.take());
     }
 
-    fn found(&self) -> Found {
+    fn found(&self) -> RecoveredLog {
         let entries = self.entries.iter().map(|(at, e)| (*at, e.clone())).collect();
-        Found { state: self.state.clone(), base: self.base.clone(), entries, life: 0 }
+        RecoveredLog { state: self.state.clone(), base: self.base.clone(), entries, life: 0 }
     }
 }
 
--- a/crates/idempotency/src/consensus_log.rs
+++ b/crates/idempotency/src/consensus_log.rs
@@ -5,7 +5,7 @@
 
 use crate::row::{Cause, Outcome, Work};
 use crate::sqlite::{Form, OpenError, Options, open_error, serve, take, transaction};
-use gaugestand_admission::log_record::{Found, LogRecord};
+use gaugestand_admission::log_record::{LogRecord, RecoveredLog};
 use rusqlite::{Connection, params};
 use std::fs::File;
 use std::path::Path;
@@ -41,7 +41,7 @@
 
 impl ConsensusLog {
     /// Opens the log of this owner (fleet, members and node in words), makes it if there is none, and counts one more life.
-    pub fn open(path: &Path, owner: &str, options: &Options) -> Result<(Self, Found), String> {
+    pub fn open(path: &Path, owner: &str, options: &Options) -> Result<(Self, RecoveredLog), String> {
         let told = |e: OpenError| e.to_string().replacen("store of record", "agreed log", 1);
         let (connection, lock) = take(&CONSENSUS_LOG, path, options).map_err(told)?;
         let err = |e: rusqlite::Error| told(open_error(path, &e));
@@ -61,7 +61,7 @@
             )
         };
         let (cells, entries) = found;
-        let mut found = Found::default();
+        let mut found = RecoveredLog::default();
         for (name, value, was) in cells {
             if was != sum(&name, &value) {
                 return Err(damaged(name));
--- a/crates/idempotency/src/table.rs
+++ b/crates/idempotency/src/table.rs
@@ -241,7 +241,7 @@
     mirror: Option<Mirror>,
     /// No first try before this: keys may bind that are not known here.
     closed_until: Option<Micros>,
-    settled: Vec<Settled>,
+    settled: Vec<Settlement>,
     durable: Option<Durable>,
     /// Most bytes that the table takes where there is no store.
     most: usize,
@@ -492,7 +492,7 @@
             let ours = |e: &Entry| e.stamp == stamp && e.phase == Phase::Intending;
             if let Some((holder, waiting)) = self.withdraw(now, &key, ours) {
                 self.figures.turned_away += 1;
-                self.settled.push(Settled::Unwritten(holder, waiting, advice));
+                self.settled.push(Settlement::IntentFailed(holder, waiting, advice));
             }
         }
     }
@@ -526,12 +526,12 @@
         match (&row.state, &e.phase) {
             (State::Intent, Phase::Intending) => {
                 e.phase = Phase::Running;
-                self.settled.push(Settled::Begun(e.holder));
+                self.settled.push(Settlement::IntentDurable(e.holder));
             }
             (State::Good(_), Phase::Ending(result)) => {
                 let result = result.clone();
                 e.phase = Phase::Good(result.clone());
-                self.settled.push(Settled::Stored(e.holder, mem::take(&mut e.waiting), result));
+                self.settled.push(Settlement::ResultDurable(e.holder, mem::take(&mut e.waiting), result));
             }
             _ => {}
         }
@@ -632,28 +632,28 @@
         u128::from_be_bytes(fingerprint)
     }
 
-    fn find(&mut self, now: Moment, key: &str, fingerprint: u128, at: Moment) -> Found {
+    fn lookup(&mut self, now: Moment, key: &str, fingerprint: u128, at: Moment) -> Lookup {
         match self.keys.get(key).filter(|e| at.is_before(e.until)) {
             // Guards against a result that goes to whoever names its key: it is another request's.
-            Some(e) if e.fingerprint != fingerprint => Found::BodyMismatch,
-            Some(e) => Found::Prior(e.holder),
+            Some(e) if e.fingerprint != fingerprint => Lookup::BodyMismatch,
+            Some(e) => Lookup::Original(e.holder),
             None if self.closed_until.is_some_and(|t| now.mono < t) => {
                 self.figures.turned_away += 1;
-                Found::Closed(self.closed_until.unwrap_or_default().since(now.mono))
+                Lookup::Unavailable(self.closed_until.unwrap_or_default().since(now.mono))
             }
-            None if self.room_for(key) => Found::Nothing,
+            None if self.room_for(key) => Lookup::Vacant,
             None => {
                 self.figures.turned_away += 1;
-                Found::Closed(self.advice(now.mono))
+                Lookup::Unavailable(self.advice(now.mono))
             }
         }
     }
 
-    fn knows(&self, key: &str, at: Moment) -> bool {
+    fn contains(&self, key: &str, at: Moment) -> bool {
         self.keys.get(key).is_some_and(|e| at.is_before(e.until))
     }
 
-    fn keep(&mut self, key: &Rc<str>, id: RequestId, fingerprint: u128, until: Moment) -> Vec<RequestId> {
+    fn reserve(&mut self, key: &Rc<str>, id: RequestId, fingerprint: u128, until: Moment) -> Vec<RequestId> {
         self.mark(key);
         let phase = Phase::Held;
         self.figures.bytes += bytes(key, &phase);
@@ -672,59 +672,66 @@
         }
     }
 
-    fn begin(&mut self, now: Moment, key: &Rc<str>, id: RequestId, at: Moment, until: Moment) -> Begin {
+    fn begin_run(
+        &mut self,
+        now: Moment,
+        key: &Rc<str>,
+        id: RequestId,
+        at: Moment,
+        until: Moment,
+    ) -> RunPermit {
         self.mark(key);
-        let Some(e) = self.keys.get_mut(key) else { return Begin::Never };
+        let Some(e) = self.keys.get_mut(key) else { return RunPermit::Denied };
         if e.holder != id || e.phase != Phase::Held {
-            return Begin::Never;
+            return RunPermit::Denied;
         }
         e.ran = at.wall;
         let later = |a: Micros, b: Micros| a.max(b);
         e.until = Moment { mono: later(e.until.mono, until.mono), wall: later(e.until.wall, until.wall) };
         let Some(d) = &mut self.durable else {
             e.phase = Phase::Running;
-            return Begin::Go;
+            return RunPermit::Granted;
         };
         if d.breaker != Breaker::Closed {
             // It was taken before the store was given up, and is settled as those that waited then.
             let advice = self.advice(now.mono);
             if let Some((holder, waiting)) = self.withdraw_held(key) {
                 self.figures.turned_away += 1;
-                self.settled.push(Settled::Unwritten(holder, waiting, advice));
+                self.settled.push(Settlement::IntentFailed(holder, waiting, advice));
             }
-            return Begin::Wait;
+            return RunPermit::Pending;
         }
         d.stamps += 1;
         // Later than all of earlier lives; 2^40 runs in one life would take centuries.
         e.stamp = (d.epoch << 40) | d.stamps;
         e.phase = Phase::Intending;
         d.queue.push_back((now.mono, Write::Put(e.row(key, State::Intent))));
-        Begin::Wait
+        RunPermit::Pending
     }
 
-    fn join(&mut self, key: &str, id: RequestId) -> Join {
+    fn join(&mut self, key: &str, id: RequestId) -> JoinOutcome {
         self.mark(key);
         match self.keys.get_mut(key) {
-            None => Join::Fail,
-            Some(Entry { phase: Phase::Good(result), .. }) => Join::Replay(result.clone()),
-            Some(Entry { phase: Phase::Failed, .. }) => Join::Fail,
+            None => JoinOutcome::Failed,
+            Some(Entry { phase: Phase::Good(result), .. }) => JoinOutcome::Replay(result.clone()),
+            Some(Entry { phase: Phase::Failed, .. }) => JoinOutcome::Failed,
             Some(e) => {
                 e.waiting.push(id);
-                Join::Wait
+                JoinOutcome::Pending
             }
         }
     }
 
-    fn end(&mut self, now: Moment, key: &Rc<str>, id: RequestId, end: RunResult) -> Ended {
+    fn complete_run(&mut self, now: Moment, key: &Rc<str>, id: RequestId, end: RunResult) -> Completion {
         self.mark(key);
         let ours = |e: &&mut Entry| e.holder == id && e.phase == Phase::Running;
         let Some(e) = self.keys.get_mut(key).filter(ours) else {
             let result = match end {
                 // Its window is over, and another try has the key; with no store its own result still holds.
-                RunResult::Good(result) if self.durable.is_none() => Some(result),
+                RunResult::Succeeded(result) if self.durable.is_none() => Some(result),
                 _ => None,
             };
-            return Ended::Now(Vec::new(), result);
+            return Completion::Settled(Vec::new(), result);
         };
         let (phase, result, state) = match (end, &self.durable) {
             (RunResult::NeverRan, _) => {
@@ -734,21 +741,21 @@
                 if let Some(d) = &mut self.durable {
                     d.queue.push_back((now.mono, Write::Remove { key: key.to_string(), stamp }));
                 }
-                return Ended::Now(waiting, None);
+                return Completion::Settled(waiting, None);
             }
-            (RunResult::Good(result), None) => (Phase::Good(result.clone()), Some(result), None),
-            (RunResult::Good(result), Some(_)) => {
+            (RunResult::Succeeded(result), None) => (Phase::Good(result.clone()), Some(result), None),
+            (RunResult::Succeeded(result), Some(_)) => {
                 let state = State::Good(result.to_vec());
                 (Phase::Ending(result), None, Some(state))
             }
-            (RunResult::None, _) => (Phase::Failed, None, Some(State::Failed)),
+            (RunResult::NoResult, _) => (Phase::Failed, None, Some(State::Failed)),
         };
         let row = state.filter(|_| self.durable.is_some()).map(|state| e.row(key, state));
         self.figures.bytes += bytes(key, &phase) - bytes(key, &e.phase);
         e.phase = phase;
         let ended = match e.phase {
-            Phase::Ending(_) => Ended::Wait,
-            _ => Ended::Now(mem::take(&mut e.waiting), result),
+            Phase::Ending(_) => Completion::AwaitingDurable,
+            _ => Completion::Settled(mem::take(&mut e.waiting), result),
         };
         if let (Some(d), Some(row)) = (&mut self.durable, row) {
             d.queue.push_back((now.mono, Write::Put(row)));
@@ -756,27 +763,27 @@
         ended
     }
 
-    fn leave(&mut self, now: Moment, key: &Rc<str>, id: RequestId) -> Left {
+    fn release(&mut self, now: Moment, key: &Rc<str>, id: RequestId) -> Released {
         self.mark(key);
-        let Some(e) = self.keys.get_mut(key) else { return Left::default() };
+        let Some(e) = self.keys.get_mut(key) else { return Released::default() };
         if e.holder != id {
             e.waiting.retain(|w| *w != id);
-            return Left::default();
+            return Released::default();
         }
         match e.phase {
             Phase::Held => {
                 let waiting = self.withdraw_held(key).map(|(_, w)| w).unwrap_or_default();
-                Left { waiting, withdrawn: false }
+                Released { waiters: waiting, intent_withdrawn: false }
             }
             Phase::Intending => {
                 let waiting = self.withdraw(now.mono, key, |_| true).map(|(_, w)| w).unwrap_or_default();
-                Left { waiting, withdrawn: true }
+                Released { waiters: waiting, intent_withdrawn: true }
             }
-            _ => Left::default(),
+            _ => Released::default(),
         }
     }
 
-    fn settled(&mut self, now: Moment, out: &mut Vec<Settled>) {
+    fn drain_settled(&mut self, now: Moment, out: &mut Vec<Settlement>) {
         self.sweep(now.mono);
         if let Some(d) = &mut self.durable {
             d.shut_until = d.shut_until.filter(|t| now.mono < *t);
@@ -793,7 +800,7 @@
         self.durable.as_ref().is_none_or(|d| d.loaded)
     }
 
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         let d = self.durable.as_ref()?;
         let stall = d.oldest().filter(|_| d.breaker == Breaker::Closed).map(|t| t.plus(d.limits.stall));
         let waits = d.breaker != Breaker::Closed || d.writes() > 0;
--- a/crates/idempotency/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -37,25 +37,25 @@
         self.now = self.now.plus(Micros::millis(ms));
     }
 
-    fn find(&mut self, key: &str, at: Moment) -> Found {
-        self.key_table.find(self.now, key, 1, at)
+    fn find(&mut self, key: &str, at: Moment) -> Lookup {
+        self.key_table.lookup(self.now, key, 1, at)
     }
 
     /// A first try of a key comes and is to be run.
-    fn begin(&mut self, key: &str, n: u128) -> Begin {
-        assert_eq!(self.find(key, self.now), Found::Nothing, "{key}");
+    fn begin(&mut self, key: &str, n: u128) -> RunPermit {
+        assert_eq!(self.find(key, self.now), Lookup::Vacant, "{key}");
         let (key, until): (Rc<str>, _) = (key.into(), self.now.plus(WINDOW));
-        self.key_table.keep(&key, id(n), 1, until);
-        self.key_table.begin(self.now, &key, id(n), self.now, until)
+        self.key_table.reserve(&key, id(n), 1, until);
+        self.key_table.begin_run(self.now, &key, id(n), self.now, until)
     }
 
-    fn end(&mut self, key: &str, n: u128, result: &[u8]) -> Ended {
-        self.key_table.end(self.now, &key.into(), id(n), RunResult::Good(Rc::from(result)))
+    fn end(&mut self, key: &str, n: u128, result: &[u8]) -> Completion {
+        self.key_table.complete_run(self.now, &key.into(), id(n), RunResult::Succeeded(Rc::from(result)))
     }
 
-    fn settled(&mut self) -> Vec<Settled> {
+    fn settled(&mut self) -> Vec<Settlement> {
         let mut out = Vec::new();
-        self.key_table.settled(self.now, &mut out);
+        self.key_table.drain_settled(self.now, &mut out);
         out
     }
 
@@ -69,12 +69,12 @@
 
     /// A whole booking, durable at once.
     fn book(&mut self, key: &str, n: u128) {
-        assert_eq!(self.begin(key, n), Begin::Wait);
+        assert_eq!(self.begin(key, n), RunPermit::Pending);
         self.commit();
-        assert_eq!(self.settled(), [Settled::Begun(id(n))]);
-        assert_eq!(self.end(key, n, b"r"), Ended::Wait);
+        assert_eq!(self.settled(), [Settlement::IntentDurable(id(n))]);
+        assert_eq!(self.end(key, n, b"r"), Completion::AwaitingDurable);
         self.commit();
-        assert_eq!(self.settled(), [Settled::Stored(id(n), vec![], Rc::from(*b"r"))]);
+        assert_eq!(self.settled(), [Settlement::ResultDurable(id(n), vec![], Rc::from(*b"r"))]);
     }
 
     fn fail(&mut self, cause: Cause) {
@@ -117,7 +117,7 @@
         let found = book.find("k", book.now);
         assert_eq!(
             found,
-            if binds { Found::Prior(id(1)) } else { Found::Nothing },
+            if binds { Lookup::Original(id(1)) } else { Lookup::Vacant },
             "{ms} ms, set by {set} ms"
         );
     }
@@ -137,12 +137,12 @@
             let binds = binds || set < 0;
             for (key, n) in [("good", 1), ("doubt", 2)] {
                 let found = book.find(key, book.now);
-                assert_eq!(found, if binds { Found::Prior(id(n)) } else { Found::Nothing }, "{ms} {set}");
+                assert_eq!(found, if binds { Lookup::Original(id(n)) } else { Lookup::Vacant }, "{ms} {set}");
             }
             if binds {
-                assert_eq!(book.key_table.join("good", id(9)), Join::Replay(Rc::from(*b"r")));
-                assert_eq!(book.key_table.join("doubt", id(9)), Join::Fail);
-                assert_eq!(book.key_table.find(book.now, "good", 2, book.now), Found::BodyMismatch);
+                assert_eq!(book.key_table.join("good", id(9)), JoinOutcome::Replay(Rc::from(*b"r")));
+                assert_eq!(book.key_table.join("doubt", id(9)), JoinOutcome::Failed);
+                assert_eq!(book.key_table.lookup(book.now, "good", 2, book.now), Lookup::BodyMismatch);
             }
         }
     }
@@ -155,7 +155,7 @@
     for (ms, open) in [(0, false), (29_000, false), (15_000, true)] {
         book.pass(ms);
         book.settled();
-        assert_eq!(book.find("k", book.now) == Found::Nothing, open, "{ms}");
+        assert_eq!(book.find("k", book.now) == Lookup::Vacant, open, "{ms}");
     }
 }
 
@@ -169,7 +169,7 @@
     assert_eq!(book.settled(), []);
     assert_eq!((book.key_table.figures().entries, book.key_table.figures().removals), (0, 300));
     // One write takes few removals along; with none, they go by the batch.
-    assert_eq!(book.begin("new", 1_000), Begin::Wait);
+    assert_eq!(book.begin("new", 1_000), RunPermit::Pending);
     let writes = book.commit();
     assert!(matches!(writes[0], Write::Put(_)) && writes.len() == 17, "{}", writes.len());
     assert_eq!(book.commit().len(), 284);
@@ -185,9 +185,12 @@
     ];
     for limits in cases {
         let mut book = Book::new(limits.clone(), vec![]);
-        assert_eq!((book.begin("a", 1), book.begin("b", 2)), (Begin::Wait, Begin::Wait));
-        assert!(matches!(book.find("c", book.now), Found::Closed(advice) if advice.0 > 0), "{limits:?}");
-        assert_eq!(book.find("a", book.now), Found::Prior(id(1)));
+        assert_eq!((book.begin("a", 1), book.begin("b", 2)), (RunPermit::Pending, RunPermit::Pending));
+        assert!(
+            matches!(book.find("c", book.now), Lookup::Unavailable(advice) if advice.0 > 0),
+            "{limits:?}"
+        );
+        assert_eq!(book.find("a", book.now), Lookup::Original(id(1)));
         assert_eq!(book.commit().len(), 2);
         assert_eq!(book.settled().len(), 2);
     }
@@ -204,23 +207,23 @@
     let out = book.key_table.work(book.now.mono).expect("work");
     book.pass(100);
     book.begin("waits", 3);
-    assert_eq!(book.key_table.join("waits", id(4)), Join::Wait);
-    assert_eq!(book.end("ran", 1, b"r"), Ended::Wait);
+    assert_eq!(book.key_table.join("waits", id(4)), JoinOutcome::Pending);
+    assert_eq!(book.end("ran", 1, b"r"), Completion::AwaitingDurable);
     book.pass(149);
     assert_eq!((book.settled(), book.key_table.breaker()), (vec![], Breaker::Closed));
-    assert_eq!(book.key_table.wake(), Some(book.now.mono.plus(Micros::millis(1))));
+    assert_eq!(book.key_table.next_wakeup(), Some(book.now.mono.plus(Micros::millis(1))));
     book.pass(1);
     let settled = book.settled();
     let unwritten: Vec<_> = settled
         .iter()
         .map(|s| match s {
-            Settled::Unwritten(id, waiting, advice) => (id.0, waiting.len(), advice.0 > 0),
+            Settlement::IntentFailed(id, waiting, advice) => (id.0, waiting.len(), advice.0 > 0),
             other => panic!("{other:?}"),
         })
         .collect();
     assert_eq!(unwritten, [(3, 1, true), (2, 0, true)]);
     assert_eq!(book.key_table.breaker(), Breaker::Open(Cause::Stalled, book.now.mono));
-    assert!(matches!(book.find("new", book.now), Found::Closed(_)));
+    assert!(matches!(book.find("new", book.now), Lookup::Unavailable(_)));
     // Nothing more is asked of a store that has not answered yet.
     assert_eq!(book.key_table.work(book.now.mono), None);
     // It comes through after all: what was withdrawn never begins, and its row goes.
@@ -230,9 +233,9 @@
     assert!(matches!(&writes[0], Write::Put(r) if r.key == "ran" && r.state == State::Good(b"r".to_vec())));
     assert!(matches!(&writes[1], Write::Remove { key, .. } if key == "out"));
     assert_eq!(writes.len(), 2, "{writes:?}");
-    assert_eq!(book.settled(), [Settled::Stored(id(1), vec![], Rc::from(*b"r"))]);
+    assert_eq!(book.settled(), [Settlement::ResultDurable(id(1), vec![], Rc::from(*b"r"))]);
     // The key of one that never ran is free.
-    assert_eq!(book.begin("out", 5), Begin::Wait);
+    assert_eq!(book.begin("out", 5), RunPermit::Pending);
 }
 
 #[test]
@@ -246,7 +249,7 @@
     assert!(matches!(book.key_table.breaker(), Breaker::Open(Cause::Full, _)));
     let mut waits = Vec::new();
     for _ in 0..7 {
-        let at = book.key_table.wake().expect("a probe").max(book.now.mono);
+        let at = book.key_table.next_wakeup().expect("a probe").max(book.now.mono);
         waits.push(at.since(book.now.mono).0 / 1000);
         assert_eq!(book.key_table.work(Micros(at.0 - 1)), None);
         book.now = book.now.plus(at.since(book.now.mono));
@@ -268,7 +271,7 @@
     book.begin("a", 1);
     while book.key_table.breaker() == Breaker::Closed {
         book.fail(Cause::Busy);
-        let wait = book.key_table.wake().expect("another try").since(book.now.mono).0 / 1000;
+        let wait = book.key_table.next_wakeup().expect("another try").since(book.now.mono).0 / 1000;
         assert!((1..=100).contains(&wait), "{wait} ms");
         book.pass(wait);
         book.settled();
@@ -299,9 +302,9 @@
     assert_eq!(book.settled(), []);
     // The first one is in, the second is not and is written again, alone, as a probe.
     book.key_table.outcome(book.now.mono, ask.number, Outcome::Rows(vec![first]));
-    assert_eq!(book.settled(), [Settled::Stored(id(1), vec![], Rc::from(*b"ra"))]);
+    assert_eq!(book.settled(), [Settlement::ResultDurable(id(1), vec![], Rc::from(*b"ra"))]);
     assert_eq!(book.commit(), writes[1..]);
-    assert_eq!(book.settled(), [Settled::Stored(id(2), vec![], Rc::from(*b"rb"))]);
+    assert_eq!(book.settled(), [Settlement::ResultDurable(id(2), vec![], Rc::from(*b"rb"))]);
 }
 
 #[test]
@@ -309,13 +312,13 @@
     let mut book = Book::new(limits(), vec![]);
     book.begin("a", 1);
     book.key_table.join("a", id(2));
-    let left = book.key_table.leave(book.now, &"a".into(), id(1));
-    assert_eq!(left, Left { waiting: vec![id(2)], withdrawn: true });
+    let left = book.key_table.release(book.now, &"a".into(), id(1));
+    assert_eq!(left, Released { waiters: vec![id(2)], intent_withdrawn: true });
     // It was never out, so that nothing need be written at all.
     assert_eq!(book.commit(), []);
     book.begin("a", 3);
     let out = book.key_table.work(book.now.mono).expect("work");
-    assert!(book.key_table.leave(book.now, &"a".into(), id(3)).withdrawn);
+    assert!(book.key_table.release(book.now, &"a".into(), id(3)).intent_withdrawn);
     book.key_table.outcome(book.now.mono, out.number, Outcome::Done);
     assert_eq!(book.settled(), [], "it never begins");
     assert!(matches!(&book.commit()[..], [Write::Remove { .. }]));
@@ -326,7 +329,7 @@
     let mut book = Book::new(limits(), vec![]);
     book.begin("a", 1);
     book.key_table.set_limits(Limits { entries: 1, stall: Micros::millis(1_000), ..limits() });
-    assert!(matches!(book.find("b", book.now), Found::Closed(_)));
+    assert!(matches!(book.find("b", book.now), Lookup::Unavailable(_)));
     book.pass(999);
     assert_eq!(book.settled(), []);
     book.pass(1);
@@ -342,10 +345,10 @@
     let book_one = |book: &mut Book, n: u128, len: usize| {
         let key = format!("k{n}");
         match book.find(&key, book.now) {
-            Found::Closed(advice) => return Some(advice),
-            found => assert_eq!(found, Found::Nothing),
+            Lookup::Unavailable(advice) => return Some(advice),
+            found => assert_eq!(found, Lookup::Vacant),
         }
-        assert_eq!(book.begin(&key, n), Begin::Go);
+        assert_eq!(book.begin(&key, n), RunPermit::Granted);
         book.end(&key, n, &vec![7; len]);
         None
     };
@@ -357,7 +360,7 @@
     assert!((8..16).contains(&long), "{long} results of 4 KiB in 64 KiB");
     assert!(book.key_table.figures().bytes <= 64 << 10);
     // What has run is still known, and the advice says when there is room again: with the end of the first window.
-    assert_eq!(book.find("k0", book.now), Found::Prior(id(0)));
+    assert_eq!(book.find("k0", book.now), Lookup::Original(id(0)));
     let advice = book_one(&mut book, 500, 1).expect("no room");
     assert!(advice > Micros::millis(20_000), "{advice:?}");
     book.pass(advice.0 / 1000 + 5_000);
--- a/crates/node/src/event_loop/cluster.rs
+++ b/crates/node/src/event_loop/cluster.rs
@@ -189,7 +189,7 @@
             Ruling::Barred => (true, Micros(0)),
             Ruling::OverShare | Ruling::NoLease => (false, peers.retry_after()),
         };
-        if keyed.is_some_and(|key| self.engine.idempotency().knows(key, moment)) {
+        if keyed.is_some_and(|key| self.engine.idempotency().contains(key, moment)) {
             return None;
         }
         let count = match ruling {
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -10,7 +10,7 @@
 pub mod poll;
 pub mod real;
 
-use gaugestand_admission::log_record::Found;
+use gaugestand_admission::log_record::RecoveredLog;
 use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
@@ -71,7 +71,12 @@
         key: usize,
     ) -> Result<(Self::Worker, Recovery), String>;
     /// Opens a fleet's log in a file, which belongs to this owner, with what an earlier life left in it.
-    fn consensus_log(&self, path: &Path, owner: &str, key: usize) -> Result<(Self::Worker, Found), String>;
+    fn consensus_log(
+        &self,
+        path: &Path,
+        owner: &str,
+        key: usize,
+    ) -> Result<(Self::Worker, RecoveredLog), String>;
     /// Listens for other processes of this node, in place of a socket that nobody answers at.
     fn door(&self, at: &Path, key: usize) -> io::Result<Self::Door>;
     /// Connects to another process of this node.
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -3,7 +3,7 @@
 use super::handover_socket::{self, Door, Lock, UnixKin};
 use super::poll::{Watched, wait};
 use super::{Datagram, Listener, Ready, Stream, System, Worker};
-use gaugestand_admission::log_record::Found;
+use gaugestand_admission::log_record::RecoveredLog;
 use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
 use gaugestand_idempotency::consensus_log::ConsensusLog;
@@ -136,7 +136,7 @@
         Ok((self.worker(store, key).map_err(|e| format!("store of record: {e}"))?, found))
     }
 
-    fn consensus_log(&self, path: &Path, owner: &str, key: usize) -> Result<(Thread, Found), String> {
+    fn consensus_log(&self, path: &Path, owner: &str, key: usize) -> Result<(Thread, RecoveredLog), String> {
         let (consensus_log, found) = ConsensusLog::open(path, owner, &Options::default())?;
         Ok((self.worker(consensus_log, key).map_err(|e| format!("agreed log: {e}"))?, found))
     }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -3,7 +3,7 @@
 //! Bytes arrive in order on each connection, in pieces of any size, after a delay drawn from the seed. Nothing
 //! happens between two events; a node that is not woken does nothing.
 
-use gaugestand_admission::log_record::Found;
+use gaugestand_admission::log_record::RecoveredLog;
 use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
@@ -384,7 +384,7 @@
         Err(format!("{}: there is no disk in this world yet", path.display()))
     }
 
-    fn consensus_log(&self, path: &Path, _: &str, _: usize) -> Result<(NoStore, Found), String> {
+    fn consensus_log(&self, path: &Path, _: &str, _: usize) -> Result<(NoStore, RecoveredLog), String> {
         Err(format!("{}: there is no disk in this world yet", path.display()))
     }
 
