--- a/crates/cluster/src/log_storage.rs
+++ b/crates/cluster/src/log_storage.rs
@@ -65,8 +65,8 @@
 impl LogStorage {
     /// From what was found, for a fleet that began with these members.
     pub fn open(found: &RecoveredLog, first: Members) -> Result<Self, &'static str> {
-        let hard: HardState = found.state.as_deref().map_or(Ok(HardState::default()), read)?;
-        let base = found.base.as_deref().map_or(Ok(Base::default()), Base::decode);
+        let hard: HardState = found.hard_state.as_deref().map_or(Ok(HardState::default()), read)?;
+        let base = found.snapshot.as_deref().map_or(Ok(Base::default()), Base::decode);
         let base = base.map_err(|_| "what stands for the forgotten entries cannot be read")?;
         let mut shelf = LogStorage { hard, first, base, entries: VecDeque::new() };
         shelf.read_members()?;
@@ -122,10 +122,10 @@
         let Some(first) = entries.first().map(|e| e.index) else { return };
         if first <= self.last() {
             self.entries.truncate(first.saturating_sub(self.base.index + 1) as usize);
-            page.cut = Some(first);
+            page.truncate_from = Some(first);
         }
         for entry in entries {
-            page.put.push((entry.index, bytes(&entry)));
+            page.entries.push((entry.index, bytes(&entry)));
             self.entries.push_back(entry);
         }
     }
@@ -133,7 +133,7 @@
     /// Takes the library's state in.
     pub fn set_hard(&mut self, hard: &HardState, page: &mut LogRecord) {
         self.hard = hard.clone();
-        page.state = Some(bytes(hard));
+        page.hard_state = Some(bytes(hard));
     }
 
     /// Takes the place of all with what a snapshot holds.
@@ -146,7 +146,8 @@
         }
         self.entries.clear();
         self.hard.commit = self.hard.commit.max(base.index);
-        (page.cut, page.base, page.state) = (Some(0), Some(base.encode_to_vec()), Some(bytes(&self.hard)));
+        (page.truncate_from, page.snapshot, page.hard_state) =
+            (Some(0), Some(base.encode_to_vec()), Some(bytes(&self.hard)));
         Ok(())
     }
 
@@ -176,7 +177,7 @@
             forgotten = Some(entry.index);
         }
         if forgotten.is_some() {
-            (page.forget, page.base) = (forgotten, Some(self.base.encode_to_vec()));
+            (page.compact_through, page.snapshot) = (forgotten, Some(self.base.encode_to_vec()));
         }
     }
 }
--- a/crates/cluster/tests/consensus.rs
+++ b/crates/cluster/tests/consensus.rs
@@ -40,20 +40,20 @@
 
 impl Disk {
     fn make(&mut self, page: LogRecord) {
-        if let Some(from) = page.cut {
+        if let Some(from) = page.truncate_from {
             self.entries.retain(|at, _| *at < from);
         }
-        self.entries.extend(page.put);
-        if let Some(to) = page.forget {
+        self.entries.extend(page.entries);
+        if let Some(to) = page.compact_through {
             self.entries.retain(|at, _| *at > to);
         }
-        self.state = page.state.or(self.state.take());
-        self.base = page.base.or(self.base.take());
+        self.state = page.hard_state.or(self.state.take());
+        self.base = page.snapshot.or(self.base.take());
     }
 
     fn found(&self) -> RecoveredLog {
         let entries = self.entries.iter().map(|(at, e)| (*at, e.clone())).collect();
-        RecoveredLog { state: self.state.clone(), base: self.base.clone(), entries, life: 0 }
+        RecoveredLog { hard_state: self.state.clone(), snapshot: self.base.clone(), entries, incarnation: 0 }
     }
 }
 
--- a/crates/idempotency/src/consensus_log.rs
+++ b/crates/idempotency/src/consensus_log.rs
@@ -67,8 +67,8 @@
                 return Err(damaged(name));
             }
             match name.as_str() {
-                "state" => found.state = Some(value),
-                "base" => found.base = Some(value),
+                "state" => found.hard_state = Some(value),
+                "base" => found.snapshot = Some(value),
                 _ => return Err(damaged(name)),
             }
         }
@@ -81,7 +81,7 @@
         let life: i64 = connection
             .query_row("UPDATE life SET life = life + 1, owner = ?1 RETURNING life", [owner], |r| r.get(0))
             .map_err(err)?;
-        found.life = life as u64;
+        found.incarnation = life as u64;
         serve(path, &connection).map_err(told)?;
         Ok((ConsensusLog { connection, _lock: lock }, found))
     }
@@ -93,10 +93,10 @@
 
     fn make(&self, page: &LogRecord) -> rusqlite::Result<()> {
         let c = &self.connection;
-        if let Some(from) = page.cut {
+        if let Some(from) = page.truncate_from {
             c.prepare_cached("DELETE FROM entry WHERE place >= ?1")?.execute([from as i64])?;
         }
-        for (place, value) in &page.put {
+        for (place, value) in &page.entries {
             let sum = sum(&place.to_string(), value);
             c.prepare_cached("INSERT OR REPLACE INTO entry VALUES(?1, ?2, ?3)")?.execute(params![
                 *place as i64,
@@ -104,10 +104,10 @@
                 sum.as_slice()
             ])?;
         }
-        if let Some(to) = page.forget {
+        if let Some(to) = page.compact_through {
             c.prepare_cached("DELETE FROM entry WHERE place <= ?1")?.execute([to as i64])?;
         }
-        for (name, value) in [("state", &page.state), ("base", &page.base)] {
+        for (name, value) in [("state", &page.hard_state), ("base", &page.snapshot)] {
             let Some(value) = value else { continue };
             let sum = sum(name, value);
             let mut put = c.prepare_cached("INSERT OR REPLACE INTO cell VALUES(?1, ?2, ?3)")?;
--- a/crates/idempotency/tests/consensus_log.rs
+++ b/crates/idempotency/tests/consensus_log.rs
@@ -39,9 +39,9 @@
 fn page(from: u64, to: u64) -> LogRecord {
     let put = (from..=to).map(|at| (at, format!("entry {at}").into_bytes())).collect();
     LogRecord {
-        state: Some(format!("state {to}").into_bytes()),
-        cut: Some(from),
-        put,
+        hard_state: Some(format!("state {to}").into_bytes()),
+        truncate_from: Some(from),
+        entries: put,
         ..LogRecord::default()
     }
 }
@@ -52,21 +52,25 @@
     for life in 1..=3 {
         let (mut consensus_log, found) =
             ConsensusLog::open(&place.file(), OWNER, &Options::default()).expect("opened");
-        assert_eq!(found.life, life);
+        assert_eq!(found.incarnation, life);
         assert!(ConsensusLog::open(&place.file(), OWNER, &Options::default()).is_err(), "it has one writer");
         if life == 1 {
-            assert_eq!((found.state, found.base, found.entries.len()), (None, None, 0));
+            assert_eq!((found.hard_state, found.snapshot, found.entries.len()), (None, None, 0));
             assert_eq!(consensus_log.write(&page(1, 9)), Outcome::Done);
             // Another leader's entries take the place of some; said twice it is the same.
             assert_eq!(consensus_log.write(&page(6, 7)), Outcome::Done);
             assert_eq!(consensus_log.write(&page(6, 7)), Outcome::Done);
-            let forget = LogRecord { forget: Some(2), base: Some(b"base".to_vec()), ..LogRecord::default() };
+            let forget = LogRecord {
+                compact_through: Some(2),
+                snapshot: Some(b"base".to_vec()),
+                ..LogRecord::default()
+            };
             assert_eq!(consensus_log.write(&forget), Outcome::Done);
             continue;
         }
         let places: Vec<u64> = found.entries.iter().map(|e| e.0).collect();
-        assert_eq!((places, found.base), (vec![3, 4, 5, 6, 7], Some(b"base".to_vec())));
-        assert_eq!(found.state, Some(b"state 7".to_vec()));
+        assert_eq!((places, found.snapshot), (vec![3, 4, 5, 6, 7], Some(b"base".to_vec())));
+        assert_eq!(found.hard_state, Some(b"state 7".to_vec()));
     }
 }
 
@@ -107,12 +111,12 @@
     let place = Place::new("full");
     let small = Options { most_pages: 40, ..Options::default() };
     let (mut consensus_log, _) = ConsensusLog::open(&place.file(), OWNER, &small).expect("opened");
-    let big = |at: u64| LogRecord { put: vec![(at, vec![7; 8_000])], ..LogRecord::default() };
+    let big = |at: u64| LogRecord { entries: vec![(at, vec![7; 8_000])], ..LogRecord::default() };
     let done = (1..100).take_while(|at| consensus_log.write(&big(*at)) == Outcome::Done).count() as u64;
     assert!((2..60).contains(&done), "{done} pages");
     // Room again: what failed is made again, in its order.
     assert_eq!(
-        consensus_log.write(&LogRecord { forget: Some(done / 2), ..LogRecord::default() }),
+        consensus_log.write(&LogRecord { compact_through: Some(done / 2), ..LogRecord::default() }),
         Outcome::Done
     );
     assert_eq!(consensus_log.write(&big(done + 1)), Outcome::Done);
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -202,9 +202,9 @@
             system.listen(listener, listener_key).map_err(|e| format!("fleet: {listener}: {e}"))?;
         let me = number;
         let stamp =
-            Stamp { fleet: settings.name.clone(), terms: fingerprint(settings), me, life: found.life };
+            Stamp { fleet: settings.name.clone(), terms: fingerprint(settings), me, life: found.incarnation };
         let first = Members::first(&settings.members).map_err(|e| format!("fleet: `members`: {e}"))?;
-        let (setup, mut steps) = (Setup { me, members: first, terms, life: found.life }, Vec::new());
+        let (setup, mut steps) = (Setup { me, members: first, terms, life: found.incarnation }, Vec::new());
         let consensus = Consensus::new(system.moment().mono, setup, &found, &mut steps)
             .map_err(|e| format!("agreed log {}: {e}; nothing was changed", settings.path.display()))?;
         let mut peers = Peers {
