--- /dev/null
+++ b/crates/admission/src/engine/outcomes.rs
@@ -0,0 +1,200 @@
+//! Ends of runs and calls, what the idempotency table has made durable since, and the answers that follow.
+
+use super::attempts::RunState;
+use super::{CallOutcome, Engine, EngineCommand, RunOutcome};
+use crate::idempotency::{Completion, IdempotencyTable, RunResult, Settlement};
+use crate::interface::{Event, Outcome, RequestId};
+use crate::time::{Micros, Moment};
+use std::rc::Rc;
+
+impl<T: IdempotencyTable> Engine<T> {
+    /// A run ended. A second notice of the same end has no effect.
+    pub(super) fn run_ended(
+        &mut self,
+        now: Moment,
+        id: RequestId,
+        end: RunOutcome,
+        commands: &mut Vec<EngineCommand>,
+    ) {
+        let Some(attempt) = self.attempts.get_mut(id).filter(|attempt| attempt.is_running()) else { return };
+        attempt.run = RunState::Ended;
+        if std::mem::take(&mut attempt.awaiting_call) {
+            commands.push(EngineCommand::DropCall(id));
+        }
+        let key = attempt.repeat_key.clone();
+        let (outcome, result) = match end {
+            RunOutcome::Succeeded(result) => (Outcome::Ok, RunResult::Succeeded(result)),
+            RunOutcome::Failed => (Outcome::Error, RunResult::NoResult),
+            RunOutcome::Cancelled => (Outcome::Cancelled, RunResult::NoResult),
+            RunOutcome::NeverRan => (Outcome::NeverStarted, RunResult::NeverRan),
+        };
+        self.controller_events.push(Event::RunEnded(id, outcome));
+        let completion = match (key, result) {
+            (Some(key), result) => self.idempotency.complete_run(now, &key, id, result),
+            (None, RunResult::Succeeded(result)) => Completion::Settled(Vec::new(), Some(result)),
+            (None, RunResult::NoResult | RunResult::NeverRan) => Completion::Settled(Vec::new(), None),
+        };
+        match completion {
+            Completion::Settled(waiters, result) => {
+                self.answer_waiters(waiters, result.as_ref(), commands);
+                self.answer_own_run(id, result, commands);
+            }
+            // It is served once its result is durable, or fails at its due time.
+            Completion::AwaitingDurable => {}
+        }
+        self.close(id, commands);
+    }
+
+    /// An outbound call ended. The reply to a call that was dropped has no effect.
+    pub(super) fn call_ended(&mut self, id: RequestId, end: CallOutcome, latency: Micros) {
+        let Some(attempt) = self.attempts.get_mut(id).filter(|attempt| attempt.awaiting_call) else { return };
+        attempt.awaiting_call = false;
+        let outcome = match end {
+            CallOutcome::Succeeded => Outcome::Ok,
+            CallOutcome::Overloaded => Outcome::Overloaded,
+            CallOutcome::Unreachable => Outcome::Unreachable,
+            CallOutcome::Failed => Outcome::Error,
+            CallOutcome::TimedOut => Outcome::TimedOut,
+            CallOutcome::Broken => Outcome::Reset,
+        };
+        self.controller_events.push(Event::CallEnded(id, outcome, latency.span()));
+    }
+
+    /// The caller no longer waits: its attempt counts as answered.
+    pub(super) fn caller_gone(&mut self, now: Moment, id: RequestId, commands: &mut Vec<EngineCommand>) {
+        if self.attempts.mark_answered(id) {
+            self.controller_events.push(Event::CallerGone(id));
+            self.release(now, id, commands);
+        }
+    }
+
+    /// Carries out what the idempotency table has settled since the last call.
+    pub(super) fn apply_settlements(&mut self, now: Moment, commands: &mut Vec<EngineCommand>) {
+        let mut settlements = Vec::new();
+        self.idempotency.drain_settled(now, &mut settlements);
+        for settlement in settlements {
+            match settlement {
+                Settlement::IntentDurable(id) => self.intent_durable(id, commands),
+                Settlement::IntentFailed(id, waiters, advice) => {
+                    self.intent_failed(now, id, waiters, advice, commands);
+                }
+                Settlement::ResultDurable(id, waiters, result) => {
+                    self.answer_own_run(id, Some(result.clone()), commands);
+                    self.close(id, commands);
+                    self.answer_waiters(waiters, Some(&result), commands);
+                }
+            }
+        }
+    }
+
+    fn intent_durable(&mut self, id: RequestId, commands: &mut Vec<EngineCommand>) {
+        let waiting = self.attempts.get_mut(id).filter(|attempt| attempt.is_awaiting_durable_intent());
+        if let Some(attempt) = waiting {
+            attempt.run = RunState::Running;
+            commands.push(EngineCommand::Run(id));
+        }
+    }
+
+    /// The intent could not be recorded: neither the attempt nor those that waited for its result ever ran.
+    fn intent_failed(
+        &mut self,
+        now: Moment,
+        id: RequestId,
+        waiters: Vec<RequestId>,
+        advice: Micros,
+        commands: &mut Vec<EngineCommand>,
+    ) {
+        let retry_after = advice.min(self.max_retry_after());
+        for id in std::iter::once(id).chain(waiters) {
+            let waited = self.attempts.get_mut(id).is_some_and(|attempt| attempt.abandon_intent());
+            let outcome = if waited { Outcome::NeverStarted } else { Outcome::Error };
+            self.controller_events.push(Event::RunEnded(id, outcome));
+            self.reject(now, id, retry_after, false, commands);
+        }
+    }
+
+    /// Rejects an attempt. A rejection promises that the attempt never ran; one that was started gets a failure with the
+    /// same advice instead.
+    pub(super) fn reject(
+        &mut self,
+        now: Moment,
+        id: RequestId,
+        retry_after: Micros,
+        no_retry_elsewhere: bool,
+        commands: &mut Vec<EngineCommand>,
+    ) {
+        let was_started = self.attempts.get(id).is_some_and(|attempt| attempt.was_started());
+        if self.attempts.mark_answered(id) {
+            commands.push(match was_started {
+                true => EngineCommand::Fail { id, retry_after, no_retry_elsewhere },
+                false => EngineCommand::Reject { id, retry_after, no_retry_elsewhere },
+            });
+        }
+        self.release(now, id, commands);
+    }
+
+    pub(super) fn fail(&mut self, now: Moment, id: RequestId, commands: &mut Vec<EngineCommand>) {
+        if self.attempts.mark_answered(id) {
+            commands.push(EngineCommand::fail(id));
+        }
+        self.release(now, id, commands);
+    }
+
+    /// Fails attempts that are past their due time. Guards against one that the controller has lost.
+    pub(super) fn fail_overdue(&mut self, now: Moment, commands: &mut Vec<EngineCommand>) {
+        while let Some(id) = self.attempts.pop_overdue(now.mono, super::deadlines::OVERDUE_GRACE) {
+            self.controller_events.push(Event::CallerGone(id));
+            self.fail(now, id, commands);
+        }
+    }
+
+    /// Answers repeats that waited for another attempt's result; without one they fail.
+    pub(super) fn answer_waiters(
+        &mut self,
+        waiters: Vec<RequestId>,
+        result: Option<&Rc<[u8]>>,
+        commands: &mut Vec<EngineCommand>,
+    ) {
+        for id in waiters {
+            let outcome = if result.is_some() { Outcome::Ok } else { Outcome::Error };
+            self.controller_events.push(Event::RunEnded(id, outcome));
+            if self.attempts.mark_answered(id) {
+                commands.push(match result {
+                    Some(result) => EngineCommand::Replay(id, result.clone()),
+                    None => EngineCommand::fail(id),
+                });
+            }
+            self.close(id, commands);
+        }
+    }
+
+    /// Answers an attempt with what its own run came to.
+    fn answer_own_run(&mut self, id: RequestId, result: Option<Rc<[u8]>>, commands: &mut Vec<EngineCommand>) {
+        if self.attempts.mark_answered(id) {
+            commands.push(match result {
+                Some(result) => EngineCommand::Serve(id, result),
+                None => EngineCommand::fail(id),
+            });
+        }
+    }
+
+    /// Frees the key of an attempt that was answered, unless its run goes on; repeats that waited for it fail.
+    fn release(&mut self, now: Moment, id: RequestId, commands: &mut Vec<EngineCommand>) {
+        let Some(attempt) = self.attempts.get_mut(id) else { return };
+        if let (Some(key), false) = (attempt.repeat_key.clone(), attempt.is_running()) {
+            let released = self.idempotency.release(now, &key, id);
+            if attempt.abandon_intent() || released.intent_withdrawn {
+                self.controller_events.push(Event::RunEnded(id, Outcome::NeverStarted));
+            }
+            self.answer_waiters(released.waiters, None, commands);
+        }
+        self.close(id, commands);
+    }
+
+    /// Forgets an attempt to which nothing more can happen.
+    pub(super) fn close(&mut self, id: RequestId, commands: &mut Vec<EngineCommand>) {
+        if self.attempts.remove_finished(id) {
+            commands.push(EngineCommand::Forget(id));
+        }
+    }
+}
--- /dev/null
+++ b/crates/admission/src/engine/snapshot.rs
@@ -0,0 +1,69 @@
+//! The state that an engine passes on when another process takes over its service.
+
+use super::Engine;
+use super::attempts::{Attempt, AttemptTable};
+use super::deadlines::ControllerTimers;
+use crate::controller::Controller;
+use crate::idempotency::IdempotencyTable;
+use crate::interface::{RequestId, Settings};
+use crate::time::Micros;
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The state of an engine without its idempotency table, which is replicated separately.
+///
+/// Times are those of the clock that the snapshot was made under. Field names and their order are part of the hand-over
+/// protocol: a renamed field keeps its name there by `#[serde(rename)]`.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct EngineSnapshot {
+    settings: Settings,
+    /// Which classes, by slot, accept requests.
+    #[serde(rename = "open")]
+    pub open_classes: Vec<bool>,
+    controller: Option<Controller>,
+    #[serde(rename = "tries")]
+    attempts: BTreeMap<RequestId, Attempt>,
+    #[serde(rename = "owed")]
+    pending_answers: BTreeSet<(Micros, RequestId)>,
+    #[serde(rename = "timers")]
+    scheduled_timers: BTreeSet<(Micros, u64)>,
+    due_timers: Vec<u64>,
+    capacity: Option<f64>,
+    #[serde(rename = "good")]
+    healthy: bool,
+}
+
+impl<T: IdempotencyTable> Engine<T> {
+    /// The state of this engine without its idempotency table.
+    pub fn snapshot(&self) -> EngineSnapshot {
+        EngineSnapshot {
+            settings: self.settings.clone(),
+            open_classes: self.open_classes.clone(),
+            controller: self.controller.clone(),
+            attempts: self.attempts.by_id.clone(),
+            pending_answers: self.attempts.pending_answers.clone(),
+            scheduled_timers: self.timers.scheduled.clone(),
+            due_timers: self.timers.due.clone(),
+            capacity: self.capacity,
+            healthy: self.controller_healthy,
+        }
+    }
+
+    /// Continues from another engine's state.
+    pub fn restore(&mut self, snapshot: EngineSnapshot) {
+        self.settings = snapshot.settings;
+        self.open_classes = snapshot.open_classes;
+        self.controller = snapshot.controller;
+        self.attempts = AttemptTable { by_id: snapshot.attempts, pending_answers: snapshot.pending_answers };
+        self.timers = ControllerTimers::restored(snapshot.scheduled_timers, snapshot.due_timers);
+        self.capacity = snapshot.capacity;
+        self.controller_healthy = snapshot.healthy;
+    }
+
+    /// Drops all state but the idempotency table: another engine has taken over.
+    pub fn retire(&mut self) {
+        self.controller = None;
+        self.attempts.clear();
+        self.timers.clear();
+    }
+}
--- a/crates/admission/src/time.rs
+++ b/crates/admission/src/time.rs
@@ -91,6 +91,12 @@
     }
 }
 
+impl From<Time> for Micros {
+    fn from(t: Time) -> Self {
+        Micros(t.0 / 1000)
+    }
+}
+
 /// A moment on both clocks. The monotonic one can't be set; the wall clock is the one that survives a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Moment {
--- a/crates/admission/tests/engine.rs
+++ b/crates/admission/tests/engine.rs
@@ -117,7 +117,7 @@
     let fails = |v: &EngineCommand| matches!(v, EngineCommand::Fail { id: RequestId(1), retry_after, .. } if retry_after.0 > 0);
     assert!(out.iter().any(fails) && out.contains(&EngineCommand::Preempt(id(1))), "{out:?}");
     assert!(!out.iter().any(|v| matches!(v, EngineCommand::Reject { .. })), "{out:?}");
-    assert_eq!(desk.engine.owed(), 0);
+    assert_eq!(desk.engine.pending_answers(), 0);
     assert_eq!(
         desk.report(EngineEvent::RunEnded(id(1), RunOutcome::Cancelled)),
         [EngineCommand::Forget(id(1))]
@@ -222,18 +222,18 @@
 fn after_the_notice_to_leave_nothing_late_runs_and_all_is_answered_before_the_stop() {
     let mut desk = Desk::new();
     assert_eq!(desk.admit(1, KEYED, 0), [EngineCommand::Run(id(1))]);
-    assert!(desk.engine.healthy());
+    assert!(desk.engine.is_healthy());
     let stop = desk.now.plus(Micros::millis(1900));
     // The notice came 300 ms ago, and the grace is a second.
     let notice = desk.now.since(Micros::millis(300));
     desk.report(EngineEvent::Drain { notice, stop });
-    assert!(!desk.engine.healthy());
+    assert!(!desk.engine.is_healthy());
     desk.pass(740);
     let out = desk.admit(2, PURE, 0);
     assert!(out.iter().any(|v| matches!(v, EngineCommand::Reject { id: RequestId(2), .. })), "{out:?}");
     desk.pass(1140);
     assert!(desk.now < stop);
-    assert_eq!(desk.engine.owed(), 0);
+    assert_eq!(desk.engine.pending_answers(), 0);
 }
 
 /// When a try is answered that came with this patience, in ms after it came to the machine; nothing ever ends its run.
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -273,7 +273,7 @@
             return self.clock.now() >= stop;
         }
         let now = self.clock.now();
-        let done = self.engine.owed() == 0 && !self.table.is_writing();
+        let done = self.engine.pending_answers() == 0 && !self.table.is_writing();
         let closed = self.table.is_empty() || now.plus(CLOSED) >= stop;
         let over = now.plus(GONE) >= stop && done && closed || now >= stop;
         over && self.last_looks >= LOOKS
@@ -340,15 +340,15 @@
         if self.stop.is_some_and(|stop| now.plus(STOP_LISTENING) >= stop) {
             self.table.stop_listening(now, &mut self.counters);
         }
-        let up = self.engine.healthy() && self.knows_the_version();
-        if self.engine.is_up() {
+        let up = self.engine.is_healthy() && self.knows_the_version();
+        if self.engine.is_started() {
             wake.push(self.members.tick(now, up, &mut self.counters));
         }
         self.flush();
         if let Some(stop) = self.stop.filter(|stop| now.plus(GONE) >= *stop) {
             if !self.has_looked(stop, quiet) {
                 wake.push(Some(now));
-            } else if self.engine.owed() == 0 {
+            } else if self.engine.pending_answers() == 0 {
                 self.close_connections();
             }
         }
@@ -504,11 +504,12 @@
     /// The settings of the present configuration take effect; what is open keeps its class.
     fn take_settings(&mut self) {
         let (names, settings) = (&self.config.classes, &self.config.settings);
-        let plan = self.slots.plan(self.engine.classes(), names, &settings.classes, &self.engine.used());
+        let plan =
+            self.slots.plan(self.engine.classes(), names, &settings.classes, &self.engine.classes_in_use());
         self.engine.update_settings(settings.clone(), &plan);
         self.figures.list(names);
         self.kernel.set_gauges(&self.config.gauges);
-        (self.slots, self.keyed) = (plan.slots, self.engine.keyed());
+        (self.slots, self.keyed) = (plan.slots, self.engine.keyed_classes());
     }
 
     /// What of the operators' settings can change while the node serves; none of it can fail.
@@ -551,7 +552,7 @@
         if self.kin.is_ready() {
             return Ok(());
         }
-        let up = self.engine.is_up();
+        let up = self.engine.is_started();
         let steps = [
             (!self.kin.machine.is_retired(), "another process has taken over"),
             (!self.kin.machine.is_heir(), "another process is the node, and its keys are not in place"),
@@ -804,7 +805,7 @@
 
     fn check(&mut self, conn: ConnId, fcgi: u16, keeps: bool, deep: bool) {
         self.counters.checks_read += 1;
-        let good = self.engine.healthy() && self.knows_the_version();
+        let good = self.engine.is_healthy() && self.knows_the_version();
         if !(good && deep) {
             return self.answer_check(conn, fcgi, keeps, good);
         }
--- a/crates/node/src/event_loop/handover.rs
+++ b/crates/node/src/event_loop/handover.rs
@@ -385,7 +385,7 @@
         tracing::info!(open = self.open_attempts(), "handing over to the new process");
         self.stop = Some(now.plus(self.config.stop));
         self.table.stop(true);
-        let running = self.engine.running();
+        let running = self.engine.running_attempts();
         let inherited: BTreeSet<RequestId> =
             self.kin.inherited.iter().flat_map(|i| i.runs.iter().copied()).collect();
         let own = running.into_iter().filter(|id| !inherited.contains(id)).collect();
@@ -559,10 +559,10 @@
             }
             self.attempts.insert(place.id, place);
         }
-        self.slots = ClassSlots::with(rest.classes, rest.engine.open.clone());
+        self.slots = ClassSlots::with(rest.classes, rest.engine.open_classes.clone());
         self.figures.list(self.slots.names());
         self.engine.restore(rest.engine);
-        self.engine.set_linked(self.kernel.is_booted());
+        self.engine.set_backend_linked(self.kernel.is_booted());
         let until = now.plus(self.engine.longest_deadline()).plus(OVERTIME);
         let kernels = rest.kernels.iter().filter(|k| !k.runs.is_empty()).take(MOST_KERNELS);
         self.kin.inherited = kernels
--- a/crates/node/src/handover_link.rs
+++ b/crates/node/src/handover_link.rs
@@ -84,7 +84,7 @@
 pub struct Rest {
     /// The engine, with the controller in it.
     #[serde(rename = "facade")]
-    pub engine: engine::Snapshot,
+    pub engine: engine::EngineSnapshot,
     /// Kernels that tell of runs which go on, the elder's own first.
     pub kernels: Vec<kernel::Snapshot>,
     /// Tries whose calls are out at the elder, or at one before it.
