--- a/crates/admission/src/engine/mod.rs
+++ b/crates/admission/src/engine/mod.rs
@@ -226,7 +226,7 @@
         self.settings = Settings { classes: plan.classes.clone(), cold: self.settings.cold, ..settings };
         self.open_classes = plan.slots.open().to_vec();
         if let Some(controller) = &mut self.controller {
-            controller.update_settings(self.settings.clone(), &plan.from);
+            controller.update_settings(self.settings.clone(), &plan.inherits_from);
         }
     }
 
--- a/crates/admission/src/idempotency.rs
+++ b/crates/admission/src/idempotency.rs
@@ -1,117 +1,121 @@
-//! What the engine asks of the one table of keys, whoever keeps it.
+//! What the engine asks of the idempotency table, whoever keeps it.
 //!
-//! The engine decides nothing about keys itself: which try of a keyed request may run, what its repeats get and
-//! when an answer may go out is the register's. It is asked in the order in which things happen, answers at
-//! once, and tells later what has settled since ([`IdempotencyTable::drain_settled`]). It has no clock and does no I/O.
+//! The table decides which attempt of a keyed request may run, what its repeats get, and when a result may be shown. The
+//! engine calls it in the order in which things happen; it answers at once, and reports what became durable later
+//! through [`IdempotencyTable::drain_settled`]. It reads no clock and does no I/O.
 
 use crate::interface::RequestId;
 use crate::time::{Micros, Moment};
 use std::rc::Rc;
 
-/// What is known of a key when a try of it comes.
+/// What is known of a key when an attempt with it arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// Nothing that binds: the try is a first one.
+    /// Nothing that binds: the attempt is the first of its request.
     Vacant,
-    /// This try has the key; the new one repeats it.
+    /// This attempt has the key; the new one repeats it.
     Original(RequestId),
-    /// The key came with another body.
+    /// The key was used with another body.
     BodyMismatch,
-    /// Nothing, and no first try can be taken now: come back after this long.
+    /// Nothing is known, and no new key can be recorded now: retry after this long.
     Unavailable(Micros),
 }
 
 /// Whether a run may begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunPermit {
-    /// Now.
+    /// At once.
     Granted,
-    /// Once [`Settlement::IntentDurable`] says so.
+    /// Once [`Settlement::IntentDurable`] reports it.
     Pending,
-    /// Never: another try of the key ran in its window.
+    /// Never: another attempt of the key ran in its window.
     Denied,
 }
 
 /// What a repeat gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JoinOutcome {
-    /// It waits for the end of the try that has the key.
+    /// It waits for the end of the attempt that has the key.
     Pending,
     /// This result.
     Replay(Rc<[u8]>),
-    /// A failure: the try that has the key ran and has no result to show.
+    /// A failure: the attempt that has the key ran and has no result to show.
     Failed,
 }
 
-/// What the end of a run means for those who wait for it.
+/// How a run ended, as far as its record is concerned.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum RunResult {
+    /// With this result.
+    Succeeded(Rc<[u8]>),
+    /// It ran, or may have run, and has no result.
+    NoResult,
+    /// It never began.
+    NeverRan,
+}
+
+/// What the end of a run means for the attempts that wait for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// All of these, and the try itself, get this result, or a failure.
+    /// These waiters, and the attempt itself, get this result, or a failure if there is none.
     Settled(Vec<RequestId>, Option<Rc<[u8]>>),
-    /// The result can't be shown before [`Settlement::ResultDurable`].
+    /// The result must not be shown before [`Settlement::ResultDurable`] reports it.
     AwaitingDurable,
 }
 
-/// A try that leaves: what that changes.
+/// What changes when an attempt releases its key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Released {
-    /// Repeats that waited for it and now never get a result.
+    /// Repeats that waited for it and can get no result any more.
     pub waiters: Vec<RequestId>,
-    /// It waited to begin, and will not.
+    /// Its intent was being made durable and was withdrawn: it never runs.
     pub intent_withdrawn: bool,
 }
 
-/// Something that waited and does so no longer.
+/// Something that was waiting for the store, and no longer is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Settlement {
-    /// The run of this try may begin.
+    /// The intent of this attempt is durable: its run may begin.
     IntentDurable(RequestId),
-    /// This try can't be recorded and never ran, nor did those that waited for it; come back after so long.
+    /// The intent of this attempt could not be recorded: neither it nor its waiters ran. Retry after this long.
     IntentFailed(RequestId, Vec<RequestId>, Micros),
-    /// The result of this try may be shown, to it and to those that waited.
+    /// The result of this attempt is durable: it may be shown to it and to its waiters.
     ResultDurable(RequestId, Vec<RequestId>, Rc<[u8]>),
 }
 
-/// The one table of keys.
+/// The table of idempotency keys. There is one in a node.
+///
+/// `ingress` is when an attempt reached the machine: windows count from the ingress of the attempt that ran.
 pub trait IdempotencyTable {
-    /// Fingerprint of a body: bodies with the same are held to be the same.
+    /// Fingerprint of a body; bodies with equal fingerprints count as equal.
     fn fingerprint(&self, body: &[u8]) -> u128;
-    /// A try with this key and fingerprint came, which reached the machine at `at`.
-    fn lookup(&mut self, now: Moment, key: &str, fingerprint: u128, at: Moment) -> Lookup;
-    /// Whether the key is remembered for a try that reached the machine at `at`, whatever its body; changes nothing.
-    fn contains(&self, key: &str, at: Moment) -> bool;
-    /// The try is a first one and has the key from now on. Returns repeats that waited for the one before it.
+    /// Looks up the key of an attempt that has arrived.
+    fn lookup(&mut self, now: Moment, key: &str, fingerprint: u128, ingress: Moment) -> Lookup;
+    /// Whether the key binds an attempt with this ingress, whatever its body.
+    fn contains(&self, key: &str, ingress: Moment) -> bool;
+    /// Records the attempt as the first of its request, in place of an entry whose window is over. Returns the waiters of
+    /// that one.
     fn reserve(&mut self, key: &Rc<str>, id: RequestId, fingerprint: u128, until: Moment) -> Vec<RequestId>;
-    /// The try, which reached the machine at `at`, is to be run; repeats are recognised up to `until`.
+    /// Asks for permission to run the attempt; repeats are recognised up to `until`.
     fn begin_run(
         &mut self,
         now: Moment,
         key: &Rc<str>,
         id: RequestId,
-        at: Moment,
+        ingress: Moment,
         until: Moment,
     ) -> RunPermit;
-    /// A repeat wants the result of the try that has its key.
+    /// Asks for the result of the attempt that has the key.
     fn join(&mut self, key: &str, id: RequestId) -> JoinOutcome;
-    /// A run is over: with a result, with none, or it turned out that it was never begun.
-    fn complete_run(&mut self, now: Moment, key: &Rc<str>, id: RequestId, end: RunResult) -> Completion;
-    /// The try was answered or given up, and is not running.
+    /// The run of this attempt is over.
+    fn complete_run(&mut self, now: Moment, key: &Rc<str>, id: RequestId, result: RunResult) -> Completion;
+    /// The attempt was answered or abandoned, and is not running: it needs its key no longer. A key that ran stays for its
+    /// whole window.
     fn release(&mut self, now: Moment, key: &Rc<str>, id: RequestId) -> Released;
-    /// Appends what has settled, and drops what is past its window.
-    fn drain_settled(&mut self, now: Moment, out: &mut Vec<Settlement>);
-    /// Whether keyed requests can be taken at all yet: false while what was kept before is being read.
+    /// Appends what has settled since the last call, and drops entries whose window is over.
+    fn drain_settled(&mut self, now: Moment, settlements: &mut Vec<Settlement>);
+    /// Whether keyed requests can be admitted: false while the keys of an earlier process are being read.
     fn is_ready(&self) -> bool;
     /// When to call [`IdempotencyTable::drain_settled`] although nothing happens.
     fn next_wakeup(&self) -> Option<Micros>;
 }
-
-/// How a run ended, as far as its record is concerned.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RunResult {
-    /// With this result.
-    Succeeded(Rc<[u8]>),
-    /// It ran, or may have run, and has none.
-    NoResult,
-    /// It never began.
-    NeverRan,
-}
--- a/crates/node/src/event_loop/handover.rs
+++ b/crates/node/src/event_loop/handover.rs
@@ -559,7 +559,7 @@
             }
             self.attempts.insert(place.id, place);
         }
-        self.slots = ClassSlots::with(rest.classes, rest.engine.open_classes.clone());
+        self.slots = ClassSlots::from_parts(rest.classes, rest.engine.open_classes.clone());
         self.figures.list(self.slots.names());
         self.engine.restore(rest.engine);
         self.engine.set_backend_linked(self.kernel.is_booted());
