--- a/crates/node/src/event_loop/handover.rs
+++ b/crates/node/src/event_loop/handover.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::handover_link::{self, Broken, Frame, Rest, Wire, With};
-use crate::io::{Claim as _, Listener, Passed};
+use crate::io::{Listener, PassedSocket, ServiceLock as _};
 use gaugestand_admission::handover::{Action, Event, Handover, Role};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -38,8 +38,8 @@
     pub(super) machine: Handover,
     /// The socket and the file of the claim; none where the node serves alone.
     paths: Option<(PathBuf, PathBuf)>,
-    door: Option<S::Door>,
-    claim: Option<S::Claim>,
+    door: Option<S::HandoverListener>,
+    claim: Option<S::ServiceLock>,
     /// Marks on the claim when the elder let go of it.
     marks: u64,
     /// To the process before this one, and to the one after it.
@@ -126,13 +126,13 @@
         loop {
             // Who answers there is the node; otherwise whoever has the claim is, or is about to be.
             if claim.is_none() {
-                if let Ok(kin) = system.kin(&socket, UP) {
+                if let Ok(kin) = system.connect_for_handover(&socket, UP) {
                     let mut found = Kindred::new(Handover::successor(), Some((socket, lock)));
                     found.up = Some(Wire::new(kin));
                     tracing::info!("another process of this node serves; waiting to take over from it");
                     return Ok((found, None));
                 }
-                match system.claim(&lock) {
+                match system.try_service_lock(&lock) {
                     Ok(found) => claim = found,
                     Err(e) => return alone(&format!("{}: {e}", lock.display())),
                 }
@@ -162,7 +162,7 @@
 
     fn open_door(&mut self, system: &S) {
         let Some((socket, _)) = &self.paths else { return };
-        match system.door(socket, DOOR) {
+        match system.listen_for_handover(socket, DOOR) {
             Ok(door) => self.door = Some(door),
             Err(e) => {
                 let why = format!("{}: {e}", socket.display());
@@ -221,9 +221,10 @@
                 Action::RefuseLink => {}
                 Action::HandOver => self.part(),
                 Action::AcquireLock => {
-                    let lock = self.kin.paths.as_ref().map(|(_, lock)| self.system.claim(lock));
+                    let lock = self.kin.paths.as_ref().map(|(_, lock)| self.system.try_service_lock(lock));
                     self.kin.claim = lock.and_then(Result::ok).flatten();
-                    let marks = self.kin.claim.as_ref().map(|claim| claim.marks().unwrap_or(u64::MAX));
+                    let marks =
+                        self.kin.claim.as_ref().map(|claim| claim.generation_marks().unwrap_or(u64::MAX));
                     let stale = self.kin.machine.role() == Role::TakingOver && marks > Some(self.kin.marks);
                     self.happen(match marks {
                         Some(_) if stale => Event::StateOutdated,
@@ -232,7 +233,7 @@
                     });
                 }
                 Action::ReadSuccessor => {
-                    let marked = self.kin.claim.as_ref().map(|claim| claim.mark());
+                    let marked = self.kin.claim.as_ref().map(|claim| claim.add_generation_mark());
                     if let Some(Err(e)) = marked {
                         tracing::warn!(problem = %e, "marking the claim");
                     }
@@ -333,9 +334,9 @@
         let Some(wire) = &mut self.kin.down else { return };
         let table = &self.table;
         let socket = |with| match with {
-            With::Nothing => Some(Passed::Nothing),
-            With::Listener => table.listener().map(Passed::Listener),
-            With::Conn(id) => table.stream(id).map(Passed::Stream),
+            With::Nothing => Some(PassedSocket::None),
+            With::Listener => table.listener().map(PassedSocket::Listener),
+            With::Conn(id) => table.stream(id).map(PassedSocket::Stream),
         };
         if let Err(broken) = wire.write(socket) {
             self.down_broke(&broken);
@@ -422,7 +423,8 @@
             wire.say(&Frame::Attempt(Box::new(place.clone())), With::Nothing);
         }
         wire.say(&Frame::Rest(Box::new(rest)), With::Nothing);
-        let marks = self.kin.claim.as_ref().and_then(|claim| claim.marks().ok()).unwrap_or_default();
+        let marks =
+            self.kin.claim.as_ref().and_then(|claim| claim.generation_marks().ok()).unwrap_or_default();
         wire.say(&Frame::Over(marks), With::Nothing);
         self.kin.claim = None;
         self.write_down();
@@ -513,7 +515,7 @@
             Frame::Hello { moment, secret, leaving } if waits => {
                 self.kin.behind_drain = leaving;
                 self.kin.spare = Some(wire.take_listener(LISTENER)?);
-                self.system.align(moment);
+                self.system.align_clock(moment);
                 self.clock.read(&self.system);
                 // The clock has moved on by the elder's age: nobody has waited for that long.
                 self.admin.restart(self.clock.now());
@@ -639,7 +641,7 @@
         let looks = self.kin.seeks() && now >= self.kin.next_look;
         let Some((socket, _)) = self.kin.paths.as_ref().filter(|_| looks) else { return };
         self.kin.next_look = now.plus(LOOK);
-        match self.system.kin(socket, UP) {
+        match self.system.connect_for_handover(socket, UP) {
             Ok(kin) => self.kin.up = Some(Wire::new(kin)),
             // Nobody answers: it may have ended since, with keys that were never told.
             Err(_) => self.happen(Event::Unlinked),
@@ -648,7 +650,7 @@
 
     fn write_up(&mut self) {
         let Some(wire) = &mut self.kin.up else { return };
-        if let Err(broken) = wire.write(|_| Some(Passed::Nothing)) {
+        if let Err(broken) = wire.write(|_| Some(PassedSocket::None)) {
             self.up_broke(&broken);
         }
     }
--- a/crates/node/src/handover_link.rs
+++ b/crates/node/src/handover_link.rs
@@ -2,7 +2,7 @@
 //! along with some. Who is the node, and when that changes, is `gaugestand_admission::succession`'s.
 
 use super::connections::{self, ConnId};
-use super::io::{Kin, Passed, System};
+use super::io::{HandoverLink, PassedSocket, System};
 use super::kernel;
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::{self, CallOutcome};
@@ -118,7 +118,7 @@
 /// One link to another process.
 #[derive(Debug)]
 pub struct Wire<S: System> {
-    kin: S::Kin,
+    kin: S::HandoverLink,
     input: Vec<u8>,
     greeted: bool,
     output: VecDeque<(Vec<u8>, With)>,
@@ -128,7 +128,7 @@
 
 impl<S: System> Wire<S> {
     /// A link that has just been made.
-    pub fn new(kin: S::Kin) -> Self {
+    pub fn new(kin: S::HandoverLink) -> Self {
         let output = VecDeque::from([(WORD.to_vec(), With::Nothing)]);
         Wire { kin, input: Vec::new(), greeted: false, output, written: 0, waiting: WORD.len() }
     }
@@ -158,7 +158,7 @@
     /// Writes what can be written; `socket` finds what goes along.
     pub fn write<'a>(
         &mut self,
-        socket: impl Fn(With) -> Option<Passed<'a, S::Stream, S::Listener>>,
+        socket: impl Fn(With) -> Option<PassedSocket<'a, S::Stream, S::Listener>>,
     ) -> Result<(), Broken>
     where
         S: 'a,
@@ -166,7 +166,7 @@
         while let Some((bytes, with)) = self.output.front() {
             let passed = match self.written {
                 0 => socket(*with).ok_or(Broken::Framing("a socket that is gone"))?,
-                _ => Passed::Nothing,
+                _ => PassedSocket::None,
             };
             match self.kin.send(bytes.get(self.written..).unwrap_or_default(), passed) {
                 Ok(n) => {
--- a/crates/node/src/io/handover_socket.rs
+++ b/crates/node/src/io/handover_socket.rs
@@ -1,9 +1,12 @@
-//! Links between processes of one node on the machine: Unix sockets in a folder that they share, descriptors that go
-//! along with bytes, and a lock on a file as the claim. What belongs to another user is never used.
+//! The hand-over link on the machine: Unix sockets in a folder that processes of one node share, descriptors that are
+//! passed along with bytes, and a locked file as the service lock.
+//!
+//! Sockets, files and processes of another user are never used.
 
 use super::poll::Watched;
-use super::real::{Incoming, Real};
-use super::{Claim, Kin, Listener, Passed};
+use super::tcp::{self, WatchedListener};
+use super::{HandoverLink, Listener, PassedSocket, ServiceLock};
+use polling::Poller;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, ReturnFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags, recvmsg, sendmsg, sockopt,
@@ -18,100 +21,132 @@
 use std::os::unix::fs::{MetadataExt, OpenOptionsExt};
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::Path;
+use std::rc::Rc;
 
-/// Descriptors taken along with one read: a sender puts one with each message.
-const MOST_TAKEN: usize = 4;
-/// A link at the end of a path is not followed.
+/// Descriptors that one read can receive. A sender passes one with each message, and a read may span several.
+const MAX_DESCRIPTORS_PER_READ: usize = 4;
+/// The flag of `open` that refuses a symbolic link as the last part of a path (Linux).
 const O_NOFOLLOW: i32 = 0o400_000;
 
 /// A link to another process of this node.
 #[derive(Debug)]
-pub struct UnixKin {
+pub struct UnixHandoverLink {
     stream: Watched<UnixStream>,
-    system: Real,
-    came: VecDeque<OwnedFd>,
+    poller: Rc<Poller>,
+    /// Descriptors that were received and not yet taken, in order.
+    received: VecDeque<OwnedFd>,
 }
 
-/// Where such links come in.
-#[derive(Debug)]
-pub struct Door {
-    listener: Watched<UnixListener>,
-    system: Real,
-}
-
-/// A locked file.
-#[derive(Debug)]
-pub struct Lock {
-    file: File,
-}
+impl UnixHandoverLink {
+    /// Connects to the process that listens at this path.
+    pub(super) fn connect(poller: &Rc<Poller>, path: &Path, key: usize) -> io::Result<Self> {
+        check_owner(path)?;
+        Self::new(poller, UnixStream::connect(path)?, key)
+    }
 
-impl Claim for Lock {
-    fn marks(&self) -> io::Result<u64> {
-        Ok(self.file.metadata()?.len())
+    fn new(poller: &Rc<Poller>, stream: UnixStream, key: usize) -> io::Result<Self> {
+        // Guards against a process of another user at a socket that this one may connect to.
+        if sockopt::socket_peercred(&stream)?.uid != geteuid() {
+            return Err(foreign_owner());
+        }
+        stream.set_nonblocking(true)?;
+        let stream = Watched::new(poller, stream, key, true, false)?;
+        Ok(UnixHandoverLink { stream, poller: poller.clone(), received: VecDeque::new() })
     }
 
-    fn mark(&self) -> io::Result<()> {
-        (&self.file).write_all(b".")
+    fn next_descriptor(&mut self) -> io::Result<OwnedFd> {
+        self.received.pop_front().ok_or_else(|| io::ErrorKind::InvalidData.into())
     }
 }
 
-fn not_ours() -> io::Error {
-    io::Error::new(io::ErrorKind::PermissionDenied, "it is another user's")
-}
+impl HandoverLink for UnixHandoverLink {
+    type Stream = Watched<TcpStream>;
+    type Listener = WatchedListener;
 
-fn is_ours(at: &Path) -> io::Result<()> {
-    let owner = fs::symlink_metadata(at)?.uid();
-    if owner == geteuid().as_raw() { Ok(()) } else { Err(not_ours()) }
-}
+    fn send(
+        &mut self,
+        bytes: &[u8],
+        socket: PassedSocket<'_, Watched<TcpStream>, WatchedListener>,
+    ) -> io::Result<usize> {
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+        let mut control = SendAncillaryBuffer::new(&mut space);
+        let descriptors = match &socket {
+            PassedSocket::None => None,
+            PassedSocket::Stream(stream) => Some([stream.as_fd()]),
+            PassedSocket::Listener(listener) => Some([listener.socket().as_fd()]),
+        };
+        if let Some(descriptors) = &descriptors
+            && !control.push(SendAncillaryMessage::ScmRights(descriptors))
+        {
+            return Err(io::ErrorKind::InvalidInput.into());
+        }
+        match sendmsg(self.stream.as_fd(), &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL) {
+            // The system limits the descriptors in flight: the other side has to read first.
+            Err(rustix::io::Errno::TOOMANYREFS) => Err(io::ErrorKind::WouldBlock.into()),
+            other => Ok(other?),
+        }
+    }
 
-fn linked(system: &Real, stream: UnixStream, key: usize) -> io::Result<UnixKin> {
-    // Guards against a process of another user at a socket that this one may connect to.
-    if sockopt::socket_peercred(&stream)?.uid != geteuid() {
-        return Err(not_ours());
+    fn receive(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_READ))];
+        let mut control = RecvAncillaryBuffer::new(&mut space);
+        let mut buffers = [IoSliceMut::new(buffer)];
+        let received = recvmsg(self.stream.as_fd(), &mut buffers, &mut control, RecvFlags::CMSG_CLOEXEC)?;
+        for message in control.drain() {
+            if let RecvAncillaryMessage::ScmRights(descriptors) = message {
+                self.received.extend(descriptors);
+            }
+        }
+        // Guards against taking one connection for another after the system dropped descriptors.
+        if received.flags.contains(ReturnFlags::CTRUNC) {
+            return Err(io::ErrorKind::InvalidData.into());
+        }
+        Ok(received.bytes)
     }
-    stream.set_nonblocking(true)?;
-    let stream = Watched::new(system.poller(), stream, key, true, false)?;
-    Ok(UnixKin { stream, system: system.clone(), came: VecDeque::new() })
-}
 
-/// Connects to the process that listens there.
-pub(super) fn connect(system: &Real, at: &Path, key: usize) -> io::Result<UnixKin> {
-    is_ours(at)?;
-    linked(system, UnixStream::connect(at)?, key)
-}
+    fn take_stream(&mut self, key: usize) -> io::Result<Watched<TcpStream>> {
+        let descriptor = self.next_descriptor()?;
+        tcp::watch_stream(&self.poller, TcpStream::from(descriptor), key, false)
+    }
 
-/// Listens there, in place of what is there.
-pub(super) fn door(system: &Real, at: &Path, key: usize) -> io::Result<Door> {
-    match is_ours(at) {
-        Ok(()) => fs::remove_file(at)?,
-        Err(e) if e.kind() == io::ErrorKind::NotFound => {}
-        Err(e) => return Err(e),
+    fn take_listener(&mut self, key: usize) -> io::Result<WatchedListener> {
+        let descriptor = self.next_descriptor()?;
+        WatchedListener::new(&self.poller, TcpListener::from(descriptor), key, false)
     }
-    let listener = UnixListener::bind(at)?;
-    listener.set_nonblocking(true)?;
-    let listener = Watched::new(system.poller(), listener, key, true, false)?;
-    Ok(Door { listener, system: system.clone() })
-}
 
-/// Locks the file, unless another process has.
-pub(super) fn claim(at: &Path) -> io::Result<Option<Lock>> {
-    let open = File::options().create(true).append(true).mode(0o600).custom_flags(O_NOFOLLOW).open(at);
-    let file = open?;
-    if file.metadata()?.uid() != geteuid().as_raw() {
-        return Err(not_ours());
+    fn watch(&mut self, reading: bool, writing: bool) -> io::Result<()> {
+        self.stream.watch(reading, writing)
     }
-    match file.try_lock() {
-        Ok(()) => Ok(Some(Lock { file })),
-        Err(TryLockError::WouldBlock) => Ok(None),
-        Err(TryLockError::Error(e)) => Err(e),
+}
+
+/// A Unix socket that other processes of this node connect to.
+#[derive(Debug)]
+pub struct UnixHandoverListener {
+    listener: Watched<UnixListener>,
+    poller: Rc<Poller>,
+}
+
+impl UnixHandoverListener {
+    /// Listens at this path, in place of a socket that an earlier process has left there.
+    pub(super) fn bind(poller: &Rc<Poller>, path: &Path, key: usize) -> io::Result<Self> {
+        match check_owner(path) {
+            Ok(()) => fs::remove_file(path)?,
+            Err(error) if error.kind() == io::ErrorKind::NotFound => {}
+            Err(error) => return Err(error),
+        }
+        let listener = UnixListener::bind(path)?;
+        listener.set_nonblocking(true)?;
+        let listener = Watched::new(poller, listener, key, true, false)?;
+        Ok(UnixHandoverListener { listener, poller: poller.clone() })
     }
 }
 
-impl Listener for Door {
-    type Stream = UnixKin;
+impl Listener for UnixHandoverListener {
+    type Stream = UnixHandoverLink;
 
-    fn accept(&self, key: usize) -> io::Result<UnixKin> {
-        linked(&self.system, self.listener.accept()?.0, key)
+    fn accept(&self, key: usize) -> io::Result<UnixHandoverLink> {
+        let (stream, _) = self.listener.accept()?;
+        UnixHandoverLink::new(&self.poller, stream, key)
     }
 
     fn watch(&mut self, reading: bool) -> io::Result<()> {
@@ -123,64 +158,45 @@
     }
 }
 
-impl UnixKin {
-    fn next(&mut self) -> io::Result<OwnedFd> {
-        self.came.pop_front().ok_or_else(|| io::ErrorKind::InvalidData.into())
-    }
+/// A locked file. Its length is the number of generation marks.
+#[derive(Debug)]
+pub struct FileLock {
+    file: File,
 }
 
-impl Kin for UnixKin {
-    type Stream = Watched<TcpStream>;
-    type Listener = Incoming;
-
-    fn send(&mut self, bytes: &[u8], with: Passed<'_, Watched<TcpStream>, Incoming>) -> io::Result<usize> {
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut control = SendAncillaryBuffer::new(&mut space);
-        let fds = match &with {
-            Passed::Nothing => None,
-            Passed::Stream(stream) => Some([stream.as_fd()]),
-            Passed::Listener(listener) => Some([listener.listener.as_fd()]),
-        };
-        if let Some(fds) = &fds
-            && !control.push(SendAncillaryMessage::ScmRights(fds))
-        {
-            return Err(io::ErrorKind::InvalidInput.into());
+impl FileLock {
+    /// Locks the file, unless another process has locked it.
+    pub(super) fn try_acquire(path: &Path) -> io::Result<Option<Self>> {
+        let mut options = File::options();
+        options.create(true).append(true).mode(0o600).custom_flags(O_NOFOLLOW);
+        let file = options.open(path)?;
+        if file.metadata()?.uid() != geteuid().as_raw() {
+            return Err(foreign_owner());
         }
-        match sendmsg(self.stream.as_fd(), &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL) {
-            // Too many are under way: the other side has to read first.
-            Err(rustix::io::Errno::TOOMANYREFS) => Err(io::ErrorKind::WouldBlock.into()),
-            other => Ok(other?),
+        match file.try_lock() {
+            Ok(()) => Ok(Some(FileLock { file })),
+            Err(TryLockError::WouldBlock) => Ok(None),
+            Err(TryLockError::Error(error)) => Err(error),
         }
     }
+}
 
-    fn receive(&mut self, buf: &mut [u8]) -> io::Result<usize> {
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_TAKEN))];
-        let mut control = RecvAncillaryBuffer::new(&mut space);
-        let read =
-            recvmsg(self.stream.as_fd(), &mut [IoSliceMut::new(buf)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
-        for message in control.drain() {
-            if let RecvAncillaryMessage::ScmRights(fds) = message {
-                self.came.extend(fds);
-            }
-        }
-        // Guards against taking one connection for another after some were dropped on the way.
-        if read.flags.contains(ReturnFlags::CTRUNC) {
-            return Err(io::ErrorKind::InvalidData.into());
-        }
-        Ok(read.bytes)
+impl ServiceLock for FileLock {
+    fn generation_marks(&self) -> io::Result<u64> {
+        Ok(self.file.metadata()?.len())
     }
 
-    fn take_stream(&mut self, key: usize) -> io::Result<Watched<TcpStream>> {
-        let fd = self.next()?;
-        self.system.stream(TcpStream::from(fd), key, false)
+    fn add_generation_mark(&self) -> io::Result<()> {
+        (&self.file).write_all(b".")
     }
+}
 
-    fn take_listener(&mut self, key: usize) -> io::Result<Incoming> {
-        let fd = self.next()?;
-        self.system.incoming(TcpListener::from(fd), key, false)
-    }
+/// Refuses a path that belongs to another user.
+fn check_owner(path: &Path) -> io::Result<()> {
+    let owner = fs::symlink_metadata(path)?.uid();
+    if owner == geteuid().as_raw() { Ok(()) } else { Err(foreign_owner()) }
+}
 
-    fn watch(&mut self, reading: bool, writing: bool) -> io::Result<()> {
-        self.stream.watch(reading, writing)
-    }
+fn foreign_owner() -> io::Error {
+    io::Error::new(io::ErrorKind::PermissionDenied, "it is another user's")
 }
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -9,10 +9,10 @@
 pub mod link;
 pub mod poll;
 pub mod real;
+pub mod tcp;
 
 use gaugestand_admission::log_record::RecoveredLog;
-use gaugestand_admission::time::Micros;
-use gaugestand_admission::time::Moment;
+use gaugestand_admission::time::{Micros, Moment};
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::Options;
 use std::fmt::Debug;
@@ -46,11 +46,11 @@
     type Worker: Worker;
 
     /// A link to another process of this node.
-    type Kin: Kin<Stream = Self::Stream, Listener = Self::Listener>;
-    /// Where such links come in.
-    type Door: Listener<Stream = Self::Kin>;
-    /// What makes this process the node; given back when dropped.
-    type Claim: Claim;
+    type HandoverLink: HandoverLink<Stream = Self::Stream, Listener = Self::Listener>;
+    /// Where other processes of this node connect.
+    type HandoverListener: Listener<Stream = Self::HandoverLink>;
+    /// The lock that makes this process the active one; released when dropped.
+    type ServiceLock: ServiceLock;
 
     /// The time on both clocks; the monotonic one starts well above zero.
     fn moment(&self) -> Moment;
@@ -78,13 +78,15 @@
         key: usize,
     ) -> Result<(Self::Worker, RecoveredLog), String>;
     /// Listens for other processes of this node, in place of a socket that nobody answers at.
-    fn door(&self, at: &Path, key: usize) -> io::Result<Self::Door>;
+    fn listen_for_handover(&self, path: &Path, key: usize) -> io::Result<Self::HandoverListener>;
     /// Connects to another process of this node.
-    fn kin(&self, at: &Path, key: usize) -> io::Result<Self::Kin>;
-    /// Takes the claim at this path, unless another process holds it; the system lets go of it with the process.
-    fn claim(&self, at: &Path) -> io::Result<Option<Self::Claim>>;
-    /// From now on the monotonic clock is that of another process, as it read both clocks a moment ago.
-    fn align(&self, other: Moment);
+    fn connect_for_handover(&self, path: &Path, key: usize) -> io::Result<Self::HandoverLink>;
+    /// Acquires the service lock at this path, unless another process holds it. The operating system releases it when
+    /// this process dies.
+    fn try_service_lock(&self, path: &Path) -> io::Result<Option<Self::ServiceLock>>;
+    /// From now on the monotonic clock is that of another process, which read both clocks as `other` a moment ago. It never
+    /// goes back.
+    fn align_clock(&self, other: Moment);
     /// Waits until something is ready, for this long at most, and puts it in place of what `ready` held.
     fn wait(&self, most: Micros, ready: &mut Vec<Ready>) -> io::Result<()>;
 }
@@ -132,39 +134,46 @@
     fn woken(&mut self);
 }
 
-/// A link to another process of this node: bytes, and sockets that go along with them.
-pub trait Kin: Debug {
+/// A link to another process of this node: a stream of bytes, with sockets that are passed along.
+pub trait HandoverLink: Debug {
     /// Connections that can be passed.
     type Stream;
     /// Listening sockets that can be passed.
     type Listener;
-    /// Sends bytes, and a socket with the first of them.
-    fn send(&mut self, bytes: &[u8], with: Passed<'_, Self::Stream, Self::Listener>) -> io::Result<usize>;
-    /// Reads bytes; sockets that come along are kept in their order.
-    fn receive(&mut self, buf: &mut [u8]) -> io::Result<usize>;
-    /// The next socket that came, as a connection watched for reading under this key.
+    /// Sends bytes, and a socket with the first of them; returns how many bytes were sent.
+    fn send(
+        &mut self,
+        bytes: &[u8],
+        socket: PassedSocket<'_, Self::Stream, Self::Listener>,
+    ) -> io::Result<usize>;
+    /// Reads bytes; sockets that come along are kept in order until they are taken.
+    fn receive(&mut self, buffer: &mut [u8]) -> io::Result<usize>;
+    /// Takes the next socket that was received, as a connection watched for reading under this key.
     fn take_stream(&mut self, key: usize) -> io::Result<Self::Stream>;
-    /// The next socket that came, as a listener that is not watched yet.
+    /// Takes the next socket that was received, as a listener that is not watched yet.
     fn take_listener(&mut self, key: usize) -> io::Result<Self::Listener>;
     /// Changes what the link is watched for.
     fn watch(&mut self, reading: bool, writing: bool) -> io::Result<()>;
 }
 
-/// A socket that goes along with bytes. It stays open on this side.
+/// A socket that is passed along with bytes. It stays open in this process too.
 #[derive(Debug)]
-pub enum Passed<'a, T, L> {
+pub enum PassedSocket<'a, S, L> {
     /// None.
-    Nothing,
+    None,
     /// A connection.
-    Stream(&'a T),
+    Stream(&'a S),
     /// A listening socket.
     Listener(&'a L),
 }
 
-/// What makes this process the node. Marks on it outlast its holder.
-pub trait Claim: Debug {
-    /// How many marks it has.
-    fn marks(&self) -> io::Result<u64>;
-    /// Makes one more.
-    fn mark(&self) -> io::Result<()>;
+/// The lock that makes a process the active one of its node.
+///
+/// Generation marks outlast its holder. A predecessor sends their number with its state, and adds one if it reclaims the
+/// lock afterwards: a successor that finds more marks than it was sent knows that the state is out of date.
+pub trait ServiceLock: Debug {
+    /// The number of generation marks.
+    fn generation_marks(&self) -> io::Result<u64>;
+    /// Adds one.
+    fn add_generation_mark(&self) -> io::Result<()>;
 }
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -1,11 +1,11 @@
 //! The machine that the program runs on: its sockets, clocks and signals, by polling, socket2 and rustix.
 
-use super::handover_socket::{self, Door, Lock, UnixKin};
+use super::handover_socket::{FileLock, UnixHandoverLink, UnixHandoverListener};
 use super::poll::{Watched, wait};
-use super::{Datagram, Listener, Ready, Stream, System, Worker};
+use super::tcp::{self, WatchedListener};
+use super::{Datagram, Ready, System, Worker};
 use gaugestand_admission::log_record::RecoveredLog;
-use gaugestand_admission::time::Micros;
-use gaugestand_admission::time::Moment;
+use gaugestand_admission::time::{Micros, Moment};
 use gaugestand_idempotency::consensus_log::ConsensusLog;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::{Options, Sqlite};
@@ -13,8 +13,8 @@
 use polling::Poller;
 use socket2::{Domain, Protocol, Socket, Type};
 use std::cell::Cell;
-use std::io::{self, Read, Write};
-use std::net::{Ipv4Addr, Ipv6Addr, Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
+use std::io::{self, Read};
+use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::os::unix::net::UnixStream;
 use std::path::Path;
 use std::rc::Rc;
@@ -39,32 +39,6 @@
         Ok(Real { poller: Rc::new(Poller::new()?), origin: Instant::now(), base })
     }
 
-    /// The poller that watches all of it.
-    pub(super) fn poller(&self) -> &Rc<Poller> {
-        &self.poller
-    }
-
-    pub(super) fn stream(
-        &self,
-        stream: TcpStream,
-        key: usize,
-        writing: bool,
-    ) -> io::Result<Watched<TcpStream>> {
-        stream.set_nonblocking(true)?;
-        stream.set_nodelay(true)?;
-        Watched::new(&self.poller, stream, key, true, writing)
-    }
-}
-
-impl Real {
-    pub(super) fn incoming(&self, listener: TcpListener, key: usize, reading: bool) -> io::Result<Incoming> {
-        listener.set_nonblocking(true)?;
-        let listener = Watched::new(&self.poller, listener, key, reading, false)?;
-        Ok(Incoming { listener, system: self.clone() })
-    }
-}
-
-impl Real {
     /// A thread that does a file's blocking work.
     fn worker(&self, backend: impl worker::Backend, key: usize) -> io::Result<Thread> {
         let (ours, theirs) = UnixStream::pair()?;
@@ -76,13 +50,13 @@
 
 impl System for Real {
     type Stream = Watched<TcpStream>;
-    type Listener = Incoming;
+    type Listener = WatchedListener;
     type Datagram = Reports;
     type Signals = Pipe;
     type Worker = Thread;
-    type Kin = UnixKin;
-    type Door = Door;
-    type Claim = Lock;
+    type HandoverLink = UnixHandoverLink;
+    type HandoverListener = UnixHandoverListener;
+    type ServiceLock = FileLock;
 
     fn moment(&self) -> Moment {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -90,8 +64,8 @@
         Moment { mono, wall: Micros(unix.as_micros() as u64) }
     }
 
-    fn listen(&self, at: SocketAddr, key: usize) -> io::Result<Incoming> {
-        self.incoming(TcpListener::bind(at)?, key, true)
+    fn listen(&self, at: SocketAddr, key: usize) -> io::Result<WatchedListener> {
+        WatchedListener::new(&self.poller, TcpListener::bind(at)?, key, true)
     }
 
     fn connect(&self, to: SocketAddr, key: usize) -> io::Result<Self::Stream> {
@@ -101,7 +75,7 @@
             Err(e) if e.raw_os_error() != Some(EINPROGRESS) && e.kind() != io::ErrorKind::WouldBlock => {
                 Err(e)
             }
-            _ => self.stream(socket.into(), key, true),
+            _ => tcp::watch_stream(&self.poller, socket.into(), key, true),
         }
     }
 
@@ -141,22 +115,22 @@
         Ok((self.worker(consensus_log, key).map_err(|e| format!("agreed log: {e}"))?, found))
     }
 
-    fn door(&self, at: &Path, key: usize) -> io::Result<Door> {
-        handover_socket::door(self, at, key)
+    fn listen_for_handover(&self, path: &Path, key: usize) -> io::Result<UnixHandoverListener> {
+        UnixHandoverListener::bind(&self.poller, path, key)
     }
 
-    fn kin(&self, at: &Path, key: usize) -> io::Result<UnixKin> {
-        handover_socket::connect(self, at, key)
+    fn connect_for_handover(&self, path: &Path, key: usize) -> io::Result<UnixHandoverLink> {
+        UnixHandoverLink::connect(&self.poller, path, key)
     }
 
-    fn claim(&self, at: &Path) -> io::Result<Option<Lock>> {
-        handover_socket::claim(at)
+    fn try_service_lock(&self, path: &Path) -> io::Result<Option<FileLock>> {
+        FileLock::try_acquire(path)
     }
 
-    fn align(&self, other: Moment) {
+    fn align_clock(&self, other: Moment) {
         let here = self.moment();
         let there = other.mono.plus(here.wall.since(other.wall));
-        // Forward alone: what was read before stays in the past.
+        // Forward only: times that were read before stay in the past.
         self.base.set(self.base.get().plus(there.since(here.mono)));
     }
 
@@ -165,69 +139,6 @@
     }
 }
 
-impl Stream for Watched<TcpStream> {
-    fn watch(&mut self, reading: bool, writing: bool) -> io::Result<()> {
-        Watched::watch(self, reading, writing)
-    }
-
-    fn is_made(&self) -> bool {
-        matches!(self.take_error(), Ok(None)) && self.peer_addr().is_ok()
-    }
-
-    fn has_unread(&self) -> bool {
-        matches!(self.peek(&mut [0]), Ok(n) if n > 0)
-    }
-
-    fn shut_writing(&mut self) -> io::Result<()> {
-        (**self).shutdown(Shutdown::Write)
-    }
-}
-
-impl Read for Watched<TcpStream> {
-    fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
-        (**self).read(buf)
-    }
-}
-
-impl Write for Watched<TcpStream> {
-    fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        (**self).write(buf)
-    }
-
-    fn write_vectored(&mut self, bufs: &[io::IoSlice<'_>]) -> io::Result<usize> {
-        (**self).write_vectored(bufs)
-    }
-
-    fn flush(&mut self) -> io::Result<()> {
-        Ok(())
-    }
-}
-
-/// A listening socket.
-#[derive(Debug)]
-pub struct Incoming {
-    pub(super) listener: Watched<TcpListener>,
-    system: Real,
-}
-
-impl Listener for Incoming {
-    type Stream = Watched<TcpStream>;
-
-    fn accept(&self, key: usize) -> io::Result<Self::Stream> {
-        let (stream, _) = self.listener.accept()?;
-        // One that cannot be set up is let go of; the next may do better.
-        self.system.stream(stream, key, false).map_err(|_| io::ErrorKind::ConnectionAborted.into())
-    }
-
-    fn watch(&mut self, reading: bool) -> io::Result<()> {
-        self.listener.watch(reading, false)
-    }
-
-    fn address(&self) -> Option<SocketAddr> {
-        self.listener.local_addr().ok()
-    }
-}
-
 /// A socket for datagrams to one address.
 #[derive(Debug)]
 pub struct Reports {
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -8,7 +8,9 @@
 use gaugestand_admission::time::Moment;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::Options;
-use gaugestand_node::io::{Claim, Datagram, Kin, Listener, Passed, Ready, Stream, System, Worker};
+use gaugestand_node::io::{
+    Datagram, HandoverLink, Listener, PassedSocket, Ready, ServiceLock, Stream, System, Worker,
+};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::cell::RefCell;
@@ -351,9 +353,9 @@
     type Datagram = Reports;
     type Signals = Told;
     type Worker = NoStore;
-    type Kin = Nobody;
-    type Door = Nobody;
-    type Claim = Nobody;
+    type HandoverLink = NoProcess;
+    type HandoverListener = NoProcess;
+    type ServiceLock = NoProcess;
 
     fn moment(&self) -> Moment {
         self.0.borrow().moment()
@@ -388,19 +390,19 @@
         Err(format!("{}: there is no disk in this world yet", path.display()))
     }
 
-    fn door(&self, _: &Path, _: usize) -> io::Result<Nobody> {
+    fn listen_for_handover(&self, _: &Path, _: usize) -> io::Result<NoProcess> {
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    fn kin(&self, _: &Path, _: usize) -> io::Result<Nobody> {
+    fn connect_for_handover(&self, _: &Path, _: usize) -> io::Result<NoProcess> {
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    fn claim(&self, _: &Path) -> io::Result<Option<Nobody>> {
+    fn try_service_lock(&self, _: &Path) -> io::Result<Option<NoProcess>> {
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    fn align(&self, _: Moment) {}
+    fn align_clock(&self, _: Moment) {}
 
     fn wait(&self, _: Micros, ready: &mut Vec<Ready>) -> io::Result<()> {
         *ready = self.0.borrow().ready();
@@ -410,13 +412,13 @@
 
 /// Another process of the node: there is none in this world yet.
 #[derive(Debug)]
-pub enum Nobody {}
+pub enum NoProcess {}
 
-impl Kin for Nobody {
+impl HandoverLink for NoProcess {
     type Stream = Pipe;
     type Listener = Door;
 
-    fn send(&mut self, _: &[u8], _: Passed<'_, Pipe, Door>) -> io::Result<usize> {
+    fn send(&mut self, _: &[u8], _: PassedSocket<'_, Pipe, Door>) -> io::Result<usize> {
         match *self {}
     }
 
@@ -437,20 +439,20 @@
     }
 }
 
-impl Claim for Nobody {
-    fn marks(&self) -> io::Result<u64> {
+impl ServiceLock for NoProcess {
+    fn generation_marks(&self) -> io::Result<u64> {
         match *self {}
     }
 
-    fn mark(&self) -> io::Result<()> {
+    fn add_generation_mark(&self) -> io::Result<()> {
         match *self {}
     }
 }
 
-impl Listener for Nobody {
-    type Stream = Nobody;
+impl Listener for NoProcess {
+    type Stream = NoProcess;
 
-    fn accept(&self, _: usize) -> io::Result<Nobody> {
+    fn accept(&self, _: usize) -> io::Result<NoProcess> {
         match *self {}
     }
 
