--- a/crates/node/src/handover_link.rs
+++ b/crates/node/src/handover_link/mod.rs
@@ -250,6 +250,3 @@
     let frame = ciborium::from_reader(&mut left).map_err(|_| "a frame that cannot be read")?;
     if left.is_empty() { Ok(Some((len + 4, frame))) } else { Err("a frame with more behind it") }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/node/src/handover_link/tests.rs
+++ b/crates/node/tests/handover_link.rs
@@ -1,6 +1,9 @@
 //! Frames between processes, whole, cut and spoilt.
 
-use super::*;
+use gaugestand_admission::RequestId;
+use gaugestand_admission::engine::CallOutcome;
+use gaugestand_admission::time::Micros;
+use gaugestand_node::handover_link::{Frame, frame};
 
 // Guards against a half written or spoilt frame that is taken for another one, or ends the process.
 #[test]
