--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -6,7 +6,7 @@
 use super::connections::{self, ConnId, MOST_OPEN, Open, Table};
 use super::counters::Counters;
 use super::fastcgi::{self, Record, kind};
-use super::handover_link::Place;
+use super::handover_link::FrontAttempt;
 use super::health_checks::Checks;
 use super::idempotency_store::{self, Keeper};
 use super::io::clock::Clock;
@@ -117,7 +117,7 @@
     /// The classes, as requests know them.
     slots: ClassSlots,
     keyed: Vec<bool>,
-    attempts: BTreeMap<RequestId, Place>,
+    attempts: BTreeMap<RequestId, FrontAttempt>,
     /// Other processes of this node.
     kin: Kindred<S>,
     checks: Checks,
@@ -726,7 +726,8 @@
             c.open.insert(fcgi, Open::Owed(t.id, keeps));
         }
         let (id, class) = (t.id, t.class);
-        let place = Place { id, conn, fcgi, class, body, call: Vec::new(), call_notice: 0, open: true };
+        let place =
+            FrontAttempt { id, conn, fcgi, class, body, call: Vec::new(), call_notice: 0, open: true };
         self.attempts.insert(t.id, place);
         if let Some(peers) = &mut self.peers {
             peers.taken(self.clock.now(), t.id, t.router);
--- a/crates/node/src/event_loop/handover.rs
+++ b/crates/node/src/event_loop/handover.rs
@@ -2,7 +2,7 @@
 //! after it, the claim, and what passes between them.
 
 use super::*;
-use crate::handover_link::{self, Broken, Frame, Rest, Wire, With};
+use crate::handover_link::{self, AttachedSocket, FinalState, Frame, FramedLink, LinkError};
 use crate::io::{Listener, PassedSocket, ServiceLock as _};
 use gaugestand_admission::handover::{Action, Event, Handover, Role};
 use std::collections::BTreeSet;
@@ -43,16 +43,16 @@
     /// Marks on the claim when the elder let go of it.
     marks: u64,
     /// To the process before this one, and to the one after it.
-    up: Option<Wire<S>>,
-    down: Option<Wire<S>>,
+    up: Option<FramedLink<S>>,
+    down: Option<FramedLink<S>>,
     /// The elder's listening socket.
     spare: Option<S::Listener>,
     /// The elder drains: it hands nothing over but keys, and this process follows once it has ended.
     behind_drain: bool,
     /// What the elder has sent at its end, and its connections' names there and here.
     conns: BTreeMap<ConnId, ConnId>,
-    places: Vec<handover_link::Place>,
-    rest: Option<Box<Rest>>,
+    places: Vec<handover_link::FrontAttempt>,
+    rest: Option<Box<FinalState>>,
     /// Ends of calls that nobody may be told of yet.
     ends: Vec<Ended>,
     /// The heir was told that it knows all keys.
@@ -128,7 +128,7 @@
             if claim.is_none() {
                 if let Ok(kin) = system.connect_for_handover(&socket, UP) {
                     let mut found = Kindred::new(Handover::successor(), Some((socket, lock)));
-                    found.up = Some(Wire::new(kin));
+                    found.up = Some(FramedLink::new(kin));
                     tracing::info!("another process of this node serves; waiting to take over from it");
                     return Ok((found, None));
                 }
@@ -242,7 +242,7 @@
                         while wire.read().is_ok_and(|n| n > 0) {}
                     }
                     let (frames, _) = self.frames(|kin| kin.down.as_mut());
-                    if frames.iter().any(|frame| matches!(frame, Frame::Taken)) {
+                    if frames.iter().any(|frame| matches!(frame, Frame::TakenOver)) {
                         self.happen(Event::TakenOver);
                     }
                     self.happen(Event::SuccessorRead);
@@ -272,7 +272,7 @@
             let free = self.kin.down.is_none();
             let Ok(kin) = door.accept(if free { DOWN } else { TURNED_AWAY }) else { return };
             if free && self.kin.machine.role() == Role::Alone {
-                self.kin.down = Some(Wire::new(kin));
+                self.kin.down = Some(FramedLink::new(kin));
                 self.happen(Event::Linked);
             }
         }
@@ -285,7 +285,10 @@
         idempotency.mirror(true);
         let secret = idempotency.secret();
         if let Some(wire) = &mut self.kin.down {
-            wire.say(&Frame::Hello { moment, secret, leaving: self.leaving }, With::Listener);
+            wire.queue(
+                &Frame::Hello { moment, fingerprint_secret: secret, draining: self.leaving },
+                AttachedSocket::Listener,
+            );
         }
         // Both processes' descriptors count.
         self.table.lend(SECOND + admin::SOCKETS + store::lanes_within(self.config.sockets));
@@ -297,23 +300,23 @@
         let Some(wire) = &mut self.kin.down else { return true };
         if self.kin.machine.role() == Role::Predecessor {
             while wire.has_room() {
-                let copies = self.engine.idempotency().copies(handover_link::KEYS);
+                let copies = self.engine.idempotency().copies(handover_link::KEYS_PER_FRAME);
                 if copies.is_empty() {
                     break;
                 }
-                wire.say(&Frame::Keys(copies), With::Nothing);
+                wire.queue(&Frame::Keys(copies), AttachedSocket::None);
             }
         }
         self.write_down();
         let Some(wire) = &mut self.kin.down else { return true };
-        let all = wire.is_written() && !self.engine.idempotency().is_behind();
+        let all = wire.is_flushed() && !self.engine.idempotency().is_behind();
         if self.kin.machine.role() == Role::Predecessor && !self.kin.synced && all {
             // From here on what is said has to be written before the kernel hears of it.
             self.kin.synced = true;
-            wire.say(&Frame::Synced, With::Nothing);
+            wire.queue(&Frame::KeysComplete, AttachedSocket::None);
             self.write_down();
         }
-        let unwritten = self.kin.down.as_ref().is_some_and(|wire| !wire.is_written());
+        let unwritten = self.kin.down.as_ref().is_some_and(|wire| !wire.is_flushed());
         let behind = unwritten || self.engine.idempotency().is_behind();
         if !behind || !self.kin.synced || self.kin.machine.role() != Role::Predecessor {
             self.kin.held_up = None;
@@ -334,17 +337,18 @@
         let Some(wire) = &mut self.kin.down else { return };
         let table = &self.table;
         let socket = |with| match with {
-            With::Nothing => Some(PassedSocket::None),
-            With::Listener => table.listener().map(PassedSocket::Listener),
-            With::Conn(id) => table.stream(id).map(PassedSocket::Stream),
+            AttachedSocket::None => Some(PassedSocket::None),
+            AttachedSocket::Listener => table.listener().map(PassedSocket::Listener),
+            AttachedSocket::Connection(id) => table.stream(id).map(PassedSocket::Stream),
         };
-        if let Err(broken) = wire.write(socket) {
+        if let Err(broken) = wire.flush(socket) {
             self.down_broke(&broken);
         }
     }
 
-    fn down_broke(&mut self, broken: &Broken) {
-        if let Broken::Framing(why) = broken {
+    fn down_broke(&mut self, broken: &LinkError) {
+        if broken.is_protocol_error() {
+            let why = broken.to_string();
             tracing::warn!(why, "the link to the new process");
         }
         self.kin.down = None;
@@ -358,7 +362,7 @@
         let frames = self.frames(|kin| kin.down.as_mut());
         for frame in frames.0 {
             match frame {
-                Frame::Taken => self.happen(Event::TakenOver),
+                Frame::TakenOver => self.happen(Event::TakenOver),
                 Frame::DropCall(id) => self.drop_call(id),
                 _ => {}
             }
@@ -371,8 +375,8 @@
     /// The whole frames that a link has.
     fn frames(
         &mut self,
-        of: impl Fn(&mut Kindred<S>) -> Option<&mut Wire<S>>,
-    ) -> (Vec<Frame>, Result<(), Broken>) {
+        of: impl Fn(&mut Kindred<S>) -> Option<&mut FramedLink<S>>,
+    ) -> (Vec<Frame>, Result<(), LinkError>) {
         let mut frames = Vec::new();
         while let Some(wire) = of(&mut self.kin) {
             match wire.next_frame() {
@@ -400,32 +404,32 @@
         self.kernel.unlink();
         self.kin.inherited.iter_mut().for_each(|i| i.kernel.unlink());
         let calls = self.store.out().into_iter().chain(self.kin.remote.iter().copied()).collect();
-        let rest = Rest {
+        let rest = FinalState {
             engine: self.engine.snapshot(),
             kernels,
-            calls,
-            classes: self.slots.names().to_vec(),
-            idle: self.table.idle(),
+            outbound_calls: calls,
+            class_names: self.slots.names().to_vec(),
+            idle_timeout: self.table.idle(),
         };
         let Some(wire) = &mut self.kin.down else { return };
         loop {
-            let copies = self.engine.idempotency().copies(handover_link::KEYS);
+            let copies = self.engine.idempotency().copies(handover_link::KEYS_PER_FRAME);
             if copies.is_empty() {
                 break;
             }
-            wire.say(&Frame::Keys(copies), With::Nothing);
+            wire.queue(&Frame::Keys(copies), AttachedSocket::None);
         }
         for conn in self.table.snapshot() {
             let id = conn.id;
-            wire.say(&Frame::Conn(Box::new(conn)), With::Conn(id));
+            wire.queue(&Frame::Connection(Box::new(conn)), AttachedSocket::Connection(id));
         }
         for place in self.attempts.values() {
-            wire.say(&Frame::Attempt(Box::new(place.clone())), With::Nothing);
+            wire.queue(&Frame::Attempt(Box::new(place.clone())), AttachedSocket::None);
         }
-        wire.say(&Frame::Rest(Box::new(rest)), With::Nothing);
+        wire.queue(&Frame::FinalState(Box::new(rest)), AttachedSocket::None);
         let marks =
             self.kin.claim.as_ref().and_then(|claim| claim.generation_marks().ok()).unwrap_or_default();
-        wire.say(&Frame::Over(marks), With::Nothing);
+        wire.queue(&Frame::StateComplete(marks), AttachedSocket::None);
         self.kin.claim = None;
         self.write_down();
     }
@@ -455,7 +459,7 @@
         }
         for Ended { id, end, reply, lag } in ends {
             if let Some(wire) = &mut self.kin.down {
-                wire.say(&Frame::Called(id, end, reply, lag), With::Nothing);
+                wire.queue(&Frame::CallEnded(id, end, reply, lag), AttachedSocket::None);
             }
         }
     }
@@ -465,7 +469,7 @@
             return self.store.drop_call(id, &mut self.counters);
         }
         if let Some(wire) = &mut self.kin.up {
-            wire.say(&Frame::DropCall(id), With::Nothing);
+            wire.queue(&Frame::DropCall(id), AttachedSocket::None);
         }
     }
 
@@ -485,8 +489,9 @@
         }
     }
 
-    fn up_broke(&mut self, broken: &Broken) {
-        if let Broken::Framing(why) = broken {
+    fn up_broke(&mut self, broken: &LinkError) {
+        if broken.is_protocol_error() {
+            let why = broken.to_string();
             tracing::warn!(why, "the link to the process before this one");
         }
         self.kin.up = None;
@@ -497,7 +502,7 @@
         if !self.kin.machine.is_standby() {
             return;
         }
-        if matches!(broken, Broken::Framing(_)) {
+        if broken.is_protocol_error() {
             self.happen(Event::Unreadable);
             self.kin.next_look = self.clock.now().plus(GIVE_WAY);
         } else if self.kin.spare.is_some() {
@@ -508,11 +513,11 @@
         }
     }
 
-    fn hear(&mut self, frame: Frame) -> Result<(), Broken> {
+    fn hear(&mut self, frame: Frame) -> Result<(), LinkError> {
         let waits = matches!(self.kin.machine.role(), Role::Successor { .. });
         let Some(wire) = &mut self.kin.up else { return Ok(()) };
         match frame {
-            Frame::Hello { moment, secret, leaving } if waits => {
+            Frame::Hello { moment, fingerprint_secret: secret, draining: leaving } if waits => {
                 self.kin.behind_drain = leaving;
                 self.kin.spare = Some(wire.take_listener(LISTENER)?);
                 self.system.align_clock(moment);
@@ -524,26 +529,26 @@
             Frame::Keys(copies) if waits => {
                 copies.into_iter().for_each(|copy| self.engine.idempotency().adopt(copy));
             }
-            Frame::Synced if waits => self.happen(Event::KeysComplete),
-            Frame::Conn(conn) if waits => {
+            Frame::KeysComplete if waits => self.happen(Event::KeysComplete),
+            Frame::Connection(conn) if waits => {
                 let stream = wire.take_stream(self.table.next_key())?;
                 let there = conn.id;
                 let here = self.table.restore(stream, *conn);
                 self.kin.conns.insert(there, here);
             }
             Frame::Attempt(place) if waits => self.kin.places.push(*place),
-            Frame::Rest(rest) if waits => self.kin.rest = Some(rest),
-            Frame::Over(marks) if waits && self.kin.rest.is_some() => {
+            Frame::FinalState(rest) if waits => self.kin.rest = Some(rest),
+            Frame::StateComplete(marks) if waits && self.kin.rest.is_some() => {
                 self.kin.marks = marks;
                 self.happen(Event::StateComplete);
             }
-            Frame::Called(id, end, reply, lag) => {
+            Frame::CallEnded(id, end, reply, lag) => {
                 let ended = Ended { id, end, reply, lag };
                 if self.kin.remote.remove(&id) || !self.kin.machine.is_active() {
                     self.calls_ended(vec![ended]);
                 }
             }
-            _ => return Err(Broken::Framing("a frame out of order")),
+            _ => return Err(LinkError::OutOfOrder),
         }
         Ok(())
     }
@@ -553,7 +558,7 @@
         let now = self.clock.now();
         if let Some(wire) = &mut self.kin.up {
             // Before anything is done: an elder that does not read this goes on itself if this process dies.
-            wire.say(&Frame::Taken, With::Nothing);
+            wire.queue(&Frame::TakenOver, AttachedSocket::None);
         }
         self.write_up();
         let Some(rest) = self.kin.rest.take() else { return };
@@ -565,7 +570,7 @@
             }
             self.attempts.insert(place.id, place);
         }
-        self.slots = ClassSlots::from_parts(rest.classes, rest.engine.open_classes.clone());
+        self.slots = ClassSlots::from_parts(rest.class_names, rest.engine.open_classes.clone());
         self.figures.list(self.slots.names());
         self.engine.restore(rest.engine);
         self.engine.set_backend_linked(self.kernel.is_booted());
@@ -580,8 +585,8 @@
                 until,
             })
             .collect();
-        self.kin.remote = rest.calls.into_iter().collect();
-        if let Some(idle) = rest.idle {
+        self.kin.remote = rest.outbound_calls.into_iter().collect();
+        if let Some(idle) = rest.idle_timeout {
             self.table.set_idle(idle);
         }
         for (conn, fcgi) in self.table.checks() {
@@ -642,7 +647,7 @@
         let Some((socket, _)) = self.kin.paths.as_ref().filter(|_| looks) else { return };
         self.kin.next_look = now.plus(LOOK);
         match self.system.connect_for_handover(socket, UP) {
-            Ok(kin) => self.kin.up = Some(Wire::new(kin)),
+            Ok(kin) => self.kin.up = Some(FramedLink::new(kin)),
             // Nobody answers: it may have ended since, with keys that were never told.
             Err(_) => self.happen(Event::Unlinked),
         }
@@ -650,7 +655,7 @@
 
     fn write_up(&mut self) {
         let Some(wire) = &mut self.kin.up else { return };
-        if let Err(broken) = wire.write(|_| Some(PassedSocket::None)) {
+        if let Err(broken) = wire.flush(|_| Some(PassedSocket::None)) {
             self.up_broke(&broken);
         }
     }
@@ -658,7 +663,7 @@
     /// Lets go of the process before this one, once nothing is to come from it.
     fn let_go(&mut self) {
         if self.kin.machine.is_active() && self.kin.inherited.is_empty() && self.kin.remote.is_empty() {
-            let written = self.kin.up.as_ref().is_none_or(Wire::is_written);
+            let written = self.kin.up.as_ref().is_none_or(FramedLink::is_flushed);
             if written {
                 self.kin.up = None;
             }
