--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -29,7 +29,7 @@
 use gaugestand_admission::{Effect, RequestId, SettingsError, handover::Event as HandoverEvent};
 use gaugestand_idempotency::{Breaker, KeyTable};
 use gaugestand_settings::Backend;
-use handover::Kindred;
+use handover::HandoverState;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::collections::BTreeMap;
 use std::io::{self, Read};
@@ -47,10 +47,10 @@
 const RELOAD: usize = 4;
 const RECORD: usize = 5;
 const ADMIN: usize = 6;
-const DOOR: usize = 7;
-const UP: usize = 8;
-const DOWN: usize = 9;
-const TURNED_AWAY: usize = 10;
+const HANDOVER_LISTENER: usize = 7;
+const PREDECESSOR_LINK: usize = 8;
+const SUCCESSOR_LINK: usize = 9;
+const REFUSED_LINK: usize = 10;
 const CONSENSUS_LOG: usize = 11;
 const INHERITED: usize = 12;
 const FIRST_CALLER: usize = 16;
@@ -119,7 +119,7 @@
     keyed: Vec<bool>,
     attempts: BTreeMap<RequestId, FrontAttempt>,
     /// Other processes of this node.
-    kin: Kindred<S>,
+    handover: HandoverState<S>,
     checks: Checks,
     leave: S::Signals,
     print: S::Signals,
@@ -176,7 +176,7 @@
         let mut figures = Figures::default();
         figures.list(&config.classes);
         let mut table = Table::new(FIRST_CONN, config.sockets - others);
-        let (kin, listener) = Kindred::find(&system, &config)?;
+        let (handover, listener) = HandoverState::discover(&system, &config)?;
         match listener {
             Some(listener) => table.listen(listener),
             None => table.stop(true),
@@ -196,7 +196,7 @@
             slots: ClassSlots::new(&config.classes),
             keyed: config.keyed.clone(),
             attempts: BTreeMap::new(),
-            kin,
+            handover,
             checks: Checks::default(),
             leave,
             print,
@@ -217,7 +217,7 @@
 
     /// The address it listens at.
     pub fn address(&self) -> Option<std::net::SocketAddr> {
-        self.table.address().or_else(|| self.kin.address())
+        self.table.address().or_else(|| self.handover.inherited_address())
     }
 
     /// The address at which it answers operators' calls.
@@ -251,7 +251,8 @@
         for event in ready {
             self.take(*event);
         }
-        let wake = if self.kin.machine.is_active() { self.pass(ready.is_empty()) } else { self.pass_aside() };
+        let wake =
+            if self.handover.machine.is_active() { self.pass(ready.is_empty()) } else { self.run_inactive() };
         if self.is_over() {
             self.print_counters();
             return None;
@@ -265,11 +266,11 @@
     }
 
     fn is_over(&self) -> bool {
-        if self.kin.over {
+        if self.handover.exit {
             return true;
         }
         let Some(stop) = self.stop else { return false };
-        if !self.kin.machine.is_active() {
+        if !self.handover.machine.is_active() {
             return self.clock.now() >= stop;
         }
         let now = self.clock.now();
@@ -314,9 +315,9 @@
     /// What is due by now; then everything is written. `quiet` if nothing was ready. Returns when to do so again.
     fn pass(&mut self, quiet: bool) -> Micros {
         let now = self.clock.now();
-        self.tick_kin();
-        if !self.kin.machine.is_active() {
-            return self.pass_aside();
+        self.tick_handover();
+        if !self.handover.machine.is_active() {
+            return self.run_inactive();
         }
         if let Some(change) = self.kernel.tick(now) {
             self.kernel_changed(change);
@@ -361,7 +362,7 @@
             self.checks.wake(),
             self.record.wake(),
             self.admin.wake(),
-            self.kin.wake(),
+            self.handover.next_wakeup(),
             leaving,
             self.peers.as_ref().map(|f| f.wake()),
         ]);
@@ -374,7 +375,7 @@
         // connection breaks only once.
         loop {
             // What runs is known to the next process before the kernel hears of it.
-            let may = self.mirror();
+            let may = self.replicate_keys();
             let kernel = if may { self.kernel.flush(now) } else { None };
             let store = self.store.flush(now);
             let gone = self.table.flush(now, &mut self.counters);
@@ -385,7 +386,7 @@
             self.calls_ended(store);
             self.connections_gone(gone);
         }
-        self.flush_kin();
+        self.flush_handover();
         if let Some(peers) = &mut self.peers {
             peers.flush(now);
         }
@@ -397,18 +398,18 @@
         let now = self.clock.now();
         match event.key {
             // What is accepted after all was handed over would be lost.
-            LISTENER if self.kin.machine.is_active() => self.table.accept(now, &mut self.counters),
+            LISTENER if self.handover.machine.is_active() => self.table.accept(now, &mut self.counters),
             LISTENER => {}
             KERNEL => self.take_kernel(event),
-            DOOR => self.take_door(),
-            UP => self.take_up(event),
-            DOWN => self.take_down(event),
+            HANDOVER_LISTENER => self.accept_successors(),
+            PREDECESSOR_LINK => self.on_predecessor_ready(event),
+            SUCCESSOR_LINK => self.on_successor_ready(event),
             key if (INHERITED..FIRST_CALLER).contains(&key) => self.take_inherited(event),
             LEAVE => {
                 self.drain_signal(LEAVE);
                 // Said again in a drain it says nothing new: above all it hands nothing over.
                 if !self.leaving {
-                    self.happen(HandoverEvent::Terminate);
+                    self.on_handover_event(HandoverEvent::Terminate);
                 }
             }
             PRINT => {
@@ -437,7 +438,7 @@
                 self.calls_ended(ended);
             }
             key => {
-                let conn = self.table.at_key(key).filter(|_| self.kin.machine.is_active());
+                let conn = self.table.at_key(key).filter(|_| self.handover.machine.is_active());
                 if let Some(conn) = conn {
                     self.take_conn(conn, event.readable);
                 }
@@ -549,13 +550,16 @@
 
     /// Whether requests that come now are taken by this process, or why not.
     fn takes_clients(&mut self) -> Result<(), &'static str> {
-        if self.kin.is_ready() {
+        if self.handover.is_ready_to_take_over() {
             return Ok(());
         }
         let up = self.engine.is_started();
         let steps = [
-            (!self.kin.machine.is_retired(), "another process has taken over"),
-            (!self.kin.machine.is_standby(), "another process is the node, and its keys are not in place"),
+            (!self.handover.machine.is_retired(), "another process has taken over"),
+            (
+                !self.handover.machine.is_standby(),
+                "another process is the node, and its keys are not in place",
+            ),
             (self.stop.is_none(), "it leaves service"),
             (self.table.address().is_some(), "it does not listen"),
             (up, "its kernel is not up"),
@@ -847,7 +851,7 @@
         while let Some(notice) = self.kernel.next(&mut self.counters) {
             match notice {
                 Notice::Booted { cold, age } => {
-                    if !self.kin.note_booted(cold, age) {
+                    if !self.handover.note_backend_start(cold, age) {
                         self.report(EngineEvent::BackendStarted { cold, age });
                     }
                 }
@@ -868,10 +872,12 @@
     /// A kernel of a process before this one says something.
     fn take_inherited(&mut self, event: Ready) {
         let now = self.clock.now();
-        let Some(at) = self.kin.inherited.iter().position(|one| one.key == event.key) else { return };
-        let Some(one) = self.kin.inherited.get_mut(at) else { return };
+        let Some(at) = self.handover.inherited_kernels.iter().position(|one| one.key == event.key) else {
+            return;
+        };
+        let Some(one) = self.handover.inherited_kernels.get_mut(at) else { return };
         one.kernel.ready(now, event.readable, event.writable, &mut self.counters);
-        while let Some(one) = self.kin.inherited.get_mut(at) {
+        while let Some(one) = self.handover.inherited_kernels.get_mut(at) {
             let Some(notice) = one.kernel.next(&mut self.counters) else { return };
             if let Notice::Reap(id, _) | Notice::Invalid(Command::Sched, Some(id)) = &notice {
                 one.runs.remove(id);
@@ -915,7 +921,7 @@
 
     /// The kernel that has the run of a try, or is to have it.
     fn kernel_of(&mut self, id: RequestId) -> &mut Kernel<S> {
-        let inherited = self.kin.inherited.iter_mut().find(|one| one.runs.contains(&id));
+        let inherited = self.handover.inherited_kernels.iter_mut().find(|one| one.runs.contains(&id));
         inherited.map_or(&mut self.kernel, |one| &mut one.kernel)
     }
 
@@ -926,8 +932,8 @@
     }
 
     fn calls_ended(&mut self, calls: Vec<Ended>) {
-        if !self.kin.machine.is_active() {
-            return self.pass_on(calls);
+        if !self.handover.machine.is_active() {
+            return self.forward_call_outcomes(calls);
         }
         for call in calls {
             if let Some(reply) = &call.reply {
--- a/crates/node/src/event_loop/handover/mod.rs
+++ b/crates/node/src/event_loop/handover/mod.rs
@@ -1,719 +1,205 @@
-//! Carries out what `gaugestand_admission::succession` decides: the link to the process before this one and to the one
-//! after it, the claim, and what passes between them.
+//! The hand-over of service to and from other processes of this node: carries out what
+//! [`gaugestand_admission::handover`] decides.
+//!
+//! - `discovery`: search for an active process at the start, and again when it was lost;
+//! - `predecessor`: replication of keys to a successor, and handing over to it;
+//! - `successor`: receiving a predecessor's state, and taking over from it;
+//! - `remote_calls`: outbound calls that another process has made and still waits for;
+//! - `inherited_kernels`: kernel links of earlier processes whose runs continue.
 
 use super::*;
-use crate::handover_link::{self, AttachedSocket, FinalState, Frame, FramedLink, LinkError};
-use crate::io::{Listener, PassedSocket, ServiceLock as _};
+use crate::handover_link::{FinalState, Frame, FramedLink, FrontAttempt};
+use crate::io::{Listener as _, ServiceLock as _};
+use discovery::HandoverPaths;
 use gaugestand_admission::handover::{Action, Event, Handover, Role};
+use inherited_kernels::InheritedKernel;
 use std::collections::BTreeSet;
-use std::path::{Path, PathBuf};
 
-/// Descriptors that a second process needs besides its connections to the store and its callers.
-const SECOND: usize = 20;
-/// How long commands wait for a heir that does not read what it is told before them; then it is let go of.
-const HELD_UP: Micros = Micros::millis(200);
-/// Time between two looks for another process.
-const LOOK: Micros = Micros::millis(20);
-/// The same after what the other one said could not be read: it has to take its claim back, and says the same again.
-const GIVE_WAY: Micros = Micros::millis(1_000);
-/// How long a process looks for the one that holds the claim, or for the address to be free, before it gives up.
-const PATIENCE: Micros = Micros::millis(3_000);
-/// Most kernels of processes before this one that are still listened to.
-const MOST_KERNELS: usize = 4;
-/// How long past its tries' longest deadline a kernel of a process before this one is listened to.
-const OVERTIME: Micros = Micros::millis(2_000);
+mod discovery;
+mod inherited_kernels;
+mod predecessor;
+mod remote_calls;
+mod successor;
+
+/// Replication of keys to a successor.
+#[derive(Debug, Default)]
+struct Replication {
+    /// The successor was told that it knows all keys: from then on each change is sent before the command that it is about.
+    keys_complete: bool,
+    /// Since when the successor does not read what it is sent.
+    stalled_since: Option<Micros>,
+}
 
-/// The kernel of a process before this one, as long as it runs something.
-#[derive(Debug)]
-pub(super) struct Inherited<S: System> {
-    pub(super) kernel: Kernel<S>,
-    pub(super) runs: BTreeSet<RequestId>,
-    pub(super) key: usize,
-    until: Micros,
+/// What a predecessor has sent of its state, until this process takes over or drops it.
+#[derive(Debug, Default)]
+struct ReceivedState {
+    /// The predecessor's connections, by their ids there, with their ids here.
+    connections: BTreeMap<ConnId, ConnId>,
+    attempts: Vec<FrontAttempt>,
+    final_state: Option<Box<FinalState>>,
 }
 
-/// What this process has to do with others of its node.
-#[derive(Debug)]
-pub(super) struct Kindred<S: System> {
-    pub(super) machine: Handover,
-    /// The socket and the file of the claim; none where the node serves alone.
-    paths: Option<(PathBuf, PathBuf)>,
-    door: Option<S::HandoverListener>,
-    claim: Option<S::ServiceLock>,
-    /// Marks on the claim when the elder let go of it.
-    marks: u64,
-    /// To the process before this one, and to the one after it.
-    up: Option<FramedLink<S>>,
-    down: Option<FramedLink<S>>,
-    /// The elder's listening socket.
-    spare: Option<S::Listener>,
-    /// The elder drains: it hands nothing over but keys, and this process follows once it has ended.
-    behind_drain: bool,
-    /// What the elder has sent at its end, and its connections' names there and here.
-    conns: BTreeMap<ConnId, ConnId>,
-    places: Vec<handover_link::FrontAttempt>,
-    rest: Option<Box<FinalState>>,
-    /// Ends of calls that nobody may be told of yet.
-    ends: Vec<Ended>,
-    /// The heir was told that it knows all keys.
-    synced: bool,
-    /// Since when the heir does not read.
-    held_up: Option<Micros>,
-    pub(super) inherited: Vec<Inherited<S>>,
-    /// Tries whose calls are out at a process before this one.
-    pub(super) remote: BTreeSet<RequestId>,
-    /// What this process's own kernel said of its start, before this process was the node.
-    booted: Option<(bool, Micros)>,
-    next_look: Micros,
-    pub(super) over: bool,
+/// The start of this process's own kernel, as it has reported it.
+#[derive(Clone, Copy, Debug)]
+struct BackendStart {
+    cold: bool,
+    age: Micros,
 }
 
-/// Where processes of this node find each other, or why they cannot.
-fn paths(config: &Config) -> Result<(PathBuf, PathBuf), &'static str> {
-    if config.operators.record.is_some() {
-        return Err("a store of record has one writer");
-    }
-    if config.operators.fleet.is_some() {
-        return Err("a fleet's log has one writer");
-    }
-    let folder = std::env::var_os("TMPDIR").filter(|d| !d.is_empty()).ok_or("TMPDIR is not set")?;
-    let name: String = config.name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '_' }).collect();
-    let at = config.listen.to_string().replace(|c: char| !c.is_ascii_alphanumeric(), "_");
-    let base = Path::new(&folder).join(format!("gaugestand-{name}-{at}"));
-    Ok((base.with_extension("sock"), base.with_extension("lock")))
+/// This process among those of its node.
+#[derive(Debug)]
+pub(super) struct HandoverState<S: System> {
+    pub(super) machine: Handover,
+    /// None where no other process can take over from this one.
+    paths: Option<HandoverPaths>,
+    lock: Option<S::ServiceLock>,
+    /// Where a successor connects.
+    listener: Option<S::HandoverListener>,
+    successor_link: Option<FramedLink<S>>,
+    replication: Replication,
+    predecessor_link: Option<FramedLink<S>>,
+    /// The predecessor's listening socket.
+    inherited_listener: Option<S::Listener>,
+    /// The predecessor drains: it sends nothing but keys, and this process serves once it has ended.
+    predecessor_drains: bool,
+    received: ReceivedState,
+    /// Generation marks on the lock when the predecessor released it.
+    predecessor_marks: u64,
+    /// Outbound calls that an earlier process has made and still waits for.
+    remote_calls: BTreeSet<RequestId>,
+    /// Outcomes of outbound calls that no active process can be told of yet.
+    deferred_outcomes: Vec<Ended>,
+    pub(super) inherited_kernels: Vec<InheritedKernel<S>>,
+    backend_start: Option<BackendStart>,
+    next_search: Micros,
+    /// The process is to end.
+    pub(super) exit: bool,
 }
 
-impl<S: System> Kindred<S> {
-    fn new(machine: Handover, paths: Option<(PathBuf, PathBuf)>) -> Self {
-        Kindred {
+impl<S: System> HandoverState<S> {
+    fn new(machine: Handover, paths: Option<HandoverPaths>) -> Self {
+        HandoverState {
             machine,
             paths,
-            door: None,
-            claim: None,
-            marks: 0,
-            up: None,
-            down: None,
-            spare: None,
-            behind_drain: false,
-            conns: BTreeMap::new(),
-            places: Vec::new(),
-            rest: None,
-            ends: Vec::new(),
-            synced: false,
-            held_up: None,
-            inherited: Vec::new(),
-            remote: BTreeSet::new(),
-            booted: None,
-            next_look: Micros(0),
-            over: false,
-        }
-    }
-
-    /// Looks for another process of this node: with a link to it, or with the claim and a listener.
-    pub(super) fn find(system: &S, config: &Config) -> Result<(Self, Option<S::Listener>), NodeError> {
-        let listen = || system.listen(config.listen, LISTENER);
-        let alone = |why: &str| {
-            tracing::info!(why, "no other process can take over from this one");
-            let listener = listen().map_err(io_error("listening"))?;
-            Ok((Kindred::new(Handover::active(), None), Some(listener)))
-        };
-        let (socket, lock) = match paths(config) {
-            Ok(paths) => paths,
-            Err(why) => return alone(why),
-        };
-        let began = system.moment().mono;
-        let mut claim = None;
-        loop {
-            // Who answers there is the node; otherwise whoever has the claim is, or is about to be.
-            if claim.is_none() {
-                if let Ok(kin) = system.connect_for_handover(&socket, UP) {
-                    let mut found = Kindred::new(Handover::successor(), Some((socket, lock)));
-                    found.up = Some(FramedLink::new(kin));
-                    tracing::info!("another process of this node serves; waiting to take over from it");
-                    return Ok((found, None));
-                }
-                match system.try_service_lock(&lock) {
-                    Ok(found) => claim = found,
-                    Err(e) => return alone(&format!("{}: {e}", lock.display())),
-                }
-            }
-            let late = system.moment().mono.since(began) >= PATIENCE;
-            if claim.is_some() {
-                // The address may be held for a moment by a process that has just lost the claim.
-                match listen() {
-                    Ok(listener) => {
-                        let mut found = Kindred::new(Handover::active(), Some((socket, lock)));
-                        found.claim = claim;
-                        found.open_door(system);
-                        return Ok((found, Some(listener)));
-                    }
-                    Err(e) if late || e.kind() != io::ErrorKind::AddrInUse => {
-                        return Err(NodeError::Io("listening", e));
-                    }
-                    Err(_) => {}
-                }
-            } else if late {
-                let why = io::Error::other("another process has the claim and does not answer");
-                return Err(NodeError::Io("starting beside it", why));
-            }
-            std::thread::sleep(std::time::Duration::from_micros(LOOK.0));
-        }
-    }
-
-    fn open_door(&mut self, system: &S) {
-        let Some((socket, _)) = &self.paths else { return };
-        match system.listen_for_handover(socket, DOOR) {
-            Ok(door) => self.door = Some(door),
-            Err(e) => {
-                let why = format!("{}: {e}", socket.display());
-                tracing::info!(why, "no other process can take over from this one");
-            }
-        }
-    }
-
-    /// Whether all that this process needs from the elder before it goes is here.
-    pub(super) fn is_ready(&self) -> bool {
-        let keys = self.machine.role() == Role::Successor { keys_complete: true };
-        keys && self.spare.is_some() && self.booted.is_some() && !self.behind_drain
-    }
-
-    /// The address that the elder listens at.
-    pub(super) fn address(&self) -> Option<std::net::SocketAddr> {
-        self.spare.as_ref().and_then(|l| l.address())
-    }
-
-    /// Takes note of what this process's own kernel says of its start; false if this process is the node.
-    pub(super) fn note_booted(&mut self, cold: bool, age: Micros) -> bool {
-        self.booted = Some((cold, age));
+            lock: None,
+            listener: None,
+            successor_link: None,
+            replication: Replication::default(),
+            predecessor_link: None,
+            inherited_listener: None,
+            predecessor_drains: false,
+            received: ReceivedState::default(),
+            predecessor_marks: 0,
+            remote_calls: BTreeSet::new(),
+            deferred_outcomes: Vec::new(),
+            inherited_kernels: Vec::new(),
+            backend_start: None,
+            next_search: Micros(0),
+            exit: false,
+        }
+    }
+
+    /// Whether this process can take over as soon as its predecessor is asked to stop.
+    pub(super) fn is_ready_to_take_over(&self) -> bool {
+        self.machine.role() == Role::Successor { keys_complete: true }
+            && self.inherited_listener.is_some()
+            && self.backend_start.is_some()
+            && !self.predecessor_drains
+    }
+
+    /// The address that the predecessor listens at.
+    pub(super) fn inherited_address(&self) -> Option<std::net::SocketAddr> {
+        self.inherited_listener.as_ref().and_then(|listener| listener.address())
+    }
+
+    /// Notes what this process's own kernel says of its start; returns whether this process is not the active one, so that
+    /// nobody else is to be told.
+    pub(super) fn note_backend_start(&mut self, cold: bool, age: Micros) -> bool {
+        self.backend_start = Some(BackendStart { cold, age });
         !self.machine.is_active()
     }
 
-    /// Whether it looks for the process that is the node.
-    fn seeks(&self) -> bool {
-        matches!(self.machine.role(), Role::Successor { .. }) && self.up.is_none()
+    /// When to look again although nothing happens.
+    pub(super) fn next_wakeup(&self) -> Option<Micros> {
+        let search = Some(self.next_search).filter(|_| self.is_searching());
+        let stalled = self.replication.stalled_since.map(|since| since.plus(predecessor::STALL_TIMEOUT));
+        let expiry = self.inherited_kernels.iter().map(|inherited| inherited.expires_at).min();
+        let kernels = self.inherited_kernels.iter().filter_map(|inherited| inherited.kernel.wake()).min();
+        [search, stalled, expiry, kernels, self.machine.next_wakeup()].into_iter().flatten().min()
     }
 
-    /// When to look again although nothing comes.
-    pub(super) fn wake(&self) -> Option<Micros> {
-        let look = Some(self.next_look).filter(|_| self.seeks());
-        let held_up = self.held_up.map(|t| t.plus(HELD_UP));
-        let until = self.inherited.iter().map(|i| i.until).min();
-        let links = self.inherited.iter().filter_map(|i| i.kernel.wake()).min();
-        [look, held_up, until, links, self.machine.next_wakeup()].into_iter().flatten().min()
+    /// Tries to acquire the service lock, and returns the event that follows.
+    fn acquire_lock(&mut self, system: &S) -> Event {
+        let lock = self.paths.as_ref().map(|paths| system.try_service_lock(&paths.lock));
+        self.lock = lock.and_then(Result::ok).flatten();
+        let Some(lock) = &self.lock else { return Event::LockUnavailable };
+        // Marks that cannot be read count as new ones: the state is rather lost than continued out of date.
+        let marks = lock.generation_marks().unwrap_or(u64::MAX);
+        match self.machine.role() {
+            Role::TakingOver if marks > self.predecessor_marks => Event::StateOutdated,
+            _ => Event::LockAcquired,
+        }
     }
 }
 
 impl<S: System> Node<S> {
-    /// Something happened between the processes of this node.
-    pub(super) fn happen(&mut self, event: Event) {
+    /// Something happened among the processes of this node.
+    pub(super) fn on_handover_event(&mut self, event: Event) {
         let now = self.clock.now();
-        for step in self.kin.machine.on_event(now, event) {
-            tracing::debug!(?event, ?step, "succession");
-            match step {
-                Action::Replicate => self.begin_mirror(),
-                Action::StopReplicating => {
-                    self.kin.down = None;
-                    (self.kin.synced, self.kin.held_up) = (false, None);
-                    self.engine.idempotency().mirror(false);
-                    self.table.lend(0);
-                }
-                // The link that has just come is dropped by whoever took it in.
+        for action in self.handover.machine.on_event(now, event) {
+            tracing::debug!(?event, step = ?action, "succession");
+            match action {
+                Action::Replicate => self.begin_replication(),
+                Action::StopReplicating => self.stop_replication(),
+                // Whoever accepted the link drops it.
                 Action::RefuseLink => {}
-                Action::HandOver => self.part(),
+                Action::HandOver => self.hand_over(),
                 Action::AcquireLock => {
-                    let lock = self.kin.paths.as_ref().map(|(_, lock)| self.system.try_service_lock(lock));
-                    self.kin.claim = lock.and_then(Result::ok).flatten();
-                    let marks =
-                        self.kin.claim.as_ref().map(|claim| claim.generation_marks().unwrap_or(u64::MAX));
-                    let stale = self.kin.machine.role() == Role::TakingOver && marks > Some(self.kin.marks);
-                    self.happen(match marks {
-                        Some(_) if stale => Event::StateOutdated,
-                        Some(_) => Event::LockAcquired,
-                        None => Event::LockUnavailable,
-                    });
-                }
-                Action::ReadSuccessor => {
-                    let marked = self.kin.claim.as_ref().map(|claim| claim.add_generation_mark());
-                    if let Some(Err(e)) = marked {
-                        tracing::warn!(problem = %e, "marking the claim");
-                    }
-                    if let Some(wire) = &mut self.kin.down {
-                        // Until there is no more: as it holds no claim, it cannot have said it later.
-                        while wire.read().is_ok_and(|n| n > 0) {}
-                    }
-                    let (frames, _) = self.frames(|kin| kin.down.as_mut());
-                    if frames.iter().any(|frame| matches!(frame, Frame::TakenOver)) {
-                        self.happen(Event::TakenOver);
-                    }
-                    self.happen(Event::SuccessorRead);
-                }
-                Action::ResumeService => {
-                    tracing::warn!("the new process did not take over");
-                    self.table.stop(false);
-                    let ends = mem::take(&mut self.kin.ends);
-                    self.calls_ended(ends);
+                    let outcome = self.handover.acquire_lock(&self.system);
+                    self.on_handover_event(outcome);
                 }
+                Action::ReadSuccessor => self.read_successor(),
+                Action::ResumeService => self.resume_service(),
                 Action::Drain => self.begin_drain(),
                 Action::Retire => self.retire(),
                 Action::TakeOver => self.take_over(),
-                Action::Serve { keys_complete } => self.serve(keys_complete),
-                Action::SearchAgain => self.seek_anew(),
-                Action::Exit => self.kin.over = true,
-            }
-        }
-    }
-
-    // ---- The process that is the node ----------------------------------------------------------------
-
-    /// Other processes link.
-    pub(super) fn take_door(&mut self) {
-        loop {
-            let Some(door) = &self.kin.door else { return };
-            let free = self.kin.down.is_none();
-            let Ok(kin) = door.accept(if free { DOWN } else { TURNED_AWAY }) else { return };
-            if free && self.kin.machine.role() == Role::Alone {
-                self.kin.down = Some(FramedLink::new(kin));
-                self.happen(Event::Linked);
-            }
-        }
-    }
-
-    fn begin_mirror(&mut self) {
-        tracing::info!("a new process of this node has come");
-        let moment = self.clock.moment();
-        let idempotency = self.engine.idempotency();
-        idempotency.mirror(true);
-        let secret = idempotency.secret();
-        if let Some(wire) = &mut self.kin.down {
-            wire.queue(
-                &Frame::Hello { moment, fingerprint_secret: secret, draining: self.leaving },
-                AttachedSocket::Listener,
-            );
-        }
-        // Both processes' descriptors count.
-        self.table.lend(SECOND + admin::SOCKETS + store::lanes_within(self.config.sockets));
-    }
-
-    /// Tells the heir of keys; false if commands have to wait until it has read of them.
-    pub(super) fn mirror(&mut self) -> bool {
-        let now = self.clock.now();
-        let Some(wire) = &mut self.kin.down else { return true };
-        if self.kin.machine.role() == Role::Predecessor {
-            while wire.has_room() {
-                let copies = self.engine.idempotency().copies(handover_link::KEYS_PER_FRAME);
-                if copies.is_empty() {
-                    break;
-                }
-                wire.queue(&Frame::Keys(copies), AttachedSocket::None);
-            }
-        }
-        self.write_down();
-        let Some(wire) = &mut self.kin.down else { return true };
-        let all = wire.is_flushed() && !self.engine.idempotency().is_behind();
-        if self.kin.machine.role() == Role::Predecessor && !self.kin.synced && all {
-            // From here on what is said has to be written before the kernel hears of it.
-            self.kin.synced = true;
-            wire.queue(&Frame::KeysComplete, AttachedSocket::None);
-            self.write_down();
-        }
-        let unwritten = self.kin.down.as_ref().is_some_and(|wire| !wire.is_flushed());
-        let behind = unwritten || self.engine.idempotency().is_behind();
-        if !behind || !self.kin.synced || self.kin.machine.role() != Role::Predecessor {
-            self.kin.held_up = None;
-            return true;
-        }
-        // What runs must be known there first, or its death and this one's would let it run twice.
-        let since = *self.kin.held_up.get_or_insert(now);
-        if now.since(since) < HELD_UP {
-            return false;
-        }
-        tracing::warn!("the new process does not read; it has to come again");
-        self.kin.down = None;
-        self.happen(Event::Unlinked);
-        true
-    }
-
-    fn write_down(&mut self) {
-        let Some(wire) = &mut self.kin.down else { return };
-        let table = &self.table;
-        let socket = |with| match with {
-            AttachedSocket::None => Some(PassedSocket::None),
-            AttachedSocket::Listener => table.listener().map(PassedSocket::Listener),
-            AttachedSocket::Connection(id) => table.stream(id).map(PassedSocket::Stream),
-        };
-        if let Err(broken) = wire.flush(socket) {
-            self.down_broke(&broken);
-        }
-    }
-
-    fn down_broke(&mut self, broken: &LinkError) {
-        if broken.is_protocol_error() {
-            let why = broken.to_string();
-            tracing::warn!(why, "the link to the new process");
-        }
-        self.kin.down = None;
-        self.happen(Event::Unlinked);
-    }
-
-    /// The heir says something.
-    pub(super) fn take_down(&mut self, event: Ready) {
-        let Some(wire) = &mut self.kin.down else { return };
-        let read = if event.readable { wire.read().map(|_| ()) } else { Ok(()) };
-        let frames = self.frames(|kin| kin.down.as_mut());
-        for frame in frames.0 {
-            match frame {
-                Frame::TakenOver => self.happen(Event::TakenOver),
-                Frame::DropCall(id) => self.drop_call(id),
-                _ => {}
-            }
-        }
-        if let Err(broken) = read.and(frames.1) {
-            self.down_broke(&broken);
-        }
-    }
-
-    /// The whole frames that a link has.
-    fn frames(
-        &mut self,
-        of: impl Fn(&mut Kindred<S>) -> Option<&mut FramedLink<S>>,
-    ) -> (Vec<Frame>, Result<(), LinkError>) {
-        let mut frames = Vec::new();
-        while let Some(wire) = of(&mut self.kin) {
-            match wire.next_frame() {
-                Ok(Some(frame)) => frames.push(frame),
-                Ok(None) => break,
-                Err(broken) => return (frames, Err(broken)),
-            }
-        }
-        (frames, Ok(()))
-    }
-
-    /// Stops all work, sends everything and lets go of the claim.
-    fn part(&mut self) {
-        let now = self.clock.now();
-        tracing::info!(open = self.open_attempts(), "handing over to the new process");
-        self.stop = Some(now.plus(self.config.stop));
-        self.table.stop(true);
-        let running = self.engine.running_attempts();
-        let inherited: BTreeSet<RequestId> =
-            self.kin.inherited.iter().flat_map(|i| i.runs.iter().copied()).collect();
-        let own = running.into_iter().filter(|id| !inherited.contains(id)).collect();
-        let mut kernels = vec![self.kernel.snapshot(own)];
-        kernels
-            .extend(self.kin.inherited.iter().map(|i| i.kernel.snapshot(i.runs.iter().copied().collect())));
-        self.kernel.unlink();
-        self.kin.inherited.iter_mut().for_each(|i| i.kernel.unlink());
-        let calls = self.store.out().into_iter().chain(self.kin.remote.iter().copied()).collect();
-        let rest = FinalState {
-            engine: self.engine.snapshot(),
-            kernels,
-            outbound_calls: calls,
-            class_names: self.slots.names().to_vec(),
-            idle_timeout: self.table.idle(),
-        };
-        let Some(wire) = &mut self.kin.down else { return };
-        loop {
-            let copies = self.engine.idempotency().copies(handover_link::KEYS_PER_FRAME);
-            if copies.is_empty() {
-                break;
-            }
-            wire.queue(&Frame::Keys(copies), AttachedSocket::None);
-        }
-        for conn in self.table.snapshot() {
-            let id = conn.id;
-            wire.queue(&Frame::Connection(Box::new(conn)), AttachedSocket::Connection(id));
-        }
-        for place in self.attempts.values() {
-            wire.queue(&Frame::Attempt(Box::new(place.clone())), AttachedSocket::None);
-        }
-        wire.queue(&Frame::FinalState(Box::new(rest)), AttachedSocket::None);
-        let marks =
-            self.kin.claim.as_ref().and_then(|claim| claim.generation_marks().ok()).unwrap_or_default();
-        wire.queue(&Frame::StateComplete(marks), AttachedSocket::None);
-        self.kin.claim = None;
-        self.write_down();
-    }
-
-    /// Another process is the node: only calls that are out are left here.
-    fn retire(&mut self) {
-        tracing::info!("another process has taken over");
-        self.figures.handed_over(self.open_attempts());
-        self.attempts.clear();
-        self.engine.retire();
-        self.engine.idempotency().mirror(false);
-        self.table.retire();
-        self.kin.inherited.clear();
-        self.kin.door = None;
-        self.kin.claim = None;
-        let ends = mem::take(&mut self.kin.ends);
-        self.pass_on(ends);
-        if self.kin.down.is_none() {
-            self.kin.over = true;
-        }
-    }
-
-    /// Calls have ended at a process that is the node no more, or not for now.
-    pub(super) fn pass_on(&mut self, ends: Vec<Ended>) {
-        if self.kin.machine.role() != Role::Retired {
-            return self.kin.ends.extend(ends);
-        }
-        for Ended { id, end, reply, lag } in ends {
-            if let Some(wire) = &mut self.kin.down {
-                wire.queue(&Frame::CallEnded(id, end, reply, lag), AttachedSocket::None);
+                Action::Serve { keys_complete } => self.serve_without_state(keys_complete),
+                Action::SearchAgain => self.search_again(),
+                Action::Exit => self.handover.exit = true,
             }
         }
     }
 
-    pub(super) fn drop_call(&mut self, id: RequestId) {
-        if !self.kin.remote.remove(&id) {
-            return self.store.drop_call(id, &mut self.counters);
-        }
-        if let Some(wire) = &mut self.kin.up {
-            wire.queue(&Frame::DropCall(id), AttachedSocket::None);
-        }
-    }
-
-    // ---- The process that waits, and the one that took over -------------------------------------------
-
-    /// The elder says something.
-    pub(super) fn take_up(&mut self, event: Ready) {
-        let Some(wire) = &mut self.kin.up else { return };
-        let read = if event.readable { wire.read().map(|_| ()) } else { Ok(()) };
-        let (frames, framed) = self.frames(|kin| kin.up.as_mut());
-        let mut heard = Ok(());
-        for frame in frames {
-            heard = heard.and_then(|()| self.hear(frame));
-        }
-        if let Err(broken) = heard.and(framed).and(read) {
-            self.up_broke(&broken);
-        }
-    }
-
-    fn up_broke(&mut self, broken: &LinkError) {
-        if broken.is_protocol_error() {
-            let why = broken.to_string();
-            tracing::warn!(why, "the link to the process before this one");
-        }
-        self.kin.up = None;
-        for id in mem::take(&mut self.kin.remote) {
-            // A broken link proves nothing.
-            self.report(EngineEvent::CallEnded(id, CallOutcome::Broken, Micros(0)));
-        }
-        if !self.kin.machine.is_standby() {
+    /// Handles what is due among processes.
+    pub(super) fn tick_handover(&mut self) {
+        if self.handover.paths.is_none() {
             return;
         }
-        if broken.is_protocol_error() {
-            self.happen(Event::Unreadable);
-            self.kin.next_look = self.clock.now().plus(GIVE_WAY);
-        } else if self.kin.spare.is_some() {
-            self.happen(Event::Unlinked);
-        } else {
-            // It was turned away: another process takes over at this moment.
-            self.kin.next_look = self.clock.now().plus(LOOK);
-        }
-    }
-
-    fn hear(&mut self, frame: Frame) -> Result<(), LinkError> {
-        let waits = matches!(self.kin.machine.role(), Role::Successor { .. });
-        let Some(wire) = &mut self.kin.up else { return Ok(()) };
-        match frame {
-            Frame::Hello { moment, fingerprint_secret: secret, draining: leaving } if waits => {
-                self.kin.behind_drain = leaving;
-                self.kin.spare = Some(wire.take_listener(LISTENER)?);
-                self.system.align_clock(moment);
-                self.clock.read(&self.system);
-                // The clock has moved on by the elder's age: nobody has waited for that long.
-                self.admin.restart(self.clock.now());
-                self.engine.idempotency().begin_copy(secret);
+        self.on_handover_event(Event::Tick);
+        self.search();
+        self.expire_inherited_kernels();
+        if self.handover.machine.is_active() {
+            let now = self.clock.now();
+            for inherited in &mut self.handover.inherited_kernels {
+                inherited.kernel.tick(now);
             }
-            Frame::Keys(copies) if waits => {
-                copies.into_iter().for_each(|copy| self.engine.idempotency().adopt(copy));
-            }
-            Frame::KeysComplete if waits => self.happen(Event::KeysComplete),
-            Frame::Connection(conn) if waits => {
-                let stream = wire.take_stream(self.table.next_key())?;
-                let there = conn.id;
-                let here = self.table.restore(stream, *conn);
-                self.kin.conns.insert(there, here);
-            }
-            Frame::Attempt(place) if waits => self.kin.places.push(*place),
-            Frame::FinalState(rest) if waits => self.kin.rest = Some(rest),
-            Frame::StateComplete(marks) if waits && self.kin.rest.is_some() => {
-                self.kin.marks = marks;
-                self.happen(Event::StateComplete);
-            }
-            Frame::CallEnded(id, end, reply, lag) => {
-                let ended = Ended { id, end, reply, lag };
-                if self.kin.remote.remove(&id) || !self.kin.machine.is_active() {
-                    self.calls_ended(vec![ended]);
-                }
-            }
-            _ => return Err(LinkError::OutOfOrder),
+            self.release_predecessor();
         }
-        Ok(())
     }
 
-    /// Goes on in the place of the elder.
-    fn take_over(&mut self) {
-        let now = self.clock.now();
-        if let Some(wire) = &mut self.kin.up {
-            // Before anything is done: an elder that does not read this goes on itself if this process dies.
-            wire.queue(&Frame::TakenOver, AttachedSocket::None);
-        }
-        self.write_up();
-        let Some(rest) = self.kin.rest.take() else { return };
-        let here = mem::take(&mut self.kin.conns);
-        for mut place in mem::take(&mut self.kin.places) {
-            place.conn = here.get(&place.conn).copied().unwrap_or(ConnId::NOWHERE);
-            if place.open {
-                self.figures.taken();
-            }
-            self.attempts.insert(place.id, place);
-        }
-        self.slots = ClassSlots::from_parts(rest.class_names, rest.engine.open_classes.clone());
-        self.figures.list(self.slots.names());
-        self.engine.restore(rest.engine);
-        self.engine.set_backend_linked(self.kernel.is_booted());
-        let until = now.plus(self.engine.longest_deadline()).plus(OVERTIME);
-        let kernels = rest.kernels.iter().filter(|k| !k.runs.is_empty()).take(MOST_KERNELS);
-        self.kin.inherited = kernels
-            .zip(INHERITED..)
-            .map(|(snapshot, key)| Inherited {
-                kernel: Kernel::restore(snapshot, key, &self.system),
-                runs: snapshot.runs.iter().copied().collect(),
-                key,
-                until,
-            })
-            .collect();
-        self.kin.remote = rest.outbound_calls.into_iter().collect();
-        if let Some(idle) = rest.idle_timeout {
-            self.table.set_idle(idle);
-        }
-        for (conn, fcgi) in self.table.checks() {
-            self.add_check(conn, fcgi);
-        }
-        self.go_into_service();
-        tracing::info!(open = self.open_attempts(), "took over");
-        // This process may have been told of other settings than the one before it.
-        self.take_settings();
-        self.let_go();
-    }
-
-    fn go_into_service(&mut self) {
-        self.kin.open_door(&self.system);
-        let spare = self.kin.spare.take();
-        match spare.map_or_else(|| self.system.listen(self.config.listen, LISTENER), Ok) {
-            Ok(listener) => self.table.listen(listener),
-            Err(e) => {
-                tracing::error!(problem = %e, "listening");
-                self.kin.over = true;
-            }
-        }
-        self.table.stop(false);
-    }
-
-    /// Forgets what the elder has sent at its end.
-    fn forget_sent(&mut self) {
-        (self.kin.conns, self.kin.places, self.kin.rest) = (BTreeMap::new(), Vec::new(), None);
-        self.table.retire();
-    }
-
-    /// The elder is gone without a word.
-    fn serve(&mut self, all: bool) {
-        tracing::warn!(all, "the process before this one is gone; serving with the keys that it told of");
-        let (now, window) = (self.clock.moment(), longest_window(&self.config));
-        self.engine.idempotency().orphaned(now, all, window);
-        self.forget_sent();
-        self.go_into_service();
-        if let Some((cold, age)) = self.kin.booted {
-            self.report(EngineEvent::BackendStarted { cold, age });
-        }
-    }
-
-    /// Forgets all that came from the elder, and looks for it anew.
-    fn seek_anew(&mut self) {
-        self.kin.up = None;
-        self.kin.spare = None;
-        self.forget_sent();
-        let idempotency = self.engine.idempotency();
-        let secret = idempotency.secret();
-        idempotency.begin_copy(secret);
-        self.kin.next_look = self.clock.now();
-    }
-
-    fn seek(&mut self) {
-        let now = self.clock.now();
-        let looks = self.kin.seeks() && now >= self.kin.next_look;
-        let Some((socket, _)) = self.kin.paths.as_ref().filter(|_| looks) else { return };
-        self.kin.next_look = now.plus(LOOK);
-        match self.system.connect_for_handover(socket, UP) {
-            Ok(kin) => self.kin.up = Some(FramedLink::new(kin)),
-            // Nobody answers: it may have ended since, with keys that were never told.
-            Err(_) => self.happen(Event::Unlinked),
-        }
-    }
-
-    fn write_up(&mut self) {
-        let Some(wire) = &mut self.kin.up else { return };
-        if let Err(broken) = wire.flush(|_| Some(PassedSocket::None)) {
-            self.up_broke(&broken);
-        }
-    }
-
-    /// Lets go of the process before this one, once nothing is to come from it.
-    fn let_go(&mut self) {
-        if self.kin.machine.is_active() && self.kin.inherited.is_empty() && self.kin.remote.is_empty() {
-            let written = self.kin.up.as_ref().is_none_or(FramedLink::is_flushed);
-            if written {
-                self.kin.up = None;
-            }
-        }
-    }
-
-    /// What is due between processes.
-    pub(super) fn tick_kin(&mut self) {
-        let now = self.clock.now();
-        if self.kin.paths.is_none() {
-            return;
-        }
-        self.happen(Event::Tick);
-        self.seek();
-        for i in (0..self.kin.inherited.len()).rev() {
-            if let Some(one) = self.kin.inherited.get_mut(i)
-                && now >= one.until
-            {
-                // Nothing was heard of them for longer than any of them may take.
-                let runs = mem::take(&mut one.runs);
-                runs.into_iter().for_each(|id| self.report(EngineEvent::RunEnded(id, RunOutcome::Failed)));
-                self.kin.inherited.remove(i);
-            }
-        }
-        if self.kin.machine.is_active() {
-            for one in &mut self.kin.inherited {
-                one.kernel.tick(now);
-            }
-            self.let_go();
-        }
-    }
-
-    /// Ends a turn: writes what is left for other processes.
-    pub(super) fn flush_kin(&mut self) {
-        let now = self.clock.now();
-        for one in &mut self.kin.inherited {
-            // Their links may break; what is lost is said again on the next one.
-            one.kernel.flush(now);
-        }
-        self.kin.inherited.retain(|one| !one.runs.is_empty());
-        self.write_up();
-        self.write_down();
-        self.let_go();
+    /// Ends an iteration: writes what is queued for other processes.
+    pub(super) fn flush_handover(&mut self) {
+        self.flush_inherited_kernels();
+        self.flush_predecessor_link();
+        self.flush_successor_link();
+        self.release_predecessor();
     }
 
-    /// A turn of a process that is not the node.
-    pub(super) fn pass_aside(&mut self) -> Micros {
+    /// One iteration of a process that is not the active one. Returns when the next one is due.
+    pub(super) fn run_inactive(&mut self) -> Micros {
         let now = self.clock.now();
         let mut kernel = None;
-        if self.kin.machine.is_standby() {
+        if self.handover.machine.is_standby() {
             self.kernel.tick(now);
             self.kernel.flush(now);
             kernel = self.kernel.wake();
@@ -722,9 +208,9 @@
         let mut ended = self.store.tick(now, &mut self.counters);
         ended.extend(self.store.flush(now));
         self.calls_ended(ended);
-        self.tick_kin();
-        self.flush_kin();
-        let stop = self.stop;
-        next_turn(now, [kernel, self.store.wake(), self.admin.wake(), self.kin.wake(), stop])
+        self.tick_handover();
+        self.flush_handover();
+        let handover = self.handover.next_wakeup();
+        next_turn(now, [kernel, self.store.wake(), self.admin.wake(), handover, self.stop])
     }
 }
--- /dev/null
+++ b/crates/node/src/event_loop/handover/predecessor.rs
@@ -0,0 +1,233 @@
+//! The predecessor's side: replication of keys to a successor, and handing over to it.
+
+use super::*;
+use crate::handover_link::{AttachedSocket, KEYS_PER_FRAME, LinkError};
+use crate::io::PassedSocket;
+
+/// Descriptors that a successor needs besides its connections to the store and to operators. The node's budget of
+/// descriptors covers both processes, so that this one lends them.
+const SUCCESSOR_DESCRIPTORS: usize = 20;
+/// How long commands to the kernel wait for a successor that does not read the keys that they are about. It is far below any
+/// deadline: then the link is closed, and the successor has to come again.
+pub(super) const STALL_TIMEOUT: Micros = Micros::millis(200);
+
+impl<S: System> Node<S> {
+    /// Accepts links from other processes; refuses all but the first.
+    pub(in crate::event_loop) fn accept_successors(&mut self) {
+        loop {
+            let Some(listener) = &self.handover.listener else { return };
+            let is_free = self.handover.successor_link.is_none();
+            let key = if is_free { SUCCESSOR_LINK } else { REFUSED_LINK };
+            let Ok(link) = listener.accept(key) else { return };
+            if is_free && self.handover.machine.role() == Role::Alone {
+                self.handover.successor_link = Some(FramedLink::new(link));
+                self.on_handover_event(Event::Linked);
+            }
+        }
+    }
+
+    pub(super) fn begin_replication(&mut self) {
+        tracing::info!("a new process of this node has come");
+        let moment = self.clock.moment();
+        let idempotency = self.engine.idempotency();
+        idempotency.mirror(true);
+        let fingerprint_secret = idempotency.secret();
+        let hello = Frame::Hello { moment, fingerprint_secret, draining: self.leaving };
+        if let Some(link) = &mut self.handover.successor_link {
+            link.queue(&hello, AttachedSocket::Listener);
+        }
+        let store_connections = store::lanes_within(self.config.sockets);
+        self.table.lend(SUCCESSOR_DESCRIPTORS + admin::SOCKETS + store_connections);
+    }
+
+    pub(super) fn stop_replication(&mut self) {
+        self.handover.successor_link = None;
+        self.handover.replication = Replication::default();
+        self.engine.idempotency().mirror(false);
+        self.table.lend(0);
+    }
+
+    /// Replicates keys to the successor. Returns whether commands may be sent to the kernel: not before the successor has
+    /// been sent the keys that they are about, as the death of both processes would let a key run twice.
+    pub(in crate::event_loop) fn replicate_keys(&mut self) -> bool {
+        if self.handover.successor_link.is_none() {
+            return true;
+        }
+        self.queue_changed_keys();
+        self.flush_successor_link();
+        if self.handover.successor_link.is_none() {
+            return true;
+        }
+        self.announce_complete_keys();
+        let is_replicating =
+            self.handover.replication.keys_complete && self.handover.machine.role() == Role::Predecessor;
+        if !is_replicating || !self.is_replication_behind() {
+            self.handover.replication.stalled_since = None;
+            return true;
+        }
+        let now = self.clock.now();
+        let since = *self.handover.replication.stalled_since.get_or_insert(now);
+        if now.since(since) < STALL_TIMEOUT {
+            return false;
+        }
+        tracing::warn!("the new process does not read; it has to come again");
+        self.handover.successor_link = None;
+        self.on_handover_event(Event::Unlinked);
+        true
+    }
+
+    fn queue_changed_keys(&mut self) {
+        if self.handover.machine.role() != Role::Predecessor {
+            return;
+        }
+        let Some(link) = &mut self.handover.successor_link else { return };
+        while link.has_room() {
+            let keys = self.engine.idempotency().copies(KEYS_PER_FRAME);
+            if keys.is_empty() {
+                break;
+            }
+            link.queue(&Frame::Keys(keys), AttachedSocket::None);
+        }
+    }
+
+    /// Tells the successor once that it knows all keys. From then on commands wait for what it is sent.
+    fn announce_complete_keys(&mut self) {
+        let is_announced = self.handover.replication.keys_complete;
+        let is_predecessor = self.handover.machine.role() == Role::Predecessor;
+        if is_announced || !is_predecessor || self.is_replication_behind() {
+            return;
+        }
+        self.handover.replication.keys_complete = true;
+        if let Some(link) = &mut self.handover.successor_link {
+            link.queue(&Frame::KeysComplete, AttachedSocket::None);
+        }
+        self.flush_successor_link();
+    }
+
+    /// Whether a key has changed that the successor has not been sent.
+    fn is_replication_behind(&mut self) -> bool {
+        let is_unwritten = self.handover.successor_link.as_ref().is_some_and(|link| !link.is_flushed());
+        is_unwritten || self.engine.idempotency().is_behind()
+    }
+
+    pub(super) fn flush_successor_link(&mut self) {
+        let Some(link) = &mut self.handover.successor_link else { return };
+        let table = &self.table;
+        let find_socket = |socket| match socket {
+            AttachedSocket::None => Some(PassedSocket::None),
+            AttachedSocket::Listener => table.listener().map(PassedSocket::Listener),
+            AttachedSocket::Connection(id) => table.stream(id).map(PassedSocket::Stream),
+        };
+        if let Err(error) = link.flush(find_socket) {
+            self.successor_link_lost(&error);
+        }
+    }
+
+    fn successor_link_lost(&mut self, error: &LinkError) {
+        if error.is_protocol_error() {
+            let why = error.to_string();
+            tracing::warn!(why, "the link to the new process");
+        }
+        self.handover.successor_link = None;
+        self.on_handover_event(Event::Unlinked);
+    }
+
+    /// The link to the successor is ready.
+    pub(in crate::event_loop) fn on_successor_ready(&mut self, ready: Ready) {
+        let Some(link) = &mut self.handover.successor_link else { return };
+        let read = if ready.readable { link.read().map(|_| ()) } else { Ok(()) };
+        let received = link.next_frames();
+        for frame in received.frames {
+            match frame {
+                Frame::TakenOver => self.on_handover_event(Event::TakenOver),
+                Frame::DropCall(id) => self.drop_call(id),
+                _ => {}
+            }
+        }
+        if let Err(error) = read.and(received.end) {
+            self.successor_link_lost(&error);
+        }
+    }
+
+    /// Stops all work, sends the whole state and releases the lock.
+    pub(super) fn hand_over(&mut self) {
+        tracing::info!(open = self.open_attempts(), "handing over to the new process");
+        self.stop = Some(self.clock.now().plus(self.config.stop));
+        self.table.stop(true);
+        let state = self.final_state();
+        self.kernel.unlink();
+        self.handover.inherited_kernels.iter_mut().for_each(|inherited| inherited.kernel.unlink());
+        let Some(link) = &mut self.handover.successor_link else { return };
+        loop {
+            let keys = self.engine.idempotency().copies(KEYS_PER_FRAME);
+            if keys.is_empty() {
+                break;
+            }
+            link.queue(&Frame::Keys(keys), AttachedSocket::None);
+        }
+        for connection in self.table.snapshot() {
+            let socket = AttachedSocket::Connection(connection.id);
+            link.queue(&Frame::Connection(Box::new(connection)), socket);
+        }
+        for attempt in self.attempts.values() {
+            link.queue(&Frame::Attempt(Box::new(attempt.clone())), AttachedSocket::None);
+        }
+        link.queue(&Frame::FinalState(Box::new(state)), AttachedSocket::None);
+        let marks = self.handover.lock.as_ref().and_then(|lock| lock.generation_marks().ok());
+        link.queue(&Frame::StateComplete(marks.unwrap_or_default()), AttachedSocket::None);
+        self.handover.lock = None;
+        self.flush_successor_link();
+    }
+
+    fn final_state(&self) -> FinalState {
+        FinalState {
+            engine: self.engine.snapshot(),
+            kernels: self.kernel_snapshots(),
+            outbound_calls: self.pending_calls(),
+            class_names: self.slots.names().to_vec(),
+            idle_timeout: self.table.idle(),
+        }
+    }
+
+    /// Marks the state that was sent as out of date, and reads everything that the successor has sent. As it does not hold
+    /// the lock, it cannot confirm later that it took over.
+    pub(super) fn read_successor(&mut self) {
+        let marked = self.handover.lock.as_ref().map(|lock| lock.add_generation_mark());
+        if let Some(Err(problem)) = marked {
+            tracing::warn!(%problem, "marking the claim");
+        }
+        if let Some(link) = &mut self.handover.successor_link {
+            while link.read().is_ok_and(|bytes| bytes > 0) {}
+            let frames = link.next_frames().frames;
+            if frames.iter().any(|frame| matches!(frame, Frame::TakenOver)) {
+                self.on_handover_event(Event::TakenOver);
+            }
+        }
+        self.on_handover_event(Event::SuccessorRead);
+    }
+
+    pub(super) fn resume_service(&mut self) {
+        tracing::warn!("the new process did not take over");
+        self.table.stop(false);
+        let outcomes = mem::take(&mut self.handover.deferred_outcomes);
+        self.calls_ended(outcomes);
+    }
+
+    /// Drops all state but outbound calls: another process is active.
+    pub(super) fn retire(&mut self) {
+        tracing::info!("another process has taken over");
+        self.figures.handed_over(self.open_attempts());
+        self.attempts.clear();
+        self.engine.retire();
+        self.engine.idempotency().mirror(false);
+        self.table.retire();
+        self.handover.inherited_kernels.clear();
+        self.handover.listener = None;
+        self.handover.lock = None;
+        let outcomes = mem::take(&mut self.handover.deferred_outcomes);
+        self.forward_call_outcomes(outcomes);
+        if self.handover.successor_link.is_none() {
+            self.handover.exit = true;
+        }
+    }
+}
--- a/crates/node/src/handover_link/link.rs
+++ b/crates/node/src/handover_link/link.rs
@@ -62,6 +62,15 @@
     socket: AttachedSocket,
 }
 
+/// The complete frames that a link had.
+#[derive(Debug)]
+pub struct ReceivedFrames {
+    /// The frames, in order.
+    pub frames: Vec<Frame>,
+    /// Whether something that is not a frame follows them.
+    pub end: Result<(), LinkError>,
+}
+
 /// One link to another process.
 #[derive(Debug)]
 pub struct FramedLink<S: System> {
@@ -158,6 +167,18 @@
         Ok(total)
     }
 
+    /// All complete frames that were read.
+    pub fn next_frames(&mut self) -> ReceivedFrames {
+        let mut frames = Vec::new();
+        loop {
+            match self.next_frame() {
+                Ok(Some(frame)) => frames.push(frame),
+                Ok(None) => return ReceivedFrames { frames, end: Ok(()) },
+                Err(error) => return ReceivedFrames { frames, end: Err(error) },
+            }
+        }
+    }
+
     /// The next complete frame.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, LinkError> {
         if !self.greeted && !self.read_greeting()? {
--- a/crates/node/src/handover_link/mod.rs
+++ b/crates/node/src/handover_link/mod.rs
@@ -10,4 +10,4 @@
 mod link;
 
 pub use frame::{DecodedFrame, FinalState, Frame, FrameError, FrontAttempt, decode};
-pub use link::{AttachedSocket, FramedLink, KEYS_PER_FRAME, LinkError, PROTOCOL};
+pub use link::{AttachedSocket, FramedLink, KEYS_PER_FRAME, LinkError, PROTOCOL, ReceivedFrames};
