--- a/crates/admission/tests/engine.rs
+++ b/crates/admission/tests/engine.rs
@@ -7,7 +7,7 @@
     AdmitError, Arrival, CallOutcome, Engine, EngineCommand, EngineEvent, RunOutcome,
 };
 use gaugestand_admission::time::{Micros, Moment};
-use gaugestand_admission::{Downstream, RequestId, Settings};
+use gaugestand_admission::{Downstream, Gauges, RequestId, Settings};
 use gaugestand_idempotency::KeyTable;
 use std::rc::Rc;
 
@@ -337,3 +337,62 @@
         [EngineCommand::Forget(id(1))]
     );
 }
+
+/// The times between requests for gauges over 400 ms, in ms; `answers` says whether they are answered.
+fn gauge_request_gaps(answers: bool) -> Vec<u64> {
+    let mut harness = Harness::new();
+    harness.admit(1, PURE, 0);
+    let mut requested_at = Vec::new();
+    for _ in 0..400 {
+        harness.now = harness.now.plus(Micros::millis(1));
+        let mut commands = Vec::new();
+        harness.engine.on_timer(harness.moment(), &mut commands);
+        if commands.contains(&EngineCommand::ReadGauges) {
+            requested_at.push(harness.now.0 / 1000);
+            if answers {
+                harness.on_event(EngineEvent::GaugesRead(Gauges::default()));
+            }
+        }
+    }
+    requested_at.windows(2).map(|pair| pair[1] - pair[0]).collect()
+}
+
+// The kernel stalls and answers no request for gauges. If timers waited for it, no deadline would be checked, and every
+// caller would get its answer late.
+#[test]
+fn a_due_timer_fires_without_gauges_after_30_ms() {
+    let gaps = gauge_request_gaps(true);
+    assert!(gaps.len() > 10 && gaps.iter().all(|gap| *gap < 30), "answered: {gaps:?}");
+    let gaps = gauge_request_gaps(false);
+    assert!(gaps.len() > 5 && gaps.iter().all(|gap| (30..60).contains(gap)), "unanswered: {gaps:?}");
+}
+
+// The link to the kernel is down: nobody can be asked for gauges, and deadlines hold all the same.
+#[test]
+fn timers_fire_without_gauges_while_the_backend_link_is_down() {
+    let mut harness = Harness::new();
+    harness.admit(1, PURE, 0);
+    harness.on_event(EngineEvent::BackendLink(false));
+    let mut commands = Vec::new();
+    for _ in 0..1100 {
+        harness.now = harness.now.plus(Micros::millis(1));
+        harness.engine.on_timer(harness.moment(), &mut commands);
+    }
+    assert!(!commands.contains(&EngineCommand::ReadGauges), "{commands:?}");
+    let is_failed = |command: &EngineCommand| matches!(command, EngineCommand::Fail { id: RequestId(1), .. });
+    assert!(commands.iter().any(is_failed), "{commands:?}");
+}
+
+// Two machines' clocks differ by some milliseconds, and a retry arrives just after the window as this machine counts it.
+// Without a margin it would run again, while the caller's clock says that the window is open.
+#[test]
+fn a_key_outlives_its_window_by_a_margin_of_100_ms() {
+    let mut harness = Harness::new();
+    assert_eq!(harness.admit(1, KEYED, 0), [EngineCommand::Run(id(1))]);
+    harness.on_event(EngineEvent::RunEnded(id(1), RunOutcome::Succeeded(result())));
+    // The window is 5 s.
+    harness.advance(5_092);
+    assert_eq!(harness.admit(2, KEYED, 0)[0], EngineCommand::Replay(id(2), result()));
+    harness.advance(8);
+    assert_eq!(harness.admit(3, KEYED, 0), [EngineCommand::Run(id(3))]);
+}
--- a/crates/node/tests/handover_link.rs
+++ b/crates/node/tests/handover_link.rs
@@ -40,3 +40,34 @@
     }
     assert!(decode(&[255, 255, 255, 255, 0]).is_err());
 }
+
+/// The CBOR of a frame, without its length.
+fn encoded(frame: &Frame) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    ciborium::into_writer(frame, &mut bytes).expect("written");
+    bytes
+}
+
+// A new version takes over from an old one, or the other way round. What the successor sends carries the names that every
+// version knows; under another name the predecessor would not hear of the take-over, and would reclaim the lock.
+#[test]
+fn the_frames_of_a_successor_and_of_calls_keep_their_names() {
+    let text = |word: &str| [&[0x60 + word.len() as u8], word.as_bytes()].concat();
+    let map = |key: &str, value: &[u8]| [&[0xa1][..], &text(key), value].concat();
+    assert_eq!(encoded(&Frame::TakenOver), text("Taken"));
+    assert_eq!(encoded(&Frame::DropCall(RequestId(7))), map("DropCall", &[7]));
+    let outcomes = [
+        (CallOutcome::Succeeded, "Good"),
+        (CallOutcome::Overloaded, "Busy"),
+        (CallOutcome::Unreachable, "Unreachable"),
+        (CallOutcome::Failed, "Failed"),
+        (CallOutcome::TimedOut, "Late"),
+        (CallOutcome::Broken, "Broken"),
+    ];
+    for (outcome, word) in outcomes {
+        let frame = Frame::CallEnded(RequestId(7), outcome, None, Micros(9));
+        // An array of four: id, outcome, no reply, microseconds.
+        let value = [&[0x84, 7][..], &text(word), &[0xf6, 9]].concat();
+        assert_eq!(encoded(&frame), map("Called", &value), "{outcome:?}");
+    }
+}
