--- a/crates/admission/tests/engine.rs
+++ b/crates/admission/tests/engine.rs
@@ -2,6 +2,7 @@
 
 mod common;
 
+use ciborium::Value;
 use common::settings;
 use gaugestand_admission::engine::{
     AdmitError, Arrival, CallOutcome, Engine, EngineCommand, EngineEvent, RunOutcome,
@@ -396,3 +397,39 @@
     harness.advance(8);
     assert_eq!(harness.admit(3, KEYED, 0), [EngineCommand::Run(id(3))]);
 }
+
+/// The engine's snapshot as a map, as it is handed over.
+fn snapshot_map(harness: &Harness) -> Vec<(Value, Value)> {
+    let mut bytes = Vec::new();
+    ciborium::into_writer(&harness.engine.snapshot(), &mut bytes).expect("written");
+    let snapshot: Value = ciborium::from_reader(&bytes[..]).expect("read");
+    snapshot.into_map().expect("a map")
+}
+
+// A defect of the controller loses an attempt. Its caller would wait for ever; instead it gets a failure, once, and at the
+// latest 20 ms after it was due.
+#[test]
+fn an_attempt_that_the_controller_has_lost_fails_within_20_ms_of_its_due_time() {
+    let mut harness = Harness::new();
+    harness.admit(1, PURE, 0);
+    let due = harness.now.plus(Micros::millis(3_000));
+    // The same engine with a controller that never heard of the attempt.
+    let fresh = snapshot_map(&Harness::new());
+    let is_controller = |entry: &&(Value, Value)| entry.0.as_text() == Some("controller");
+    let controller = fresh.iter().find(is_controller).expect("a controller").clone();
+    let mut snapshot = snapshot_map(&harness);
+    snapshot.retain(|entry| !is_controller(&entry));
+    snapshot.push(controller);
+    let snapshot = Value::Map(snapshot).deserialized().expect("a snapshot");
+    harness.engine.restore(snapshot);
+    let mut failed_at = Vec::new();
+    for _ in 0..4_000 {
+        let commands = harness.advance(4);
+        let is_failed =
+            |command: &EngineCommand| matches!(command, EngineCommand::Fail { id: RequestId(1), .. });
+        failed_at.extend(commands.iter().filter(|command| is_failed(command)).map(|_| harness.now));
+    }
+    assert_eq!(failed_at.len(), 1, "{failed_at:?}");
+    let late = failed_at[0].since(due);
+    assert!(failed_at[0] >= due && (16..=24).contains(&(late.0 / 1000)), "{late:?}");
+}
