--- a/crates/admission/tests/handover.rs
+++ b/crates/admission/tests/handover.rs
@@ -306,3 +306,115 @@
     let checker = TwoProcesses { replicates_late: true }.checker().spawn_bfs().join();
     assert!(checker.discovery("a key runs once").is_some());
 }
+
+fn ms(ms: u64) -> Micros {
+    Micros::millis(ms)
+}
+
+// The successor stalls after the state was sent. The predecessor must not take the lock back while the successor may still
+// act on the state, nor leave callers without a process for longer than a second.
+#[test]
+fn a_predecessor_reclaims_the_lock_one_second_after_it_sent_its_state() {
+    let mut machine = Handover::active();
+    machine.on_event(ms(0), Event::Linked);
+    assert_eq!(machine.on_event(ms(100), Event::Terminate), [Action::HandOver]);
+    assert_eq!(machine.next_wakeup(), Some(ms(1_100)));
+    assert_eq!(machine.on_event(ms(1_099), Event::Tick), []);
+    assert_eq!(machine.on_event(ms(1_100), Event::Tick), [Action::AcquireLock]);
+    // The successor has the lock: it gets another second to confirm.
+    assert_eq!(machine.on_event(ms(1_100), Event::LockUnavailable), []);
+    assert_eq!(machine.next_wakeup(), Some(ms(2_100)));
+    assert_eq!(machine.on_event(ms(2_100), Event::Tick), [Action::AcquireLock]);
+    assert_eq!(machine.on_event(ms(2_100), Event::LockAcquired), [Action::ReadSuccessor]);
+    let resumed = [Action::StopReplicating, Action::ResumeService, Action::Drain];
+    assert_eq!(machine.on_event(ms(2_100), Event::SuccessorRead), resumed);
+    assert!(machine.is_active());
+}
+
+// The successor dies with the lock, which the system releases a moment later; or a third process has taken it over.
+#[test]
+fn a_predecessor_that_lost_its_successor_tries_the_lock_each_5_ms_until_2_s_after_it_sent_its_state() {
+    let mut machine = Handover::active();
+    machine.on_event(ms(0), Event::Linked);
+    machine.on_event(ms(0), Event::Terminate);
+    assert_eq!(machine.on_event(ms(500), Event::Unlinked), [Action::AcquireLock]);
+    for now in (505..2_000).step_by(5) {
+        assert_eq!(machine.on_event(ms(now - 1), Event::LockUnavailable), []);
+        assert_eq!(machine.on_event(ms(now - 1), Event::Tick), [], "{now}");
+        assert_eq!(machine.on_event(ms(now), Event::Tick), [Action::AcquireLock], "{now}");
+    }
+    assert_eq!(machine.on_event(ms(1_999), Event::LockUnavailable), []);
+    assert_eq!(machine.on_event(ms(2_000), Event::LockUnavailable), [Action::Retire, Action::Exit]);
+}
+
+// The link breaks while the predecessor lives, or dies and keeps the lock for a moment.
+#[test]
+fn a_successor_that_lost_its_predecessor_tries_the_lock_each_5_ms_for_1_s_and_then_searches_again() {
+    for keys_complete in [false, true] {
+        let lost = || {
+            let mut machine = Handover::successor();
+            if keys_complete {
+                machine.on_event(ms(0), Event::KeysComplete);
+            }
+            assert_eq!(machine.on_event(ms(100), Event::Unlinked), [Action::AcquireLock]);
+            machine
+        };
+        let mut machine = lost();
+        for now in (105..1_100).step_by(5) {
+            assert_eq!(machine.on_event(ms(now - 1), Event::LockUnavailable), []);
+            assert_eq!(machine.on_event(ms(now - 1), Event::Tick), [], "{now}");
+            assert_eq!(machine.on_event(ms(now), Event::Tick), [Action::AcquireLock], "{now}");
+        }
+        assert_eq!(machine.on_event(ms(1_099), Event::LockUnavailable), []);
+        assert_eq!(machine.on_event(ms(1_100), Event::LockUnavailable), [Action::SearchAgain]);
+        assert_eq!(machine.role(), Role::Successor { keys_complete: false });
+        // Where the lock is released in time, it serves with the keys that it has.
+        assert_eq!(lost().on_event(ms(200), Event::LockAcquired), [Action::Serve { keys_complete }]);
+    }
+}
+
+// The predecessor reclaimed the lock, ran more, and died, before the successor acts on its state: what ran is unknown here.
+#[test]
+fn a_successor_with_an_outdated_state_serves_without_it_and_admits_no_unknown_keys() {
+    let mut machine = Handover::successor();
+    machine.on_event(ms(0), Event::KeysComplete);
+    assert_eq!(machine.on_event(ms(10), Event::StateComplete), [Action::AcquireLock]);
+    let serve = [Action::Serve { keys_complete: false }];
+    assert_eq!(machine.on_event(ms(10), Event::StateOutdated), serve);
+    assert!(machine.is_active());
+}
+
+// A third process is started by mistake: each role that has a partner refuses it, and is not disturbed.
+#[test]
+fn every_role_but_an_active_process_without_a_partner_refuses_a_link() {
+    let mut predecessor = Handover::active();
+    assert_eq!(predecessor.on_event(ms(0), Event::Linked), [Action::Replicate]);
+    let mut handing_over = predecessor;
+    handing_over.on_event(ms(0), Event::Terminate);
+    let mut successor_lost = handing_over;
+    successor_lost.on_event(ms(1), Event::Unlinked);
+    let mut reclaimed = successor_lost;
+    reclaimed.on_event(ms(1), Event::LockAcquired);
+    let mut retired = handing_over;
+    retired.on_event(ms(1), Event::TakenOver);
+    let successor = Handover::successor();
+    let mut taking_over = successor;
+    taking_over.on_event(ms(1), Event::StateComplete);
+    let mut predecessor_lost = successor;
+    predecessor_lost.on_event(ms(1), Event::Unlinked);
+    let roles = [
+        predecessor,
+        handing_over,
+        successor_lost,
+        reclaimed,
+        retired,
+        successor,
+        taking_over,
+        predecessor_lost,
+    ];
+    for mut machine in roles {
+        let role = machine.role();
+        assert_eq!(machine.on_event(ms(2), Event::Linked), [Action::RefuseLink], "{role:?}");
+        assert_eq!(machine.role(), role);
+    }
+}
