--- a/crates/admission/src/engine/mod.rs
+++ b/crates/admission/src/engine/mod.rs
@@ -6,7 +6,8 @@
 //!
 //! It guarantees, whatever the controller decides:
 //!
-//! - each admitted attempt is answered exactly once, at most 20 ms (`OVERDUE_GRACE`) after its due time;
+//! - each admitted attempt is answered exactly once, at most 20 ms (`OVERDUE_GRACE`) after its due time if
+//!   [`Engine::on_timer`] is called when it asks to be;
 //! - an attempt whose run was started is never answered as one that never ran;
 //! - a run begins only with the idempotency table's permit, so that no key runs twice in its window.
 //!
