--- a/crates/simulation/src/system.rs
+++ b/crates/simulation/src/system.rs
@@ -3,11 +3,13 @@
 //! There is no disk and no second process of the node in a simulated world: what would need one is `Unsupported`.
 
 use crate::network::{Network, Side};
-use gaugestand_admission::log_record::Found;
+use gaugestand_admission::log_record::RecoveredLog;
 use gaugestand_admission::time::{Micros, Moment};
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::Options;
-use gaugestand_node::io::{Claim, Datagram, Kin, Listener, Passed, Ready, Stream, System, Worker};
+use gaugestand_node::io::{
+    Datagram, HandoverLink, Listener, PassedSocket, Ready, ServiceLock, Stream, System, Worker,
+};
 use std::cell::RefCell;
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -24,9 +26,9 @@
     type Datagram = VirtualDatagram;
     type Signals = VirtualSignals;
     type Worker = NoWorker;
-    type Kin = NoSecondProcess;
-    type Door = NoSecondProcess;
-    type Claim = NoSecondProcess;
+    type HandoverLink = NoSecondProcess;
+    type HandoverListener = NoSecondProcess;
+    type ServiceLock = NoSecondProcess;
 
     fn moment(&self) -> Moment {
         self.0.borrow().moment()
@@ -55,23 +57,23 @@
         Err(format!("{}: there is no disk in this world yet", path.display()))
     }
 
-    fn consensus_log(&self, path: &Path, _: &str, _: usize) -> Result<(NoWorker, Found), String> {
+    fn consensus_log(&self, path: &Path, _: &str, _: usize) -> Result<(NoWorker, RecoveredLog), String> {
         Err(format!("{}: there is no disk in this world yet", path.display()))
     }
 
-    fn door(&self, _: &Path, _: usize) -> io::Result<NoSecondProcess> {
+    fn listen_for_handover(&self, _: &Path, _: usize) -> io::Result<NoSecondProcess> {
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    fn kin(&self, _: &Path, _: usize) -> io::Result<NoSecondProcess> {
+    fn connect_for_handover(&self, _: &Path, _: usize) -> io::Result<NoSecondProcess> {
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    fn claim(&self, _: &Path) -> io::Result<Option<NoSecondProcess>> {
+    fn try_service_lock(&self, _: &Path) -> io::Result<Option<NoSecondProcess>> {
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    fn align(&self, _: Moment) {}
+    fn align_clock(&self, _: Moment) {}
 
     fn wait(&self, _: Micros, ready: &mut Vec<Ready>) -> io::Result<()> {
         *ready = self.0.borrow().ready();
@@ -83,11 +85,11 @@
 #[derive(Debug)]
 pub enum NoSecondProcess {}
 
-impl Kin for NoSecondProcess {
+impl HandoverLink for NoSecondProcess {
     type Stream = VirtualStream;
     type Listener = VirtualListener;
 
-    fn send(&mut self, _: &[u8], _: Passed<'_, VirtualStream, VirtualListener>) -> io::Result<usize> {
+    fn send(&mut self, _: &[u8], _: PassedSocket<'_, VirtualStream, VirtualListener>) -> io::Result<usize> {
         match *self {}
     }
 
@@ -108,12 +110,12 @@
     }
 }
 
-impl Claim for NoSecondProcess {
-    fn marks(&self) -> io::Result<u64> {
+impl ServiceLock for NoSecondProcess {
+    fn generation_marks(&self) -> io::Result<u64> {
         match *self {}
     }
 
-    fn mark(&self) -> io::Result<()> {
+    fn add_generation_mark(&self) -> io::Result<()> {
         match *self {}
     }
 }
