--- a/crates/admission/tests/limits.rs
+++ b/crates/admission/tests/limits.rs
@@ -1,6 +1,6 @@
 //! The module's size, width and silence about particular sites.
 
-const MODULE: &str = include_str!("../src/controller.rs");
+const MODULE: &str = include_str!("../src/controller/mod.rs");
 
 #[test]
 fn the_module_is_short_and_narrow_enough_to_be_read_aloud() {
