--- /dev/null
+++ b/crates/admission/src/controller/arrival.rs
@@ -0,0 +1,153 @@
+//! What happens as a request arrives: its times and priority, and whether it is coalesced with another,
+//! remembered for repeats, or rejected at once.
+//!
+//! Guarantees that a keyed request runs only if it is remembered for the whole time in which a repeat may
+//! come. Otherwise the request is queued; what then becomes of it is decided at the end of the batch.
+
+use super::Controller;
+use super::requests::{Phase, RequestEntry};
+use crate::interface::{Action, Effect, Request, RequestId};
+use crate::time::{Span, Time};
+
+/// Least size of a hinted request, in seconds of work: hints of zero would make any run look endless in
+/// comparison.
+const MIN_SIZE_S: f64 = 1e-4;
+/// Least weight of which a logarithm is taken.
+const MIN_WEIGHT: f64 = 1e-9;
+
+impl Controller {
+    /// Takes in a request. One whose id is known is the same attempt, told twice, and is ignored.
+    pub(super) fn on_request(&mut self, request: &Request, actions: &mut Vec<Action>) {
+        if self.requests.entries.contains_key(&request.id) {
+            return;
+        }
+        let entry = self.new_entry(request);
+        let class = &self.settings.classes[entry.class];
+        let effect = class.effect;
+        let dedup_window = class.dedup_window;
+        let arrived_at = entry.arrived_at;
+        let deadline = entry.deadline;
+        self.insert(request.id, entry);
+        if let Some(original) = request.original.filter(|_| effect != Effect::Unsafe) {
+            return self.coalesce(request.id, original, deadline, actions);
+        }
+        let is_after_drain = self.drain.as_ref().is_some_and(|drain| arrived_at > drain.last_arrival);
+        let retention = match effect {
+            Effect::Keyed => Some(dedup_window),
+            Effect::Pure if self.settings.cache_ttl.0 > 0 && request.resource_key.is_some() => {
+                Some(Span(self.settings.cache_ttl.0 + (deadline - self.now).0))
+            }
+            Effect::Pure | Effect::Unsafe => None,
+        };
+        if let Some(retention) = retention {
+            if !is_after_drain && self.has_room_to_remember() {
+                self.remember(request.id, retention, actions);
+            } else if effect == Effect::Keyed {
+                // Unremembered, a repeat of it would run a second time.
+                return self.reject(request.id, actions);
+            }
+        }
+        if is_after_drain || self.is_stalled() {
+            self.reject(request.id, actions);
+        } else if self.cannot_meet_objective(request.id) {
+            self.on_objective_missed(request.id, actions);
+        }
+    }
+
+    /// The entry of a request that arrives, which it counts in the estimators and its tenant's quota.
+    fn new_entry(&mut self, request: &Request) -> RequestEntry {
+        let class = request.class.min(self.settings.classes.len() - 1);
+        let arrived_at = self.now - request.read_delay;
+        let deadline = self.deadline(request, class, arrived_at);
+        let useful_until = self.latency_objective(request, class, arrived_at).min(deadline);
+        self.estimators.arrivals += 1.0;
+        self.note_read_delay(request.read_delay);
+        self.estimators.note_arrival(useful_until - arrived_at);
+        let is_within_quota = self.quota.take(request.tenant);
+        let priority = self.initial_priority(request, class, is_within_quota);
+        RequestEntry {
+            class,
+            tenant: request.tenant,
+            phase: Phase::Queued,
+            arrived_at,
+            useful_until,
+            deadline,
+            caller: request.caller,
+            queued_kb: request.queued_kb.max(0.0),
+            size: request.work_hint.map_or(1.0, |hint| hint.secs().max(MIN_SIZE_S)),
+            priority,
+            is_within_quota,
+            call_deadline: Time(0),
+            failed_calls: 0,
+            next_call_at: Time(0),
+            is_answered: false,
+            was_started: false,
+            is_remembered: false,
+            has_waiters: false,
+            phase_began: self.now,
+            earlier_run_s: 0.0,
+        }
+    }
+
+    /// When the request must be answered, margin taken off: as the caller said, else by its class, and before
+    /// the stop of a worker that drains. Never in the past, so that it is answered rather than overdue.
+    fn deadline(&self, request: &Request, class: usize, arrived_at: Time) -> Time {
+        let by_class = arrived_at + self.settings.classes[class].deadline;
+        let deadline = self.with_margin(request.deadline.unwrap_or(by_class)).max(self.now);
+        match &self.drain {
+            Some(drain) => deadline.min(drain.answer_by).max(self.now),
+            None => deadline,
+        }
+    }
+
+    /// When the class's latency objective is missed; it may grow with the request's own work.
+    fn latency_objective(&self, request: &Request, class: usize, arrived_at: Time) -> Time {
+        let class = &self.settings.classes[class];
+        let stretch_s = request.work_hint.map_or(0.0, |hint| hint.secs() * class.objective_stretch);
+        arrived_at + class.latency_objective + Span::from_secs(stretch_s)
+    }
+
+    /// The time less the longest gap between two looks at it.
+    pub(super) fn with_margin(&self, time: Time) -> Time {
+        time - self.timer_period()
+    }
+
+    /// A request's priority: two steps for each factor of two in weight, where traffic beyond its tenant's
+    /// quota has less. A read whose answer is expected to serve others counts for each of them. A retry goes
+    /// behind first attempts of equal weight: it has spent part of its objective, unseen.
+    fn initial_priority(&mut self, request: &Request, class: usize, is_within_quota: bool) -> i32 {
+        let served = match request.resource_key {
+            Some(key) if self.settings.cache_ttl.0 > 0 => {
+                let served_for_s = self.settings.cache_ttl.secs() + self.estimators.latency_s;
+                self.queue.expected_coalescing((key, class), self.now, served_for_s)
+            }
+            _ => 1.0,
+        };
+        let served_steps = (2.0 * served.log2()).round() as i32;
+        let quota_weight = if is_within_quota { 1.0 } else { self.settings.over_quota_weight };
+        let weight = (self.settings.classes[class].priority_weight * quota_weight).max(MIN_WEIGHT);
+        2 * weight.log2().round() as i32 + served_steps - i32::from(request.is_retry)
+    }
+
+    /// Lets a request wait for the run of the one that it repeats.
+    fn coalesce(&mut self, id: RequestId, original: RequestId, deadline: Time, actions: &mut Vec<Action>) {
+        if let Some(original) = self.requests.get_mut(original) {
+            original.has_waiters = true;
+        }
+        self.set_phase(id, Phase::Coalesced);
+        // One read at the end of a drain may see no further look at it before the stop.
+        if self.now >= deadline {
+            return self.reject(id, actions);
+        }
+        actions.push(Action::Coalesce(id));
+    }
+
+    /// Has the worker recognise repeats of a request for this long.
+    fn remember(&mut self, id: RequestId, retention: Span, actions: &mut Vec<Action>) {
+        self.memory.remembered.insert((self.now + retention, id));
+        actions.push(Action::Remember(id, retention));
+        if let Some(entry) = self.requests.get_mut(id) {
+            entry.is_remembered = true;
+        }
+    }
+}
--- /dev/null
+++ b/crates/admission/src/controller/dispatch.rs
@@ -0,0 +1,64 @@
+//! Which queued requests start, and when.
+//!
+//! Guarantees that no more requests run than the concurrency limit allows or, while cores idle, than the
+//! worker survives; that no run overfills the memory; and that nothing starts which can't be answered in
+//! time.
+
+use super::Controller;
+use super::backpressure::DECISION_WEIGHT;
+use super::estimators::blend;
+use super::requests::Phase;
+use crate::interface::{Action, RequestId};
+
+impl Controller {
+    /// Starts queued requests in order, while there is room for a run.
+    pub(super) fn start_queued(&mut self, actions: &mut Vec<Action>) {
+        let survivable = self.survivable_concurrency() as usize;
+        while self.has_room_to_run(survivable) {
+            let Some(id) = self.next_to_start() else { break };
+            if self.cannot_meet_objective(id) {
+                self.on_objective_missed(id, actions);
+                continue;
+            }
+            if self.would_overfill_memory(id) {
+                break;
+            }
+            self.start_run(id, actions);
+        }
+    }
+
+    /// Below the limit there is room; above it, as long as cores idle, up to what the worker survives: runs
+    /// that wait for the disk or a lock take no core.
+    fn has_room_to_run(&self, survivable: usize) -> bool {
+        let running = self.requests.running;
+        (running as f64) < self.concurrency_limit.floor()
+            || self.estimators.cores.idle > 0 && running < survivable
+    }
+
+    /// The first in the queue that may start.
+    ///
+    /// Guard for a dependency that is slow, overloaded or down: while as many runs as the limit stand at
+    /// calls, only classes that make none are started, and they keep the cores busy.
+    fn next_to_start(&self) -> Option<RequestId> {
+        let is_choked = self.requests.at_calls as f64 >= self.concurrency_limit;
+        let makes_no_call = |id: RequestId| {
+            self.requests.get(id).is_none_or(|entry| !self.settings.classes[entry.class].calls)
+        };
+        let mut startable =
+            self.queue.order.iter().map(|key| key.id).filter(|id| !is_choked || makes_no_call(*id));
+        startable.next()
+    }
+
+    fn start_run(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        self.set_phase(id, Phase::Running);
+        self.estimators.cores.idle = self.estimators.cores.idle.saturating_sub(1);
+        blend(&mut self.backpressure.rejected_fraction, 0.0, DECISION_WEIGHT);
+        if let Some(entry) = self.requests.get_mut(id) {
+            entry.was_started = true;
+            if !entry.is_within_quota {
+                self.quota.charge_over_quota(entry.tenant);
+            }
+        }
+        actions.push(Action::Run(id));
+    }
+}
--- a/src/bin/simulator_adapter/main.rs
+++ b/src/bin/simulator_adapter/main.rs
@@ -66,7 +66,7 @@
                 let t = now.ok_or_else(|| format!("line {number}: commit before any frame"))?;
                 for (who, i) in &mut instances {
                     // A fresh instance steps once without events so that it can set its first timer.
-                    if i.events.is_empty() && i.controller.started() {
+                    if i.events.is_empty() && i.controller.is_started() {
                         continue;
                     }
                     actions.clear();
