--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,52 +1,52 @@
-//! Server-side admission control: what a worker takes, runs and turns away.
+//! Server-side admission control: what a worker runs, queues and rejects.
 //!
-//! A [`Controller`] lives inside one worker. Each period it resets a concurrency limit (MPL) from the
-//! requests on the cores, their latency and the arrival rate; requests above it are turned away at once
-//! while the cores are busy. It keeps no clock, thread or socket of its own: the worker hands it batches
-//! of [`Event`]s and carries out the [`Action`]s it gets back. The simulator's adapter does that itself; the
-//! booking node has the [`engine`] do it, and sees neither.
+//! A [`Controller`] lives inside one worker. Each control period it resets a concurrency limit (MPL) from the
+//! running requests, their latency and the arrival rate; requests above it are rejected at once while the cores
+//! are busy. It keeps no clock, thread or socket of its own: the worker hands it batches of [`Event`]s and carries
+//! out the [`Action`]s it gets back. The simulator's adapter does that itself; the booking node has the [`engine`]
+//! do it, and sees neither.
 //!
 //! ```
 //! use gaugestand_admission::*;
 //!
 //! let settings = Settings {
 //!     classes: vec![Class {
-//!         aim: Span::millis(500),
-//!         aim_stretch: 0.0,
+//!         latency_objective: Span::millis(500),
+//!         objective_stretch: 0.0,
 //!         deadline: Span::millis(2000),
-//!         worth: 1.0,
-//!         late_worth: 0.0,
+//!         priority_weight: 1.0,
+//!         late_weight: 0.0,
 //!         effect: Effect::Pure,
 //!         dedup_window: Span(0),
 //!         calls: false,
-//!         skip_worth: 0.0,
+//!         skipped_call_weight: 0.0,
 //!     }],
 //!     tenants: vec![],
-//!     over_share_worth: 1.0,
-//!     worth_by: WorthBy::Request,
-//!     fleet_size: 1,
+//!     over_quota_weight: 1.0,
+//!     weight_by: WeightBy::Request,
+//!     cluster_size: 1,
 //!     callers: 1,
 //!     cores: 4,
 //!     memory_kb: 65536.0,
-//!     run_factor: 8.0,
-//!     key_kb: 1.0,
-//!     below: Below::Nothing,
-//!     calls_out: 0.0,
+//!     running_memory_factor: 8.0,
+//!     entry_kb: 1.0,
+//!     downstream: Downstream::Nothing,
+//!     outbound_call_limit: 0.0,
 //!     call_window: Span::millis(5000),
-//!     call_lingers: Span(0),
-//!     halt: Halt::Never,
-//!     signal: Signal::Silent,
-//!     heeded: Span(0),
-//!     max_stay_away: Some(Span::millis(1000)),
+//!     abandoned_call_duration: Span(0),
+//!     preemption: Preemption::Never,
+//!     backpressure_signal: BackpressureSignal::Silent,
+//!     signal_retention: Span(0),
+//!     max_retry_after: Some(Span::millis(1000)),
 //!     caller_idle: Span::millis(30000),
-//!     fresh_for: Span(0),
-//!     full_checks: false,
-//!     list_follows: false,
+//!     cache_ttl: Span(0),
+//!     deep_health_checks: false,
+//!     list_follows_health: false,
 //!     cold: false,
-//!     cold_for: Span::millis(10000),
-//!     cold_share: 0.3,
-//!     crowd_window: Span::millis(3000),
-//!     crowd_multiple: 8.0,
+//!     warmup_duration: Span::millis(10000),
+//!     cold_speed_share: 0.3,
+//!     concurrency_window: Span::millis(3000),
+//!     survivable_runs_per_core: 8.0,
 //!     drain_grace: Span::millis(2000),
 //!     answer_slack: Span::millis(60),
 //!     tick: Span::millis(5),
@@ -57,15 +57,15 @@
 //!     id: RequestId(1),
 //!     class: 0,
 //!     tenant: 0,
-//!     key: None,
+//!     resource_key: None,
 //!     deadline: None,
-//!     hint: None,
-//!     held_kb: 16.0,
-//!     rank: 0.5,
+//!     work_hint: None,
+//!     queued_kb: 16.0,
+//!     shed_order: 0.5,
 //!     caller: 0,
 //!     is_retry: false,
-//!     unread_for: Span(0),
-//!     prior: None,
+//!     read_delay: Span(0),
+//!     original: None,
 //! };
 //! controller.step(Time(0), &[Event::Request(request)], &mut actions);
 //! assert!(actions.contains(&Action::Run(RequestId(1))));
