--- a/crates/admission/src/controller/arrival.rs
+++ b/crates/admission/src/controller/arrival.rs
@@ -16,7 +16,7 @@
 const MIN_WEIGHT: f64 = 1e-9;
 
 impl Controller {
-    /// Takes in a request. One whose id is known is the same attempt, told twice, and is ignored.
+    /// Takes in a request. One whose id is known is the same attempt, reported twice, and is ignored.
     pub(super) fn on_request(&mut self, request: &Request, actions: &mut Vec<Action>) {
         if self.requests.entries.contains_key(&request.id) {
             return;
@@ -40,7 +40,7 @@
             Effect::Pure | Effect::Unsafe => None,
         };
         if let Some(retention) = retention {
-            if !is_after_drain && self.has_room_to_remember() {
+            if !is_after_drain && self.can_remember() {
                 self.remember(request.id, retention, actions);
             } else if effect == Effect::Keyed {
                 // Unremembered, a repeat of it would run a second time.
--- a/crates/admission/src/controller/backpressure.rs
+++ b/crates/admission/src/controller/backpressure.rs
@@ -1,4 +1,4 @@
-//! Backpressure: what callers are told so that they send less, or elsewhere.
+//! Backpressure: messages upon which callers send less, or elsewhere.
 //!
 //! Three messages: the capacity announced with every answer, the advice of a rejection when to retry
 //! (Retry-After), and whether a retry elsewhere makes sense. They follow from the share of rejected requests
@@ -136,8 +136,8 @@
 
     /// Requests that each caller may have in hand here.
     ///
-    /// Where few callers hold what is in hand, each gets its part of twice the limit; where each holds one at
-    /// most, an allowance under one is a weight. A part of a few requests is a mean, about which what each
+    /// Where few callers have all that is in hand, each gets its part of twice the limit; where each has one
+    /// at most, an allowance under one is a weight. A part of a few requests is a mean, about which what each
     /// caller sends scatters: while little is rejected there is room for that, as far as the cores have time
     /// or the queue has places, or callers would hold back what this worker could still take. Its cost:
     /// rejections as a wave begins.
--- a/crates/admission/src/controller/dispatch.rs
+++ b/crates/admission/src/controller/dispatch.rs
@@ -14,7 +14,7 @@
     /// Starts queued requests in order, while there is room for a run.
     pub(super) fn start_queued(&mut self, actions: &mut Vec<Action>) {
         let survivable = self.survivable_concurrency() as usize;
-        while self.has_room_to_run(survivable) {
+        while self.can_start_run(survivable) {
             let Some(id) = self.next_to_start() else { break };
             if self.cannot_meet_objective(id) {
                 self.on_objective_missed(id, actions);
@@ -29,7 +29,7 @@
 
     /// Below the limit there is room; above it, as long as cores idle, up to what the worker survives: runs
     /// that wait for the disk or a lock take no core.
-    fn has_room_to_run(&self, survivable: usize) -> bool {
+    fn can_start_run(&self, survivable: usize) -> bool {
         let running = self.requests.running;
         (running as f64) < self.concurrency_limit.floor()
             || self.estimators.cores.idle > 0 && running < survivable
--- a/crates/admission/src/controller/estimators.rs
+++ b/crates/admission/src/controller/estimators.rs
@@ -50,7 +50,7 @@
     /// Length of a control period.
     pub(super) period: Span,
     pub(super) period_began: Time,
-    /// Up to when the integral is kept.
+    /// The time up to which the integral reaches.
     pub(super) updated_at: Time,
     /// Time integral of running requests over this period, in request-seconds.
     pub(super) running_integral: f64,
--- a/crates/admission/src/controller/idle_connections.rs
+++ b/crates/admission/src/controller/idle_connections.rs
@@ -56,8 +56,8 @@
     /// costs less than a flood of handshakes and reading. Its cost: handshakes, where few of many callers
     /// send nearly all.
     pub(super) fn adjust_idle_timeout(&mut self, actions: &mut Vec<Action>) {
-        let longest_s = self.settings.caller_idle.secs();
-        let requests_in_idle_time = self.estimators.arrival_rate * longest_s;
+        let caller_idle_s = self.settings.caller_idle.secs();
+        let requests_in_idle_time = self.estimators.arrival_rate * caller_idle_s;
         let are_reused = requests_in_idle_time > REUSING_REQUESTS * f64::from(self.settings.callers);
         let read_delay_fraction = self.backpressure.read_delay_s / self.estimators.latency_objective_s;
         let idle = &mut self.idle_connections;
@@ -66,7 +66,7 @@
         } else if read_delay_fraction < PROMPT_READ_FRACTION {
             idle.timeout_s *= 1.0 - SHORTENING * (1.0 - self.estimators.cores.busy.min(MAX_BUSY_FRACTION));
         }
-        idle.timeout_s = idle.timeout_s.clamp(MIN_TIMEOUT_FRACTION * longest_s, longest_s);
+        idle.timeout_s = idle.timeout_s.clamp(MIN_TIMEOUT_FRACTION * caller_idle_s, caller_idle_s);
         if (idle.timeout_s / idle.announced_s - 1.0).abs() > MIN_CHANGE_FRACTION {
             idle.announced_s = idle.timeout_s;
             actions.push(Action::SetIdleTimeout(Span::from_secs(idle.timeout_s).max(MIN_TIMEOUT)));
--- a/crates/admission/src/controller/memory.rs
+++ b/crates/admission/src/controller/memory.rs
@@ -38,7 +38,7 @@
 
 impl Controller {
     /// Whether one more request may be remembered.
-    pub(super) fn has_room_to_remember(&self) -> bool {
+    pub(super) fn can_remember(&self) -> bool {
         let remembered_kb = (self.memory.remembered.len() + 1) as f64 * self.settings.entry_kb;
         remembered_kb <= MAX_REMEMBERED_FRACTION * self.settings.memory_kb
     }
--- a/crates/admission/src/controller/outbound_calls.rs
+++ b/crates/admission/src/controller/outbound_calls.rs
@@ -238,8 +238,8 @@
                 self.on_objective_missed(id, actions);
                 continue;
             }
-            let Some(longest_s) = self.room_for_call_s() else { break };
-            let deadline = self.call_deadline(entry, longest_s);
+            let Some(max_duration_s) = self.max_call_duration_s() else { break };
+            let deadline = self.call_deadline(entry, max_duration_s);
             if let Some(entry) = self.requests.get_mut(id) {
                 entry.call_deadline = deadline;
             }
@@ -256,16 +256,16 @@
 
     /// The longest that one more call may take, in seconds, such that the mean over any window stays under
     /// the share whatever the dependency does; `None` where there is no room for a call of usual length.
-    fn room_for_call_s(&self) -> Option<f64> {
+    fn max_call_duration_s(&self) -> Option<f64> {
         let limit = self.settings.outbound_call_limit;
         let window_s = self.settings.call_window.secs().max(MIN_WINDOW_S);
         let in_hand = (self.outbound_calls.in_hand() + 1) as f64;
-        let room = (PROMISED_FRACTION - self.call_load()) * limit * window_s;
-        let longest_s = room - self.settings.abandoned_call_duration.secs();
+        let free_call_seconds = (PROMISED_FRACTION - self.call_load()) * limit * window_s;
+        let max_duration_s = free_call_seconds - self.settings.abandoned_call_duration.secs();
         let is_full = in_hand > self.outbound_calls.max_in_hand(limit)
             || self.outbound_calls.mean_in_hand > MEAN_FRACTION * limit
-            || longest_s < self.usual_call_s();
-        (!is_full).then_some(longest_s)
+            || max_duration_s < self.usual_call_s();
+        (!is_full).then_some(max_duration_s)
     }
 
     /// A mean reply, in seconds; before the first one, the least time in which a reply can be noticed.
@@ -276,12 +276,12 @@
     /// When a call is given up: at the request's objective, or as soon as its room is used up. One that may
     /// be made again is given up sooner, as a reply that has not come for long may never come; each retry
     /// waits twice as long, so that slow calls still end.
-    fn call_deadline(&self, entry: &RequestEntry, longest_s: f64) -> Time {
+    fn call_deadline(&self, entry: &RequestEntry, max_duration_s: f64) -> Time {
         let timeout_s = TIMEOUT_MEAN_REPLIES * self.usual_call_s() * backoff_factor(entry.failed_calls);
         let is_pure = self.settings.classes[entry.class].effect == Effect::Pure;
         let may_retry = is_pure && self.outbound_calls.reply_times.is_some();
-        let longest_s = if may_retry { longest_s.min(timeout_s) } else { longest_s };
+        let max_duration_s = if may_retry { max_duration_s.min(timeout_s) } else { max_duration_s };
         let earliest = self.now + self.settings.tick;
-        entry.useful_until.max(earliest).min(self.now + Span::from_secs(longest_s))
+        entry.useful_until.max(earliest).min(self.now + Span::from_secs(max_duration_s))
     }
 }
--- a/crates/admission/src/controller/queue.rs
+++ b/crates/admission/src/controller/queue.rs
@@ -152,8 +152,8 @@
         let deadline = entry.deadline;
         let late_weight = self.settings.classes[entry.class].late_weight;
         let is_past_deadline = useful_until >= deadline;
-        let has_no_room = entry.phase == Phase::Queued && self.is_busy();
-        if late_weight <= 0.0 || is_past_deadline || has_no_room {
+        let has_no_capacity = entry.phase == Phase::Queued && self.is_busy();
+        if late_weight <= 0.0 || is_past_deadline || has_no_capacity {
             return self.reject(id, actions);
         }
         self.queue.expiry.remove(&(useful_until, id));
--- a/crates/admission/src/controller/requests.rs
+++ b/crates/admission/src/controller/requests.rs
@@ -22,7 +22,7 @@
     Coalesced,
     /// On the cores.
     Running,
-    /// On the cores, answered and told to stop: nothing goes back to the queue.
+    /// On the cores, answered and being stopped: nothing goes back to the queue.
     Stopping,
     /// Off the cores, wants to call.
     #[serde(rename = "AtCall")]
--- a/crates/admission/src/interface/events.rs
+++ b/crates/admission/src/interface/events.rs
@@ -26,7 +26,7 @@
     pub queued_kb: f64,
     /// Place in the order of shedding, from 0 to under 1; lower is shed first.
     pub shed_order: f64,
-    /// The number of its caller; 0 where callers are not told apart.
+    /// The number of its caller; 0 where callers are not distinguished.
     pub caller: u64,
     /// Known to be a retry or a second copy.
     pub is_retry: bool,
--- a/crates/admission/src/interface/settings.rs
+++ b/crates/admission/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! What a controller is told at its start: the classes and tenants, what the worker can do, and what it survives.
+//! The settings of a controller: the classes and tenants, what the worker can do, and what it survives.
 //!
 //! The stored names (`#[serde(rename)]`) are those of the hand-over between two processes of a node, which may be of
 //! different versions.
@@ -99,7 +99,7 @@
     Work,
 }
 
-/// Everything a controller is told at its start.
+/// Everything that a controller knows from its start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
     /// Classes, by index.
@@ -195,8 +195,8 @@
         if self.tick.0 == 0 {
             return Err(SettingsError::ZeroTick);
         }
-        let is_unsound = |class: &Class| class.latency_objective.0 == 0 || class.deadline.0 == 0;
-        match self.classes.iter().position(is_unsound) {
+        let is_invalid = |class: &Class| class.latency_objective.0 == 0 || class.deadline.0 == 0;
+        match self.classes.iter().position(is_invalid) {
             Some(class) => Err(SettingsError::ZeroClassTime { class }),
             None => Ok(()),
         }
--- a/crates/admission/tests/limits.rs
+++ b/crates/admission/tests/limits.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_controllers_files_are_narrow_and_hold_no_test_code() {
+fn the_controllers_files_are_narrow_and_contain_no_test_code() {
     for (path, text) in controller_files() {
         for (index, line) in text.lines().enumerate() {
             assert!(line.chars().count() <= MAX_WIDTH, "{path}: line {} is too wide", index + 1);
--- a/src/bin/simulator_adapter/messages.rs
+++ b/src/bin/simulator_adapter/messages.rs
@@ -19,7 +19,7 @@
         worker: u64,
         /// Seed for its random choices.
         seed: u64,
-        /// What it is told, or why it can't decide.
+        /// Its settings, or why it can't decide.
         settings: Result<Settings, SettingsError>,
     },
     /// A worker died.
--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -73,12 +73,12 @@
 // One worker of many is given settings without sense. It is declared broken; the others go on.
 #[test]
 fn settings_that_make_no_sense_are_declared_broken() {
-    for (sound, unsound, message) in [
+    for (valid, invalid, message) in [
         ("extra.cores=2", "extra.cores=0", "setting cores: must be at least 1"),
         ("classes.count=1", "classes.count=0", "setting classes: must not be empty"),
         ("tick=5000000", "tick=-5", "setting tick: must not be negative"),
     ] {
-        let output = run(&format!("frame t=5\n{}commit\n", up(0).replace(sound, unsound)));
+        let output = run(&format!("frame t=5\n{}commit\n", up(0).replace(valid, invalid)));
         assert!(output.status.success());
         let text = stdout(output);
         assert!(text.contains(&format!("broken who=0 message={message}\n")), "{text}");
