--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -249,7 +249,7 @@
     }
 
     /// Lets go of callers that are quiet for too long.
-    pub fn tick(&mut self, now: Micros) {
+    pub fn on_timer(&mut self, now: Micros) {
         for slot in &mut self.callers {
             *slot = slot.take().filter(|c| now.since(c.since) < PATIENCE);
         }
@@ -261,7 +261,7 @@
     }
 
     /// When to call [`Admin::tick`] again.
-    pub fn wake(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Micros> {
         self.callers.iter().flatten().map(|c| c.since.plus(PATIENCE)).min()
     }
 }
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -51,20 +51,24 @@
 
 /// An open request of a connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Open {
+pub enum OpenRequest {
     /// Its records come in, since then.
     Incoming(Box<Incoming>, bool, Micros),
     /// Read; the answer is owed.
-    Owed(RequestId, bool),
+    #[serde(rename = "Owed")]
+    Admitted(RequestId, bool),
     /// A health check that waits for the kernel.
-    Check(bool),
+    #[serde(rename = "Check")]
+    HealthCheck(bool),
 }
 
-impl Open {
+impl OpenRequest {
     /// Whether the connection stays after this request.
     pub fn keeps(&self) -> bool {
         match self {
-            Open::Incoming(_, keeps, _) | Open::Owed(_, keeps) | Open::Check(keeps) => *keeps,
+            OpenRequest::Incoming(_, keeps, _)
+            | OpenRequest::Admitted(_, keeps)
+            | OpenRequest::HealthCheck(keeps) => *keeps,
         }
     }
 }
@@ -76,13 +80,13 @@
 
 /// One connection of a gateway.
 #[derive(Debug)]
-pub struct Conn<T> {
+pub struct Connection<T> {
     stream: T,
     input: Vec<u8>,
     /// What waits to be written.
     pub output: Outbox,
     /// Its open requests, by FastCGI id.
-    pub open: BTreeMap<u16, Open>,
+    pub open: BTreeMap<u16, OpenRequest>,
     /// When it was accepted, and when anything was last read or written.
     since: Micros,
     used: Micros,
@@ -122,25 +126,25 @@
 
 /// Names a connection; a later one in the same place has another name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ConnId {
+pub struct ConnectionId {
     place: usize,
     serial: u64,
 }
 
-impl ConnId {
+impl ConnectionId {
     /// A connection that is gone.
-    pub const NOWHERE: ConnId = ConnId { place: usize::MAX, serial: 0 };
+    pub const GONE: ConnectionId = ConnectionId { place: usize::MAX, serial: 0 };
 }
 
 /// All of a connection but its socket, for another process to go on with.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Snapshot {
+pub struct ConnectionSnapshot {
     /// Its name in the process that had it.
-    pub id: ConnId,
+    pub id: ConnectionId,
     input: Vec<u8>,
     output: Vec<u8>,
     /// Its open requests.
-    pub open: BTreeMap<u16, Open>,
+    pub open: BTreeMap<u16, OpenRequest>,
     since: Micros,
     used: Micros,
     stuck: Option<Micros>,
@@ -158,7 +162,7 @@
 
 /// The listener and its connections.
 #[derive(Debug)]
-pub struct Table<S: System> {
+pub struct ConnectionTable<S: System> {
     listener: Option<S::Listener>,
     /// Nothing is accepted or read.
     stopped: bool,
@@ -166,13 +170,13 @@
     lent: usize,
     /// Poller key of the first place.
     first_key: usize,
-    conns: Vec<Option<Conn<S::Stream>>>,
+    conns: Vec<Option<Connection<S::Stream>>>,
     free: Vec<usize>,
     serial: u64,
     most: usize,
     idle: Option<Micros>,
     /// Connections with something to write or to settle this turn.
-    touched: Vec<ConnId>,
+    touched: Vec<ConnectionId>,
     next_look: Micros,
 }
 
@@ -182,13 +186,13 @@
     /// Requests that were owed an answer on connections that are gone.
     pub gone: Vec<RequestId>,
     /// Requests of which the rest does not come.
-    pub unfinished: Vec<(ConnId, u16)>,
+    pub unfinished: Vec<(ConnectionId, u16)>,
 }
 
-impl<S: System> Table<S> {
+impl<S: System> ConnectionTable<S> {
     /// A table that does not listen yet, within this many descriptors besides those of the store's connections.
     pub fn new(first_key: usize, sockets: usize) -> Self {
-        Table {
+        ConnectionTable {
             listener: None,
             stopped: false,
             lent: 0,
@@ -215,12 +219,12 @@
     }
 
     /// Does without so many of its descriptors from now on, or without half of them.
-    pub fn lend(&mut self, descriptors: usize) {
+    pub fn reserve_descriptors(&mut self, descriptors: usize) {
         self.lent = descriptors.min(self.most / 2);
     }
 
     /// Accepts and reads nothing until told to go on.
-    pub fn stop(&mut self, stopped: bool) {
+    pub fn pause(&mut self, stopped: bool) {
         self.stopped = stopped;
         self.listen_for(!stopped);
         for conn in self.conns.iter_mut().flatten() {
@@ -230,13 +234,13 @@
     }
 
     /// All connections, for another process to go on with.
-    pub fn snapshot(&self) -> Vec<Snapshot> {
+    pub fn snapshot(&self) -> Vec<ConnectionSnapshot> {
         let conns = self.conns.iter().enumerate().filter_map(|(place, c)| c.as_ref().map(|c| (place, c)));
-        conns.map(|(place, c)| c.snapshot(ConnId { place, serial: c.serial })).collect()
+        conns.map(|(place, c)| c.snapshot(ConnectionId { place, serial: c.serial })).collect()
     }
 
     /// The socket of a connection, to be passed on.
-    pub fn stream(&self, id: ConnId) -> Option<&S::Stream> {
+    pub fn stream(&self, id: ConnectionId) -> Option<&S::Stream> {
         self.conns.get(id.place)?.as_ref().filter(|c| c.serial == id.serial).map(|c| &c.stream)
     }
 
@@ -246,10 +250,10 @@
     }
 
     /// Goes on with a connection of another process; it is watched under [`Table::next_key`].
-    pub fn restore(&mut self, stream: S::Stream, c: Snapshot) -> ConnId {
+    pub fn restore(&mut self, stream: S::Stream, c: ConnectionSnapshot) -> ConnectionId {
         let place = self.free.last().copied().unwrap_or(self.conns.len());
         self.add(c.since, place, stream);
-        let id = ConnId { place, serial: self.serial };
+        let id = ConnectionId { place, serial: self.serial };
         if let Some(conn) = self.get(id) {
             conn.output.push(c.output);
             (conn.deaf, conn.half_closed, conn.closing) = (c.deaf, c.half_closed, c.closing);
@@ -265,7 +269,7 @@
     }
 
     /// Lets go of all connections and of the listener.
-    pub fn retire(&mut self) {
+    pub fn release_all(&mut self) {
         self.listener = None;
         self.conns.clear();
         self.free.clear();
@@ -300,41 +304,41 @@
         }
     }
 
-    fn ids(&self) -> Vec<ConnId> {
+    fn ids(&self) -> Vec<ConnectionId> {
         let conns = self.conns.iter().enumerate().filter_map(|(place, c)| c.as_ref().map(|c| (place, c)));
-        conns.map(|(place, c)| ConnId { place, serial: c.serial }).collect()
+        conns.map(|(place, c)| ConnectionId { place, serial: c.serial }).collect()
     }
 
     /// Requests that are not whole, and checks that wait.
-    pub fn unread(&self) -> Vec<(ConnId, u16)> {
-        let open = |id: ConnId| self.conns.get(id.place).and_then(Option::as_ref).map(|c| &c.open);
+    pub fn unread(&self) -> Vec<(ConnectionId, u16)> {
+        let open = |id: ConnectionId| self.conns.get(id.place).and_then(Option::as_ref).map(|c| &c.open);
         let ids = self.ids().into_iter().filter_map(|id| Some((id, open(id)?)));
         ids.flat_map(|(id, open)| {
-            let unread = open.iter().filter(|(_, o)| !matches!(o, Open::Owed(..)));
+            let unread = open.iter().filter(|(_, o)| !matches!(o, OpenRequest::Admitted(..)));
             unread.map(move |(fcgi, _)| (id, *fcgi))
         })
         .collect()
     }
 
     /// How long a connection may be idle, once that is set.
-    pub fn idle(&self) -> Option<Micros> {
+    pub fn idle_timeout(&self) -> Option<Micros> {
         self.idle
     }
 
     /// Health checks that wait.
-    pub fn checks(&self) -> Vec<(ConnId, u16)> {
+    pub fn pending_health_checks(&self) -> Vec<(ConnectionId, u16)> {
         let conns = self.conns.iter().enumerate().filter_map(|(place, c)| c.as_ref().map(|c| (place, c)));
         conns
             .flat_map(|(place, c)| {
-                let id = ConnId { place, serial: c.serial };
-                let checks = c.open.iter().filter(|(_, open)| matches!(open, Open::Check(_)));
+                let id = ConnectionId { place, serial: c.serial };
+                let checks = c.open.iter().filter(|(_, open)| matches!(open, OpenRequest::HealthCheck(_)));
                 checks.map(move |(fcgi, _)| (id, *fcgi))
             })
             .collect()
     }
 
     /// Sets how long a connection may be idle.
-    pub fn set_idle(&mut self, idle: Micros) {
+    pub fn set_idle_timeout(&mut self, idle: Micros) {
         self.idle = Some(idle);
     }
 
@@ -381,7 +385,7 @@
 
     fn add(&mut self, now: Micros, place: usize, stream: S::Stream) {
         self.serial += 1;
-        let conn = Conn {
+        let conn = Connection {
             stream,
             input: Vec::new(),
             output: Outbox::default(),
@@ -409,39 +413,39 @@
     }
 
     /// The connection that a poller key stands for.
-    pub fn at_key(&self, key: usize) -> Option<ConnId> {
+    pub fn at_key(&self, key: usize) -> Option<ConnectionId> {
         let place = key.checked_sub(self.first_key)?;
         let serial = self.conns.get(place)?.as_ref()?.serial;
-        Some(ConnId { place, serial })
+        Some(ConnectionId { place, serial })
     }
 
     /// A connection that is still there.
-    pub fn get(&mut self, id: ConnId) -> Option<&mut Conn<S::Stream>> {
+    pub fn get(&mut self, id: ConnectionId) -> Option<&mut Connection<S::Stream>> {
         self.conns.get_mut(id.place)?.as_mut().filter(|c| c.serial == id.serial)
     }
 
     /// Marks a connection as having something to write or to settle this turn.
-    pub fn touch(&mut self, id: ConnId) {
+    pub fn touch(&mut self, id: ConnectionId) {
         if !self.touched.contains(&id) {
             self.touched.push(id);
         }
     }
 
     /// Closes a connection; returns the requests that were owed an answer on it.
-    pub fn close(&mut self, id: ConnId) -> Vec<RequestId> {
+    pub fn close(&mut self, id: ConnectionId) -> Vec<RequestId> {
         if self.get(id).is_none() {
             return Vec::new();
         }
         let conn = self.conns[id.place].take();
         self.free.push(id.place);
         let open = conn.into_iter().flat_map(|c| c.open.into_values());
-        open.filter_map(|o| if let Open::Owed(id, _) = o { Some(id) } else { None }).collect()
+        open.filter_map(|o| if let OpenRequest::Admitted(id, _) = o { Some(id) } else { None }).collect()
     }
 
     /// Ends a connection on which all was written: the other side may still be sending, and a close over bytes that are
     /// not read is a reset, which may overtake the last answer. So its write side is shut, what comes is dropped until
     /// the other side ends too, and only then is it closed. Returns the requests that were owed an answer on it.
-    fn finish(&mut self, now: Micros, id: ConnId) -> Vec<RequestId> {
+    fn finish(&mut self, now: Micros, id: ConnectionId) -> Vec<RequestId> {
         let Some(conn) = self.get(id) else { return Vec::new() };
         if conn.closing.is_some() {
             return Vec::new();
@@ -455,11 +459,13 @@
         (conn.deaf, conn.partial, conn.linger) = (true, None, None);
         conn.input = Vec::new();
         let open = std::mem::take(&mut conn.open);
-        open.into_values().filter_map(|o| if let Open::Owed(id, _) = o { Some(id) } else { None }).collect()
+        open.into_values()
+            .filter_map(|o| if let OpenRequest::Admitted(id, _) = o { Some(id) } else { None })
+            .collect()
     }
 
     /// Something came on a connection whose write side is shut.
-    pub fn drop_input(&mut self, id: ConnId, buffer: &mut [u8]) {
+    pub fn drop_input(&mut self, id: ConnectionId, buffer: &mut [u8]) {
         let over = self.get(id).is_none_or(|c| c.drop_input(buffer).is_err());
         if over {
             self.close(id);
@@ -470,7 +476,7 @@
         // Of those accepted at the same time the oldest goes: never the one that has just come. The ones that are
         // to end anyway go first, then those that have asked for nothing: gateways connect when they have
         // something to send.
-        let order = |c: &Conn<S::Stream>| match (c.deaf, c.asked || now.since(c.since) < NEW) {
+        let order = |c: &Connection<S::Stream>| match (c.deaf, c.asked || now.since(c.since) < NEW) {
             _ if c.closing.is_some() => 0,
             (true, _) => 1,
             (false, false) => 2,
@@ -492,16 +498,16 @@
         })
     }
 
-    fn idle_conns(&self) -> impl Iterator<Item = (ConnId, &Conn<S::Stream>)> + '_ {
+    fn idle_conns(&self) -> impl Iterator<Item = (ConnectionId, &Connection<S::Stream>)> + '_ {
         let conns = self.conns.iter().enumerate();
         conns
             .filter_map(|(place, c)| c.as_ref().map(|c| (place, c)))
             .filter(|(_, c)| c.is_idle())
-            .map(|(place, c)| (ConnId { place, serial: c.serial }, c))
+            .map(|(place, c)| (ConnectionId { place, serial: c.serial }, c))
     }
 
     /// Whether nothing came just now on a connection with nothing under way.
-    fn is_unused(&mut self, now: Micros, id: ConnId) -> bool {
+    fn is_unused(&mut self, now: Micros, id: ConnectionId) -> bool {
         // Guards against closing on a request that has been written but not read: it would be lost.
         let Some(conn) = self.get(id) else { return false };
         if !conn.deaf && conn.has_unread() {
@@ -512,7 +518,7 @@
     }
 
     /// Closes what was idle for too long, cuts off what does not read, and ends what was only begun.
-    pub fn tick(&mut self, now: Micros, counters: &mut Counters) -> Look {
+    pub fn on_timer(&mut self, now: Micros, counters: &mut Counters) -> Look {
         let mut look = Look::default();
         if now < self.next_look {
             return look;
@@ -520,7 +526,7 @@
         self.next_look = now.plus(LOOK);
         self.listen_for(true);
         if let Some(idle) = self.idle {
-            let old: Vec<ConnId> = self
+            let old: Vec<ConnectionId> = self
                 .idle_conns()
                 .filter(|(_, c)| !c.deaf && now.since(c.used) >= idle)
                 .map(|c| c.0)
@@ -535,7 +541,7 @@
         let (mut cut, mut over, mut closed) = (Vec::new(), Vec::new(), Vec::new());
         for (place, conn) in self.conns.iter_mut().enumerate() {
             let Some(conn) = conn else { continue };
-            let id = ConnId { place, serial: conn.serial };
+            let id = ConnectionId { place, serial: conn.serial };
             look.unfinished.extend(conn.unfinished(now).map(|fcgi| (id, fcgi)));
             if let Some(closing) = conn.closing {
                 if now >= closing.until {
@@ -568,7 +574,7 @@
     }
 
     /// Counts a bad request on a connection, and ends the connection if there were too many.
-    pub fn fault(&mut self, now: Micros, id: ConnId, all: bool) {
+    pub fn fault(&mut self, now: Micros, id: ConnectionId, all: bool) {
         let Some(conn) = self.get(id) else { return };
         conn.faults += 1;
         if (all || !conn.served && conn.faults >= MOST_FAULTS) && conn.linger.is_none() {
@@ -602,9 +608,9 @@
     }
 }
 
-impl<T: Stream> Conn<T> {
-    fn snapshot(&self, id: ConnId) -> Snapshot {
-        Snapshot {
+impl<T: Stream> Connection<T> {
+    fn snapshot(&self, id: ConnectionId) -> ConnectionSnapshot {
+        ConnectionSnapshot {
             id,
             input: self.input.clone(),
             output: self.output.bytes(),
@@ -633,7 +639,7 @@
             _ => Err(status::UNKNOWN_ROLE),
         };
         match opened {
-            Ok(keeps) => drop(self.open.insert(id, Open::Incoming(Box::default(), keeps, now))),
+            Ok(keeps) => drop(self.open.insert(id, OpenRequest::Incoming(Box::default(), keeps, now))),
             Err(status) => self.output.push(fastcgi::end_request(id, 0, status)),
         }
     }
@@ -703,7 +709,7 @@
 
     /// Requests of which the rest does not come.
     fn unfinished(&self, now: Micros) -> impl Iterator<Item = u16> + '_ {
-        let late = move |open: &Open| matches!(open, Open::Incoming(_, _, t) if now.since(*t) >= UNFINISHED);
+        let late = move |open: &OpenRequest| matches!(open, OpenRequest::Incoming(_, _, t) if now.since(*t) >= UNFINISHED);
         self.open.iter().filter(move |(_, open)| late(open)).map(|(id, _)| *id)
     }
 
@@ -754,7 +760,7 @@
     pub fn stop_reading(&mut self) -> io::Result<()> {
         (self.deaf, self.partial) = (true, None);
         self.input = Vec::new();
-        self.open.retain(|_, o| !matches!(o, Open::Incoming(..)));
+        self.open.retain(|_, o| !matches!(o, OpenRequest::Incoming(..)));
         self.stream.watch(false, !self.output.is_empty())
     }
 
--- a/crates/node/src/connections/tests.rs
+++ b/crates/node/src/connections/tests.rs
@@ -6,9 +6,9 @@
 use std::net::TcpStream;
 
 /// A connection with one open request, taken at the time given, and its other side.
-fn table(now: Micros) -> (Table<Real>, ConnId, TcpStream) {
+fn table(now: Micros) -> (ConnectionTable<Real>, ConnectionId, TcpStream) {
     let system = Real::new().expect("a poller");
-    let mut table: Table<Real> = Table::new(1, 64);
+    let mut table: ConnectionTable<Real> = ConnectionTable::new(1, 64);
     table.listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a port"));
     let client = TcpStream::connect(table.address().expect("it listens")).expect("accepted");
     let mut counters = Counters::default();
@@ -18,7 +18,7 @@
     let id = table.at_key(1).expect("the first place");
     let conn = table.get(id).expect("it is there");
     conn.note_asked();
-    conn.open.insert(1, Open::Owed(RequestId(1), true));
+    conn.open.insert(1, OpenRequest::Admitted(RequestId(1), true));
     (table, id, client)
 }
 
@@ -32,7 +32,7 @@
         let (now, mut counters) = (began.plus(wait), Counters::default());
         table.get(id).expect("it is there").output.push(b"answer".to_vec());
         table.touch(id);
-        let look = table.tick(now, &mut counters);
+        let look = table.on_timer(now, &mut counters);
         assert!(look.gone.is_empty(), "cut off with its answer unwritten after {wait:?}");
         assert!(table.flush(now, &mut counters).is_empty());
         let mut read = [0; 6];
@@ -53,10 +53,10 @@
         table.flush(now, &mut counters);
     }
     let just_before = Micros(now.plus(STALLED).0 - 1);
-    assert!(table.tick(just_before, &mut counters).gone.is_empty());
+    assert!(table.on_timer(just_before, &mut counters).gone.is_empty());
     table.touch(id);
     table.flush(just_before, &mut counters);
-    assert_eq!(table.tick(now.plus(STALLED).plus(LOOK), &mut counters).gone, [RequestId(1)]);
+    assert_eq!(table.on_timer(now.plus(STALLED).plus(LOOK), &mut counters).gone, [RequestId(1)]);
 }
 
 /// Waits until a connection lies in the listener's queue.
@@ -116,9 +116,9 @@
         }
     }
     assert!(table.get(id).is_some_and(|c| !c.reads()), "it reads no more than that");
-    table.tick(Micros(LINGERING_CLOSE.0 - 1), &mut counters);
+    table.on_timer(Micros(LINGERING_CLOSE.0 - 1), &mut counters);
     assert_eq!(table.open_count(), 1);
-    table.tick(LINGERING_CLOSE.plus(LOOK), &mut counters);
+    table.on_timer(LINGERING_CLOSE.plus(LOOK), &mut counters);
     assert_eq!(table.open_count(), 0);
 }
 
@@ -126,7 +126,7 @@
 #[test]
 fn what_the_system_has_accepted_is_taken_in_before_the_listener_goes() {
     let system = Real::new().expect("a poller");
-    let mut table: Table<Real> = Table::new(1, 64);
+    let mut table: ConnectionTable<Real> = ConnectionTable::new(1, 64);
     table.listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a port"));
     let mut late = TcpStream::connect(table.address().expect("it listens")).expect("accepted by the system");
     late.write_all(b"a request").expect("the system takes it");
@@ -147,11 +147,11 @@
         let (mut table, id, mut client) = table(Micros(0));
         let (idle, mut counters) = (Micros::millis(200), Counters::default());
         table.get(id).expect("it is there").open.clear();
-        table.set_idle(idle);
+        table.set_idle_timeout(idle);
         if comes {
             client.write_all(&[1]).expect("the system takes it");
         }
-        table.tick(idle, &mut counters);
+        table.on_timer(idle, &mut counters);
         let conn = table.get(id).expect("it is there");
         assert_eq!((conn.is_closing(), counters.connections_idle_closed), (!comes, u64::from(!comes)));
         if !comes {
@@ -165,10 +165,10 @@
 #[test]
 fn a_connection_that_is_being_closed_makes_room_first() {
     let system = Real::new().expect("a poller");
-    let mut table: Table<Real> = Table::new(1, OWN + 3);
+    let mut table: ConnectionTable<Real> = ConnectionTable::new(1, OWN + 3);
     table.listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a port"));
     let (at, mut counters) = (table.address().expect("it listens"), Counters::default());
-    let connect = |table: &mut Table<Real>, now, counters: &mut Counters| {
+    let connect = |table: &mut ConnectionTable<Real>, now, counters: &mut Counters| {
         let client = TcpStream::connect(at).expect("accepted");
         await_connection(&system);
         table.accept(now, counters);
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -3,7 +3,7 @@
 use super::admin::{self, Admin, Call, Said};
 use super::config;
 use super::config::Config;
-use super::connections::{self, ConnId, MOST_OPEN, Open, Table};
+use super::connections::{self, ConnectionId, ConnectionTable, MOST_OPEN, OpenRequest};
 use super::counters::Counters;
 use super::fastcgi::{self, Record, kind};
 use super::handover_link::Place;
@@ -17,9 +17,9 @@
 use super::membership_reports::Members;
 use super::peers::{self, Peers};
 use super::request::{Asked, AttemptParams, Fault};
-use super::request_metrics::{End, Figures};
+use super::request_metrics::{End, RequestMetrics};
 use super::response::Response;
-use super::store::{self, Ended, Store};
+use super::store::{self, EndedCall, Store};
 use gaugestand_admission::classes::ClassSlots;
 use gaugestand_admission::engine::{
     AdmitError, Arrival, CallOutcome, Engine, EngineCommand, EngineEvent, RunOutcome,
@@ -55,7 +55,7 @@
 const INHERITED: usize = 12;
 const FIRST_CALLER: usize = 16;
 const FIRST_LANE: usize = FIRST_CALLER + admin::MOST_CALLERS;
-const PEER_LISTENER: usize = FIRST_LANE + store::MOST_LANES;
+const PEER_LISTENER: usize = FIRST_LANE + store::MAX_CONNECTIONS;
 const FIRST_PEER: usize = PEER_LISTENER + 1;
 const FIRST_CONN: usize = FIRST_PEER + peers::KEYS;
 
@@ -102,49 +102,49 @@
     system: S,
     config: Config,
     clock: Clock,
-    table: Table<S>,
+    connections: ConnectionTable<S>,
     /// What was read of one connection, for its records to be parsed where they lie.
-    buffer: Vec<u8>,
+    read_buffer: Vec<u8>,
     kernel: Kernel<S>,
     store: Store<S>,
-    members: Members<S>,
+    membership: Members<S>,
     engine: Engine<KeyTable>,
-    record: Keeper<S>,
+    idempotency_store: Keeper<S>,
     logs: Logs,
     counters: Counters,
     admin: Admin<S>,
-    figures: Figures,
+    request_metrics: RequestMetrics,
     /// The classes, as requests know them.
-    slots: ClassSlots,
-    keyed: Vec<bool>,
+    class_slots: ClassSlots,
+    keyed_classes: Vec<bool>,
     attempts: BTreeMap<RequestId, Place>,
     /// Other processes of this node.
-    kin: Kindred<S>,
-    checks: Checks,
-    leave: S::Signals,
-    print: S::Signals,
-    reload: S::Signals,
+    handover: Kindred<S>,
+    health_checks: Checks,
+    termination_signals: S::Signals,
+    counters_signal: S::Signals,
+    reload_signal: S::Signals,
     /// After the notice to leave: when the process is stopped.
-    stop: Option<Micros>,
+    stop_at: Option<Micros>,
     /// It drains.
-    leaving: bool,
+    draining: bool,
     /// Turns since the end of the drain is near.
-    last_looks: u8,
+    final_polls: u8,
     /// The nodes that agree on versions with this one, where there are any.
     peers: Option<Box<Peers<S>>>,
     /// The settings of the node's own file, while a version has others.
-    local: serde_json::Value,
+    local_settings: serde_json::Value,
     /// Ends of requests by class at two moments, for the present load.
-    pace: cluster::Pace,
+    class_load: cluster::Pace,
 }
 
 /// The earliest of these, or the longest wait. Nothing is looked at again at once: what is overdue then waits for
 /// something else to happen.
-fn next_turn(now: Micros, wake: impl IntoIterator<Item = Option<Micros>>) -> Micros {
+fn earliest_wakeup(now: Micros, wake: impl IntoIterator<Item = Option<Micros>>) -> Micros {
     wake.into_iter().flatten().min().unwrap_or(now.plus(LONGEST_WAIT)).max(now.plus(Micros(200)))
 }
 
-fn longest_window(config: &Config) -> Micros {
+fn longest_dedup_window(config: &Config) -> Micros {
     let keyed = config.settings.classes.iter().filter(|c| c.effect == Effect::Keyed);
     keyed.map(|c| c.dedup_window).max().unwrap_or_default().into()
 }
@@ -157,9 +157,9 @@
         let (leave, print) = (signals(LEAVE, &[SIGTERM, SIGINT])?, signals(PRINT, &[SIGUSR1])?);
         let reload = signals(RELOAD, &[SIGHUP])?;
         let clock = Clock::new(&system);
-        let lanes = store::lanes_within(config.sockets);
+        let lanes = store::max_connections_within(config.sockets);
         // The store is read before anybody can connect.
-        let who = (config.name.as_str(), config.seed, longest_window(&config));
+        let who = (config.name.as_str(), config.seed, longest_dedup_window(&config));
         let stored = config.operators.record.as_ref();
         let (record, mut key_table) =
             Keeper::start(stored, who, RECORD, &system, clock.moment()).map_err(NodeError::Record)?;
@@ -173,51 +173,51 @@
         let peers = config.operators.fleet.as_ref().map(join).transpose().map_err(NodeError::Fleet)?;
         let admin = Admin::listen(&system, config.admin, ADMIN, FIRST_CALLER, peers.is_some())
             .map_err(io_error("listening at the second address"))?;
-        let mut figures = Figures::default();
-        figures.list(&config.classes);
-        let mut table = Table::new(FIRST_CONN, config.sockets - others);
+        let mut figures = RequestMetrics::default();
+        figures.register_classes(&config.classes);
+        let mut table = ConnectionTable::new(FIRST_CONN, config.sockets - others);
         let (kin, listener) = Kindred::find(&system, &config)?;
         match listener {
             Some(listener) => table.listen(listener),
-            None => table.stop(true),
+            None => table.pause(true),
         }
         let engine =
             Engine::new(config.settings.clone(), config.seed, key_table).map_err(NodeError::Settings)?;
         Ok(Node {
             clock,
-            record,
+            idempotency_store: record,
             logs,
             kernel: Kernel::new(config.kernel, KERNEL, &system, &config.gauges),
             store: Store::new(config.store, FIRST_LANE, lanes, &system),
-            members: Members::new(&system, config.members, &config.name).map_err(io_error("members"))?,
+            membership: Members::new(&system, config.members, &config.name).map_err(io_error("members"))?,
             counters: Counters::default(),
             admin,
-            figures,
-            slots: ClassSlots::new(&config.classes),
-            keyed: config.keyed.clone(),
+            request_metrics: figures,
+            class_slots: ClassSlots::new(&config.classes),
+            keyed_classes: config.keyed.clone(),
             attempts: BTreeMap::new(),
-            kin,
-            checks: Checks::default(),
-            leave,
-            print,
-            reload,
-            stop: None,
-            leaving: false,
-            last_looks: 0,
+            handover: kin,
+            health_checks: Checks::default(),
+            termination_signals: leave,
+            counters_signal: print,
+            reload_signal: reload,
+            stop_at: None,
+            draining: false,
+            final_polls: 0,
             peers,
-            local: config.file["settings"].clone(),
-            pace: cluster::Pace::default(),
+            local_settings: config.file["settings"].clone(),
+            class_load: cluster::Pace::default(),
             config,
             system,
-            table,
-            buffer: connections::buffer(),
+            connections: table,
+            read_buffer: connections::buffer(),
             engine,
         })
     }
 
     /// The address it listens at.
     pub fn address(&self) -> Option<std::net::SocketAddr> {
-        self.table.address().or_else(|| self.kin.address())
+        self.connections.address().or_else(|| self.handover.address())
     }
 
     /// The address at which it answers operators' calls.
@@ -251,7 +251,8 @@
         for event in ready {
             self.take(*event);
         }
-        let wake = if self.kin.machine.is_node() { self.pass(ready.is_empty()) } else { self.pass_aside() };
+        let wake =
+            if self.handover.machine.is_node() { self.pass(ready.is_empty()) } else { self.pass_aside() };
         if self.is_over() {
             self.print_counters();
             return None;
@@ -265,33 +266,33 @@
     }
 
     fn is_over(&self) -> bool {
-        if self.kin.over {
+        if self.handover.over {
             return true;
         }
-        let Some(stop) = self.stop else { return false };
-        if !self.kin.machine.is_node() {
+        let Some(stop) = self.stop_at else { return false };
+        if !self.handover.machine.is_node() {
             return self.clock.now() >= stop;
         }
         let now = self.clock.now();
-        let done = self.engine.owed() == 0 && !self.table.is_writing();
-        let closed = self.table.is_empty() || now.plus(CLOSED) >= stop;
+        let done = self.engine.owed() == 0 && !self.connections.is_writing();
+        let closed = self.connections.is_empty() || now.plus(CLOSED) >= stop;
         let over = now.plus(GONE) >= stop && done && closed || now >= stop;
-        over && self.last_looks >= LOOKS
+        over && self.final_polls >= LOOKS
     }
 
     /// Near the end of a drain: whether what came before now has surely been read. A wait that ran out, or that a signal
     /// interrupted, says nothing of what has come since: the poller is asked again first.
     fn has_looked(&mut self, stop: Micros, quiet: bool) -> bool {
-        self.last_looks = self.last_looks.saturating_add(1);
-        self.last_looks >= LOOKS && (quiet || self.clock.now().plus(CLOSED) >= stop)
+        self.final_polls = self.final_polls.saturating_add(1);
+        self.final_polls >= LOOKS && (quiet || self.clock.now().plus(CLOSED) >= stop)
     }
 
     /// At the end of a drain, when all is answered: what is not whole by now is refused, as it never ran, and no
     /// connection takes anything more. Each is closed once its other side has ended too.
     fn close_connections(&mut self) {
-        for (conn, fcgi) in self.table.unread() {
-            let Some(open) = self.table.get(conn).and_then(|c| c.open.remove(&fcgi)) else { continue };
-            if matches!(open, Open::Check(_)) {
+        for (conn, fcgi) in self.connections.unread() {
+            let Some(open) = self.connections.get(conn).and_then(|c| c.open.remove(&fcgi)) else { continue };
+            if matches!(open, OpenRequest::HealthCheck(_)) {
                 self.answer_check(conn, fcgi, open.keeps(), false);
                 continue;
             }
@@ -300,7 +301,7 @@
             self.respond(conn, fcgi, open.keeps(), &Response::plain("503 Service Unavailable", capacity));
         }
         self.flush();
-        self.table.close_all(self.clock.now());
+        self.connections.close_all(self.clock.now());
     }
 
     fn print_counters(&mut self) {
@@ -315,37 +316,37 @@
     fn pass(&mut self, quiet: bool) -> Micros {
         let now = self.clock.now();
         self.tick_kin();
-        if !self.kin.machine.is_node() {
+        if !self.handover.machine.is_node() {
             return self.pass_aside();
         }
-        if let Some(change) = self.kernel.tick(now) {
+        if let Some(change) = self.kernel.on_timer(now) {
             self.kernel_changed(change);
         }
-        let ended = self.store.tick(now, &mut self.counters);
-        self.calls_ended(ended);
-        for (conn, fcgi) in self.checks.post(now, &mut self.kernel, &mut self.counters) {
+        let ended = self.store.on_timer(now, &mut self.counters);
+        self.on_calls_ended(ended);
+        for (conn, fcgi) in self.health_checks.post(now, &mut self.kernel, &mut self.counters) {
             self.end_check(conn, fcgi, false);
         }
-        self.admin.tick(now);
-        let look = self.table.tick(now, &mut self.counters);
-        self.connections_gone(look.gone);
+        self.admin.on_timer(now);
+        let look = self.connections.on_timer(now, &mut self.counters);
+        self.on_callers_gone(look.gone);
         for (conn, fcgi) in look.unfinished {
             self.fail_unread(conn, fcgi, Fault::Unfinished);
         }
         self.pass_fleet();
         let mut verdicts = Vec::new();
         let mut wake = vec![self.engine.on_timer(self.clock.moment(), &mut verdicts)];
-        self.carry_out(verdicts);
-        self.record.pump(self.clock.moment(), self.engine.idempotency());
-        if self.stop.is_some_and(|stop| now.plus(STOP_LISTENING) >= stop) {
-            self.table.stop_listening(now, &mut self.counters);
+        self.execute_commands(verdicts);
+        self.idempotency_store.pump(self.clock.moment(), self.engine.idempotency());
+        if self.stop_at.is_some_and(|stop| now.plus(STOP_LISTENING) >= stop) {
+            self.connections.stop_listening(now, &mut self.counters);
         }
         let up = self.engine.healthy() && self.knows_the_version();
         if self.engine.is_up() {
-            wake.push(self.members.tick(now, up, &mut self.counters));
+            wake.push(self.membership.on_timer(now, up, &mut self.counters));
         }
         self.flush();
-        if let Some(stop) = self.stop.filter(|stop| now.plus(GONE) >= *stop) {
+        if let Some(stop) = self.stop_at.filter(|stop| now.plus(GONE) >= *stop) {
             if !self.has_looked(stop, quiet) {
                 wake.push(Some(now));
             } else if self.engine.owed() == 0 {
@@ -354,18 +355,18 @@
         }
         let steps = [STOP_LISTENING, GONE, CLOSED];
         let step = |stop: &Micros| steps.into_iter().map(|s| stop.since(s)).find(|t| now < *t);
-        let leaving = self.stop.map(|stop| step(&stop).unwrap_or(stop));
+        let leaving = self.stop_at.map(|stop| step(&stop).unwrap_or(stop));
         wake.extend([
-            self.kernel.wake(),
-            self.store.wake(),
-            self.checks.wake(),
-            self.record.wake(),
-            self.admin.wake(),
-            self.kin.wake(),
+            self.kernel.next_wakeup(),
+            self.store.next_wakeup(),
+            self.health_checks.next_wakeup(),
+            self.idempotency_store.wake(),
+            self.admin.next_wakeup(),
+            self.handover.wake(),
             leaving,
             self.peers.as_ref().map(|f| f.wake()),
         ]);
-        next_turn(now, wake)
+        earliest_wakeup(now, wake)
     }
 
     fn flush(&mut self) {
@@ -377,27 +378,27 @@
             let may = self.mirror();
             let kernel = if may { self.kernel.flush(now) } else { None };
             let store = self.store.flush(now);
-            let gone = self.table.flush(now, &mut self.counters);
+            let gone = self.connections.flush(now, &mut self.counters);
             if kernel.is_none() && store.is_empty() && gone.is_empty() {
                 break;
             }
             kernel.into_iter().for_each(|change| self.kernel_changed(change));
-            self.calls_ended(store);
-            self.connections_gone(gone);
+            self.on_calls_ended(store);
+            self.on_callers_gone(gone);
         }
         self.flush_kin();
         if let Some(peers) = &mut self.peers {
             peers.flush(now);
         }
         let now = self.clock.moment();
-        self.record.flush(now, self.engine.idempotency());
+        self.idempotency_store.flush(now, self.engine.idempotency());
     }
 
     fn take(&mut self, event: Ready) {
         let now = self.clock.now();
         match event.key {
             // What is accepted after all was handed over would be lost.
-            LISTENER if self.kin.machine.is_node() => self.table.accept(now, &mut self.counters),
+            LISTENER if self.handover.machine.is_node() => self.connections.accept(now, &mut self.counters),
             LISTENER => {}
             KERNEL => self.take_kernel(event),
             DOOR => self.take_door(),
@@ -407,8 +408,8 @@
             LEAVE => {
                 self.drain_signal(LEAVE);
                 // Said again in a drain it says nothing new: above all it hands nothing over.
-                if !self.leaving {
-                    self.happen(HandoverEvent::Leave);
+                if !self.draining {
+                    self.on_handover_event(HandoverEvent::Leave);
                 }
             }
             PRINT => {
@@ -421,7 +422,7 @@
             }
             RECORD => {
                 let (now, ready) = (self.clock.moment(), (event.readable, event.writable));
-                self.record.ready(now, ready, self.engine.idempotency(), &mut self.counters);
+                self.idempotency_store.ready(now, ready, self.engine.idempotency(), &mut self.counters);
             }
             ADMIN => self.admin.accept(now),
             key if self.admin.has_key(key) => {
@@ -434,10 +435,10 @@
             key if cluster::is_key(key) => self.take_fleet(event),
             key if self.store.has_key(key) => {
                 let ended = self.store.ready(now, event, &mut self.counters);
-                self.calls_ended(ended);
+                self.on_calls_ended(ended);
             }
             key => {
-                let conn = self.table.at_key(key).filter(|_| self.kin.machine.is_node());
+                let conn = self.connections.at_key(key).filter(|_| self.handover.machine.is_node());
                 if let Some(conn) = conn {
                     self.take_conn(conn, event.readable);
                 }
@@ -447,27 +448,27 @@
 
     fn drain_signal(&mut self, key: usize) {
         let pipe = match key {
-            LEAVE => &mut self.leave,
-            PRINT => &mut self.print,
-            _ => &mut self.reload,
+            LEAVE => &mut self.termination_signals,
+            PRINT => &mut self.counters_signal,
+            _ => &mut self.reload_signal,
         };
         // The bytes say nothing; only that they came matters.
         while matches!(pipe.read(&mut [0; 64]), Ok(n) if n > 0) {}
     }
 
     fn begin_drain(&mut self) {
-        if mem::replace(&mut self.leaving, true) {
+        if mem::replace(&mut self.draining, true) {
             return;
         }
         // The notice may have come a while ago, if another process was to take over and did not.
-        let stop = *self.stop.get_or_insert(self.clock.now().plus(self.config.stop));
+        let stop = *self.stop_at.get_or_insert(self.clock.now().plus(self.config.stop));
         let notice = Micros(stop.0.saturating_sub(self.config.stop.0));
         // All is answered some time before the end, so that it is also written by then.
         let by = Micros(stop.0.saturating_sub(STOP_LISTENING.0));
         if let Some(peers) = &mut self.peers {
             peers.leave(self.clock.now());
         }
-        self.report(EngineEvent::Drain { notice, stop: by });
+        self.notify_engine(EngineEvent::Drain { notice, stop: by });
     }
 
     /// A new configuration takes effect whole, or the old one stays.
@@ -476,7 +477,7 @@
         let moved = new.and_then(|new| {
             // Of all steps only these can fail: they come first, and the last one of them is the first to take effect.
             let admin = self.admin.prepare(new.admin).map_err(|e| format!("admin_addr: {e}"))?;
-            self.members.move_to(new.members).map_err(|e| format!("members: {e}"))?;
+            self.membership.move_to(new.members).map_err(|e| format!("members: {e}"))?;
             self.admin.move_to(admin);
             Ok(new)
         });
@@ -488,12 +489,12 @@
             Ok(new) => {
                 self.counters.reloads += 1;
                 if self.kernel.move_to(new.kernel) {
-                    self.report(EngineEvent::BackendLink(false));
+                    self.notify_engine(EngineEvent::BackendLink(false));
                 }
                 self.store.move_to(new.store);
                 self.take_operators(&new);
                 self.config = new;
-                self.take_settings();
+                self.apply_settings();
                 tracing::info!("the new configuration is in effect");
                 // After that line, so that it is told whatever the level is from now on.
                 self.logs.set_level(self.config.operators.log.level);
@@ -502,13 +503,14 @@
     }
 
     /// The settings of the present configuration take effect; what is open keeps its class.
-    fn take_settings(&mut self) {
+    fn apply_settings(&mut self) {
         let (names, settings) = (&self.config.classes, &self.config.settings);
-        let plan = self.slots.plan(self.engine.classes(), names, &settings.classes, &self.engine.used());
+        let plan =
+            self.class_slots.plan(self.engine.classes(), names, &settings.classes, &self.engine.used());
         self.engine.update_settings(settings.clone(), &plan);
-        self.figures.list(names);
+        self.request_metrics.register_classes(names);
         self.kernel.set_gauges(&self.config.gauges);
-        (self.slots, self.keyed) = (plan.slots, self.engine.keyed());
+        (self.class_slots, self.keyed_classes) = (plan.slots, self.engine.keyed());
     }
 
     /// What of the operators' settings can change while the node serves; none of it can fail.
@@ -518,9 +520,9 @@
         if let Backend::Postgres { password_file, .. } = &stored.backend
             && let Ok(password) = idempotency_store::password(password_file)
         {
-            self.record.set_password(password);
+            self.idempotency_store.set_password(password);
         }
-        self.engine.idempotency().set_limits(idempotency_store::limits(stored, longest_window(new)));
+        self.engine.idempotency().set_limits(idempotency_store::limits(stored, longest_dedup_window(new)));
     }
 
     // ---- The second address --------------------------------------------------------------------------
@@ -539,7 +541,7 @@
                     ("reload_success", self.counters.reloads),
                     ("reload_failure", self.counters.reloads_failed),
                 ];
-                self.figures.text(self.open_attempts(), &others) + "end\n"
+                self.request_metrics.render(self.open_attempts(), &others) + "end\n"
             }
             Said::Wrong(why) => format!("error {why}\n"),
             Said::Part => "error no line\n".into(),
@@ -548,15 +550,15 @@
 
     /// Whether requests that come now are taken by this process, or why not.
     fn takes_clients(&mut self) -> Result<(), &'static str> {
-        if self.kin.is_ready() {
+        if self.handover.is_ready() {
             return Ok(());
         }
         let up = self.engine.is_up();
         let steps = [
-            (!self.kin.machine.is_retired(), "another process has taken over"),
-            (!self.kin.machine.is_heir(), "another process is the node, and its keys are not in place"),
-            (self.stop.is_none(), "it leaves service"),
-            (self.table.address().is_some(), "it does not listen"),
+            (!self.handover.machine.is_retired(), "another process has taken over"),
+            (!self.handover.machine.is_heir(), "another process is the node, and its keys are not in place"),
+            (self.stop_at.is_none(), "it leaves service"),
+            (self.connections.address().is_some(), "it does not listen"),
             (up, "its kernel is not up"),
             (self.engine.idempotency().is_ready(), "keys are not in place"),
             (self.knows_the_version(), "no majority has told it which version holds"),
@@ -570,42 +572,42 @@
     }
 
     /// What operators are told of.
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    pub fn request_metrics(&self) -> &RequestMetrics {
+        &self.request_metrics
     }
 
     /// The one place where a request that was taken ends, for whatever reason; the first one counts.
-    fn ended(&mut self, id: RequestId, end: End) {
+    fn record_end(&mut self, id: RequestId, end: End) {
         if let Some(place) = self.attempts.get_mut(&id).filter(|place| place.open) {
             place.open = false;
-            self.figures.ended(self.slots.name(place.class), end);
+            self.request_metrics.record_end(self.class_slots.name(place.class), end);
         }
     }
 
     // ---- Connections of gateways ---------------------------------------------------------------------
 
-    fn take_conn(&mut self, id: ConnId, readable: bool) {
+    fn take_conn(&mut self, id: ConnectionId, readable: bool) {
         let now = self.clock.now();
-        let mut buffer = mem::take(&mut self.buffer);
-        let Some(conn) = self.table.get(id).filter(|c| !c.is_closing()) else {
-            self.table.drop_input(id, &mut buffer);
-            self.buffer = buffer;
+        let mut buffer = mem::take(&mut self.read_buffer);
+        let Some(conn) = self.connections.get(id).filter(|c| !c.is_closing()) else {
+            self.connections.drop_input(id, &mut buffer);
+            self.read_buffer = buffer;
             return;
         };
         let read = if conn.is_dead() { Err(io::ErrorKind::ConnectionReset.into()) } else { Ok(()) };
         let read = read.and_then(|()| if readable { conn.read(now, &mut buffer) } else { Ok(0) });
         match read {
-            Ok(0) => self.table.touch(id),
+            Ok(0) => self.connections.touch(id),
             Ok(n) => self.take_input(id, &buffer[..n]),
             Err(_) => {
-                let gone = self.table.close(id);
-                self.connections_gone(gone);
+                let gone = self.connections.close(id);
+                self.on_callers_gone(gone);
             }
         }
-        self.buffer = buffer;
+        self.read_buffer = buffer;
     }
 
-    fn take_input(&mut self, id: ConnId, input: &[u8]) {
+    fn take_input(&mut self, id: ConnectionId, input: &[u8]) {
         let mut at = 0;
         let framed = loop {
             match fastcgi::record(&input[at..]) {
@@ -614,7 +616,7 @@
                     if !self.take_record(id, record) {
                         break false;
                     }
-                    if self.table.get(id).is_none_or(|c| c.is_deaf()) {
+                    if self.connections.get(id).is_none_or(|c| c.is_deaf()) {
                         break true;
                     }
                 }
@@ -622,28 +624,28 @@
                 Err(_) => break false,
             }
         };
-        self.table.touch(id);
+        self.connections.touch(id);
         let now = self.clock.now();
-        let Some(conn) = self.table.get(id) else { return };
+        let Some(conn) = self.connections.get(id) else { return };
         if framed {
             return conn.keep(now, &input[at..], at > 0);
         }
         // Nothing that follows can be trusted; what came before is still answered.
         self.counters.framing_lost += 1;
         if conn.stop_reading().is_err() {
-            let gone = self.table.close(id);
-            self.connections_gone(gone);
+            let gone = self.connections.close(id);
+            self.on_callers_gone(gone);
         }
     }
 
     /// Takes in one record; false if what follows cannot be told apart from it.
-    fn take_record(&mut self, conn: ConnId, record: Record<'_>) -> bool {
+    fn take_record(&mut self, conn: ConnectionId, record: Record<'_>) -> bool {
         let (now, id, content) = (self.clock.now(), record.id, record.content);
-        let Some(c) = self.table.get(conn) else { return false };
+        let Some(c) = self.connections.get(conn) else { return false };
         match (record.kind, c.open.get_mut(&id)) {
             (kind::BEGIN_REQUEST, Some(_)) => return false,
             (kind::BEGIN_REQUEST, None) => c.begin(now, id, content),
-            (kind::PARAMS | kind::STDIN, Some(Open::Incoming(incoming, ..))) => {
+            (kind::PARAMS | kind::STDIN, Some(OpenRequest::Incoming(incoming, ..))) => {
                 let whole = incoming.take(record.kind == kind::STDIN, content);
                 match incoming.fault() {
                     Some(fault) => self.fail_unread(conn, id, fault),
@@ -664,19 +666,19 @@
     }
 
     /// Fails a request that is not whole.
-    fn fail_unread(&mut self, conn: ConnId, fcgi: u16, fault: Fault) {
-        let open = self.table.get(conn).and_then(|c| c.open.remove(&fcgi));
+    fn fail_unread(&mut self, conn: ConnectionId, fcgi: u16, fault: Fault) {
+        let open = self.connections.get(conn).and_then(|c| c.open.remove(&fcgi));
         if let Some(open) = open {
             self.bad(conn, fcgi, open.keeps(), fault);
         }
     }
 
     /// All of a request is there.
-    fn take_request(&mut self, conn: ConnId, fcgi: u16) {
-        let open = self.table.get(conn).and_then(|c| c.open.remove(&fcgi));
-        let Some(Open::Incoming(incoming, keeps, _)) = open else { return };
-        let asked = incoming.finish(|name| self.slots.find(name), &self.keyed);
-        if let (Ok(_), Some(c)) = (&asked, self.table.get(conn)) {
+    fn take_request(&mut self, conn: ConnectionId, fcgi: u16) {
+        let open = self.connections.get(conn).and_then(|c| c.open.remove(&fcgi));
+        let Some(OpenRequest::Incoming(incoming, keeps, _)) = open else { return };
+        let asked = incoming.finish(|name| self.class_slots.find(name), &self.keyed_classes);
+        if let (Ok(_), Some(c)) = (&asked, self.connections.get(conn)) {
             c.note_asked();
         }
         match asked {
@@ -686,10 +688,10 @@
         }
     }
 
-    fn admit(&mut self, conn: ConnId, fcgi: u16, keeps: bool, t: AttemptParams, body: Vec<u8>) {
+    fn admit(&mut self, conn: ConnectionId, fcgi: u16, keeps: bool, t: AttemptParams, body: Vec<u8>) {
         if let Some(refusal) = self.fleet_refuses(&t) {
             self.counters.answers_refused += 1;
-            self.figures.turned_down(self.slots.name(t.class), End::Overload);
+            self.request_metrics.record_reply(self.class_slots.name(t.class), End::Overload);
             return self.respond(conn, fcgi, keeps, &refusal);
         }
         let arrival = Arrival {
@@ -702,15 +704,15 @@
             work_hint: t.work_hint,
             queued_kb: t.queued_kb,
             shed_order: t.shed_order,
-            caller: t.router,
+            caller: t.caller,
             caller_timeout: t.caller_timeout,
             is_retry: t.is_retry,
-            resource_key: t.row,
+            resource_key: t.resource_key,
         };
         let untold = self.config.tells_patience && t.caller_timeout.is_none();
         let mut verdicts = Vec::new();
         if let Err(unfit) = self.engine.admit(self.clock.moment(), arrival, &mut verdicts) {
-            self.figures.turned_down(self.slots.name(t.class), End::Error);
+            self.request_metrics.record_reply(self.class_slots.name(t.class), End::Error);
             let fault = match unfit {
                 // Whatever became of the other one, this one cannot be told apart from it.
                 AdmitError::DuplicateId => Fault::Malformed("X-Txn"),
@@ -718,57 +720,57 @@
             };
             return self.bad(conn, fcgi, keeps, fault);
         }
-        self.figures.taken();
+        self.request_metrics.record_admitted();
         self.counters.requests_read += 1;
         self.counters.patience_untold += u64::from(untold);
-        if let Some(c) = self.table.get(conn) {
-            c.open.insert(fcgi, Open::Owed(t.id, keeps));
+        if let Some(c) = self.connections.get(conn) {
+            c.open.insert(fcgi, OpenRequest::Admitted(t.id, keeps));
         }
         let (id, class) = (t.id, t.class);
         let place = Place { id, conn, fcgi, class, body, call: Vec::new(), call_notice: 0, open: true };
         self.attempts.insert(t.id, place);
         if let Some(peers) = &mut self.peers {
-            peers.taken(self.clock.now(), t.id, t.router);
+            peers.taken(self.clock.now(), t.id, t.caller);
         }
-        self.carry_out(verdicts);
+        self.execute_commands(verdicts);
     }
 
-    fn bad(&mut self, conn: ConnId, fcgi: u16, keeps: bool, fault: Fault) {
+    fn bad(&mut self, conn: ConnectionId, fcgi: u16, keeps: bool, fault: Fault) {
         self.counters.requests_bad += 1;
         let capacity = self.engine.capacity();
         self.respond(conn, fcgi, keeps, &Response::plain(fault.status(), capacity));
         // Of what is too long the rest need not be taken in.
-        self.table.fault(self.clock.now(), conn, fault == Fault::TooLong);
+        self.connections.fault(self.clock.now(), conn, fault == Fault::TooLong);
     }
 
     /// The gateway waits no longer. The answer ends the request, so that its number can be used again; if one
     /// was given before, there is nothing open and nothing more is sent.
-    fn abort(&mut self, conn: ConnId, fcgi: u16) {
-        let Some(open) = self.table.get(conn).and_then(|c| c.open.remove(&fcgi)) else { return };
+    fn abort(&mut self, conn: ConnectionId, fcgi: u16) {
+        let Some(open) = self.connections.get(conn).and_then(|c| c.open.remove(&fcgi)) else { return };
         self.counters.aborts_read += 1;
         self.respond(conn, fcgi, open.keeps(), &Response::plain("500 Aborted", None));
-        if let Open::Owed(id, _) = open {
-            self.ended(id, End::Error);
-            self.report(EngineEvent::CallerGone(id));
+        if let OpenRequest::Admitted(id, _) = open {
+            self.record_end(id, End::Error);
+            self.notify_engine(EngineEvent::CallerGone(id));
         }
     }
 
-    fn connections_gone(&mut self, ids: Vec<RequestId>) {
+    fn on_callers_gone(&mut self, ids: Vec<RequestId>) {
         for id in ids {
-            self.ended(id, End::Error);
-            self.report(EngineEvent::CallerGone(id));
+            self.record_end(id, End::Error);
+            self.notify_engine(EngineEvent::CallerGone(id));
         }
     }
 
     /// Queues the one answer of an open request that is already off its connection's list.
-    fn respond(&mut self, conn: ConnId, fcgi: u16, keeps: bool, response: &Response<'_>) {
-        let Some(c) = self.table.get(conn) else {
+    fn respond(&mut self, conn: ConnectionId, fcgi: u16, keeps: bool, response: &Response<'_>) {
+        let Some(c) = self.connections.get(conn) else {
             self.counters.answers_unsent += 1;
             return;
         };
         c.output.respond(fcgi, response);
         c.last |= !keeps;
-        self.table.touch(conn);
+        self.connections.touch(conn);
     }
 
     /// Answers a try, if its connection still has it open; returns whether it was answered.
@@ -782,12 +784,12 @@
     ) -> bool {
         let Some(place) = self.attempts.get(&id) else { return false };
         let (conn, fcgi) = (place.conn, place.fcgi);
-        let open = self.table.get(conn).and_then(|c| c.open.remove(&fcgi));
+        let open = self.connections.get(conn).and_then(|c| c.open.remove(&fcgi));
         let Some(open) = open else {
             self.counters.answers_unsent += 1;
             return false;
         };
-        if let (true, Some(c)) = (status.starts_with("200"), self.table.get(conn)) {
+        if let (true, Some(c)) = (status.starts_with("200"), self.connections.get(conn)) {
             c.note_served();
         }
         let capacity = self.engine.capacity();
@@ -802,32 +804,32 @@
 
     // ---- Health checks -------------------------------------------------------------------------------
 
-    fn check(&mut self, conn: ConnId, fcgi: u16, keeps: bool, deep: bool) {
+    fn check(&mut self, conn: ConnectionId, fcgi: u16, keeps: bool, deep: bool) {
         self.counters.checks_read += 1;
         let good = self.engine.healthy() && self.knows_the_version();
         if !(good && deep) {
             return self.answer_check(conn, fcgi, keeps, good);
         }
-        if let Some(c) = self.table.get(conn) {
-            c.open.insert(fcgi, Open::Check(keeps));
+        if let Some(c) = self.connections.get(conn) {
+            c.open.insert(fcgi, OpenRequest::HealthCheck(keeps));
         }
-        self.add_check(conn, fcgi);
+        self.start_deep_check(conn, fcgi);
     }
 
-    fn add_check(&mut self, conn: ConnId, fcgi: u16) {
-        if let Some(good) = self.checks.add(self.clock.now(), conn, fcgi) {
+    fn start_deep_check(&mut self, conn: ConnectionId, fcgi: u16) {
+        if let Some(good) = self.health_checks.add(self.clock.now(), conn, fcgi) {
             self.end_check(conn, fcgi, good);
         }
     }
 
-    fn end_check(&mut self, conn: ConnId, fcgi: u16, good: bool) {
-        let open = self.table.get(conn).and_then(|c| c.open.remove(&fcgi));
+    fn end_check(&mut self, conn: ConnectionId, fcgi: u16, good: bool) {
+        let open = self.connections.get(conn).and_then(|c| c.open.remove(&fcgi));
         if let Some(open) = open {
             self.answer_check(conn, fcgi, open.keeps(), good);
         }
     }
 
-    fn answer_check(&mut self, conn: ConnId, fcgi: u16, keeps: bool, good: bool) {
+    fn answer_check(&mut self, conn: ConnectionId, fcgi: u16, keeps: bool, good: bool) {
         let count = if good { &mut self.counters.checks_good } else { &mut self.counters.checks_bad };
         *count += 1;
         let status = if good { "200 OK" } else { "503 Service Unavailable" };
@@ -845,16 +847,16 @@
         while let Some(notice) = self.kernel.next(&mut self.counters) {
             match notice {
                 Notice::Booted { cold, age } => {
-                    if !self.kin.note_booted(cold, age) {
-                        self.report(EngineEvent::BackendStarted { cold, age });
+                    if !self.handover.note_booted(cold, age) {
+                        self.notify_engine(EngineEvent::BackendStarted { cold, age });
                     }
                 }
                 Notice::Info(_, figures) => {
                     let gauges = self.kernel.gauges(&figures);
-                    self.report(EngineEvent::GaugesRead(gauges));
+                    self.notify_engine(EngineEvent::GaugesRead(gauges));
                 }
                 Notice::Posted(ticket, good) => {
-                    for (conn, fcgi) in self.checks.posted(now, ticket, good) {
+                    for (conn, fcgi) in self.health_checks.posted(now, ticket, good) {
                         self.end_check(conn, fcgi, good);
                     }
                 }
@@ -866,10 +868,10 @@
     /// A kernel of a process before this one says something.
     fn take_inherited(&mut self, event: Ready) {
         let now = self.clock.now();
-        let Some(at) = self.kin.inherited.iter().position(|one| one.key == event.key) else { return };
-        let Some(one) = self.kin.inherited.get_mut(at) else { return };
+        let Some(at) = self.handover.inherited.iter().position(|one| one.key == event.key) else { return };
+        let Some(one) = self.handover.inherited.get_mut(at) else { return };
         one.kernel.ready(now, event.readable, event.writable, &mut self.counters);
-        while let Some(one) = self.kin.inherited.get_mut(at) {
+        while let Some(one) = self.handover.inherited.get_mut(at) {
             let Some(notice) = one.kernel.next(&mut self.counters) else { return };
             if let Notice::Reap(id, _) | Notice::Invalid(Command::Sched, Some(id)) = &notice {
                 one.runs.remove(id);
@@ -890,22 +892,24 @@
                         Fate::Cut => RunOutcome::Cancelled,
                         Fate::Gone => RunOutcome::NeverRan,
                     };
-                    self.report(EngineEvent::RunEnded(id, end));
+                    self.notify_engine(EngineEvent::RunEnded(id, end));
                 }
                 Notice::IoReq(id, cursor, body) => {
                     if let Some(place) = self.attempts.get_mut(&id) {
                         (place.call, place.call_notice) = (body, cursor);
-                        self.report(EngineEvent::CallRequested(id));
+                        self.notify_engine(EngineEvent::CallRequested(id));
                     }
                 }
                 Notice::Invalid(Command::Sched, Some(id)) => {
                     // Nobody but a client that makes ids up asks for what the kernel does not know.
                     if let Some(conn) = self.attempts.get(&id).map(|place| place.conn) {
-                        self.table.fault(now, conn, false);
+                        self.connections.fault(now, conn, false);
                     }
-                    self.report(EngineEvent::RunEnded(id, RunOutcome::NeverRan));
+                    self.notify_engine(EngineEvent::RunEnded(id, RunOutcome::NeverRan));
+                }
+                Notice::Invalid(Command::NoIo, Some(id)) => {
+                    self.notify_engine(EngineEvent::CallNotSkippable(id))
                 }
-                Notice::Invalid(Command::NoIo, Some(id)) => self.report(EngineEvent::CallNotSkippable(id)),
                 _ => {}
             }
         }
@@ -913,44 +917,44 @@
 
     /// The kernel that has the run of a try, or is to have it.
     fn kernel_of(&mut self, id: RequestId) -> &mut Kernel<S> {
-        let inherited = self.kin.inherited.iter_mut().find(|one| one.runs.contains(&id));
+        let inherited = self.handover.inherited.iter_mut().find(|one| one.runs.contains(&id));
         inherited.map_or(&mut self.kernel, |one| &mut one.kernel)
     }
 
     fn kernel_changed(&mut self, change: Change) {
         if change == Change::Broken {
-            self.report(EngineEvent::BackendLink(false));
+            self.notify_engine(EngineEvent::BackendLink(false));
         }
     }
 
-    fn calls_ended(&mut self, calls: Vec<Ended>) {
-        if !self.kin.machine.is_node() {
+    fn on_calls_ended(&mut self, calls: Vec<EndedCall>) {
+        if !self.handover.machine.is_node() {
             return self.pass_on(calls);
         }
         for call in calls {
             if let Some(reply) = &call.reply {
                 self.kernel_of(call.id).io_done(call.id, reply);
             }
-            self.report(EngineEvent::CallEnded(call.id, call.end, call.lag));
+            self.notify_engine(EngineEvent::CallEnded(call.id, call.outcome, call.latency));
         }
     }
 
     // ---- Verdicts ------------------------------------------------------------------------------------
 
-    fn report(&mut self, report: EngineEvent) {
+    fn notify_engine(&mut self, report: EngineEvent) {
         let mut verdicts = Vec::new();
         self.engine.on_event(self.clock.moment(), report, &mut verdicts);
-        self.carry_out(verdicts);
+        self.execute_commands(verdicts);
     }
 
-    fn carry_out(&mut self, verdicts: Vec<EngineCommand>) {
+    fn execute_commands(&mut self, verdicts: Vec<EngineCommand>) {
         let nothing: Rc<[u8]> = Rc::from([]);
         for verdict in verdicts {
             match verdict {
                 EngineCommand::Run(id) => {
                     if let Some(place) = self.attempts.get_mut(&id) {
                         let body = mem::take(&mut place.body);
-                        self.kernel.sched(id, self.slots.name(place.class), &body);
+                        self.kernel.sched(id, self.class_slots.name(place.class), &body);
                         self.counters.runs_sent += 1;
                     }
                 }
@@ -972,24 +976,24 @@
                 }
                 EngineCommand::DropCall(id) => self.drop_call(id),
                 EngineCommand::Reject { id, retry_after, no_retry_elsewhere } => {
-                    self.ended(id, End::Overload);
+                    self.record_end(id, End::Overload);
                     let status = "503 Service Unavailable";
                     let done = self.answer(id, status, retry_after, no_retry_elsewhere, nothing.clone());
                     self.counters.answers_refused += u64::from(done);
                 }
                 EngineCommand::Fail { id, retry_after, no_retry_elsewhere } => {
-                    self.ended(id, End::Error);
+                    self.record_end(id, End::Error);
                     let status = "500 Internal Server Error";
                     let done = self.answer(id, status, retry_after, no_retry_elsewhere, nothing.clone());
                     self.counters.answers_failed += u64::from(done);
                 }
                 EngineCommand::Serve(id, result) => {
-                    self.ended(id, End::Success);
+                    self.record_end(id, End::Success);
                     let done = self.answer(id, "200 OK", Micros(0), false, result);
                     self.counters.answers_served += u64::from(done);
                 }
                 EngineCommand::Replay(id, result) => {
-                    self.ended(id, End::Success);
+                    self.record_end(id, End::Success);
                     let done = self.answer(id, "200 OK", Micros(0), false, result);
                     self.counters.answers_replayed += u64::from(done);
                 }
@@ -1004,7 +1008,7 @@
                     self.kernel.ask();
                     self.counters.gauges_sent += 1;
                 }
-                EngineCommand::SetIdleTimeout(idle) => self.table.set_idle(idle),
+                EngineCommand::SetIdleTimeout(idle) => self.connections.set_idle_timeout(idle),
             }
         }
     }
--- a/crates/node/src/event_loop/cluster.rs
+++ b/crates/node/src/event_loop/cluster.rs
@@ -110,7 +110,7 @@
                 News::Answer(caller, end) => self.admin.answer_later(caller, answer(end)),
             }
         }
-        let (pace, figures, names) = (&mut self.pace, &self.figures, &self.config.classes);
+        let (pace, figures, names) = (&mut self.class_load, &self.request_metrics, &self.config.classes);
         pace.note(now, || counts(figures, names));
     }
 
@@ -118,10 +118,11 @@
     fn put_into_effect(&mut self, bytes: Option<&[u8]>) -> Result<Option<Content>, String> {
         let content = bytes.map(content_of).transpose()?;
         let settings = content.as_ref().map_or(&Value::Null, |c| &c.settings);
-        let new = config::with_settings(&self.config, &self.local, settings).map_err(|e| e.to_string())?;
+        let new =
+            config::with_settings(&self.config, &self.local_settings, settings).map_err(|e| e.to_string())?;
         if new.file["settings"] != self.config.file["settings"] {
             self.config = new;
-            self.take_settings();
+            self.apply_settings();
         }
         Ok(content)
     }
@@ -135,10 +136,11 @@
                 "lists.{name}: fleet(lists = ...) of this node does not name lists of that form"
             ));
         }
-        let new = config::with_settings(&self.config, &self.local, &content.settings);
+        let new = config::with_settings(&self.config, &self.local_settings, &content.settings);
         let new = new.map_err(|e| e.to_string())?;
         config::follows(&self.config, &new).map_err(|e| e.to_string())?;
-        let load = self.pace.load(self.clock.now(), &counts(&self.figures, &self.config.classes));
+        let load =
+            self.class_load.load(self.clock.now(), &counts(&self.request_metrics, &self.config.classes));
         let s = &self.config.settings;
         let room = Room { keys_kb: KEYS_SHARE * s.memory_kb, entry_kb: s.entry_kb };
         match problem(&classes(&self.config), &classes(&new), &load, room) {
@@ -154,13 +156,13 @@
         if self.peers.is_none() {
             return config::reload(&self.config).map_err(|e| e.to_string());
         }
-        let own =
-            config::with_settings(&self.config, &self.local, &Value::Null).map_err(|e| e.to_string())?;
+        let own = config::with_settings(&self.config, &self.local_settings, &Value::Null)
+            .map_err(|e| e.to_string())?;
         let new = config::reload(&own).map_err(|e| e.to_string())?;
         let agreed = self.peers.as_ref().and_then(|f| f.settings()).cloned();
         let is = &new.file["settings"];
         let Some(agreed) = agreed else {
-            self.local = is.clone();
+            self.local_settings = is.clone();
             return Ok(new);
         };
         // What is the node's own may change; the rest would change nothing here, and be in the file all the same.
@@ -169,11 +171,11 @@
             v.as_object_mut().map(|v| v.remove("extra"));
             v
         };
-        if shared(is) != shared(&self.local) {
+        if shared(is) != shared(&self.local_settings) {
             return Err("settings: are the fleet's; 'gaugestand fleet propose' changes them".into());
         }
-        self.local = is.clone();
-        config::with_settings(&new, &self.local, &agreed).map_err(|e| e.to_string())
+        self.local_settings = is.clone();
+        config::with_settings(&new, &self.local_settings, &agreed).map_err(|e| e.to_string())
     }
 
     /// What a try is refused with for what the fleet agrees on, or may have agreed on. A repeat of what has run here is not:
@@ -183,7 +185,7 @@
         // This request's own clock: the turn may have begun before a pause.
         let moment = self.system.moment();
         let keyed = t.repeat_key.as_deref();
-        let ruling = peers.rule(moment.mono, keyed.is_some(), t.row, t.router);
+        let ruling = peers.rule(moment.mono, keyed.is_some(), t.resource_key, t.caller);
         let (no_retry_elsewhere, retry_after) = match ruling {
             Ruling::Pass => return None,
             Ruling::Barred => (true, Micros(0)),
@@ -258,9 +260,9 @@
 }
 
 /// Requests of each class that have been answered.
-fn counts(figures: &crate::request_metrics::Figures, names: &[String]) -> BTreeMap<String, u64> {
+fn counts(figures: &crate::request_metrics::RequestMetrics, names: &[String]) -> BTreeMap<String, u64> {
     let all = |name: &String| {
-        let ends = figures.of(name);
+        let ends = figures.replies(name);
         (name.clone(), ends.success + ends.overload + ends.error)
     };
     names.iter().map(all).collect()
--- a/crates/node/src/event_loop/handover.rs
+++ b/crates/node/src/event_loop/handover.rs
@@ -50,11 +50,11 @@
     /// The elder drains: it hands nothing over but keys, and this process follows once it has ended.
     behind_drain: bool,
     /// What the elder has sent at its end, and its connections' names there and here.
-    conns: BTreeMap<ConnId, ConnId>,
+    conns: BTreeMap<ConnectionId, ConnectionId>,
     places: Vec<handover_link::Place>,
     rest: Option<Box<Rest>>,
     /// Ends of calls that nobody may be told of yet.
-    ends: Vec<Ended>,
+    ends: Vec<EndedCall>,
     /// The heir was told that it knows all keys.
     synced: bool,
     /// Since when the heir does not read.
@@ -198,62 +198,67 @@
         let look = Some(self.next_look).filter(|_| self.seeks());
         let held_up = self.held_up.map(|t| t.plus(HELD_UP));
         let until = self.inherited.iter().map(|i| i.until).min();
-        let links = self.inherited.iter().filter_map(|i| i.kernel.wake()).min();
+        let links = self.inherited.iter().filter_map(|i| i.kernel.next_wakeup()).min();
         [look, held_up, until, links, self.machine.wake()].into_iter().flatten().min()
     }
 }
 
 impl<S: System> Node<S> {
     /// Something happened between the processes of this node.
-    pub(super) fn happen(&mut self, event: Event) {
+    pub(super) fn on_handover_event(&mut self, event: Event) {
         let now = self.clock.now();
-        for step in self.kin.machine.step(now, event) {
+        for step in self.handover.machine.step(now, event) {
             tracing::debug!(?event, ?step, "succession");
             match step {
                 Step::Mirror => self.begin_mirror(),
                 Step::StopMirror => {
-                    self.kin.down = None;
-                    (self.kin.synced, self.kin.held_up) = (false, None);
+                    self.handover.down = None;
+                    (self.handover.synced, self.handover.held_up) = (false, None);
                     self.engine.idempotency().mirror(false);
-                    self.table.lend(0);
+                    self.connections.reserve_descriptors(0);
                 }
                 // The link that has just come is dropped by whoever took it in.
                 Step::TurnAway => {}
                 Step::Part => self.part(),
                 Step::Claim => {
-                    let lock = self.kin.paths.as_ref().map(|(_, lock)| self.system.claim(lock));
-                    self.kin.claim = lock.and_then(Result::ok).flatten();
-                    let marks = self.kin.claim.as_ref().map(|claim| claim.marks().unwrap_or(u64::MAX));
-                    let stale = self.kin.machine.role() == Role::Taking && marks > Some(self.kin.marks);
-                    self.happen(if stale { Event::Stale } else { Event::Claimed(marks.is_some()) });
+                    let lock = self.handover.paths.as_ref().map(|(_, lock)| self.system.claim(lock));
+                    self.handover.claim = lock.and_then(Result::ok).flatten();
+                    let marks = self.handover.claim.as_ref().map(|claim| claim.marks().unwrap_or(u64::MAX));
+                    let stale =
+                        self.handover.machine.role() == Role::Taking && marks > Some(self.handover.marks);
+                    self.on_handover_event(if stale {
+                        Event::Stale
+                    } else {
+                        Event::Claimed(marks.is_some())
+                    });
                 }
                 Step::Listen => {
-                    let marked = self.kin.claim.as_ref().map(|claim| claim.mark());
+                    let marked = self.handover.claim.as_ref().map(|claim| claim.mark());
                     if let Some(Err(e)) = marked {
                         tracing::warn!(problem = %e, "marking the claim");
                     }
-                    if let Some(wire) = &mut self.kin.down {
+                    if let Some(wire) = &mut self.handover.down {
                         // Until there is no more: as it holds no claim, it cannot have said it later.
                         while wire.read().is_ok_and(|n| n > 0) {}
                     }
                     let (frames, _) = self.frames(|kin| kin.down.as_mut());
                     if frames.iter().any(|frame| matches!(frame, Frame::Taken)) {
-                        self.happen(Event::Taken);
+                        self.on_handover_event(Event::Taken);
                     }
-                    self.happen(Event::Listened);
+                    self.on_handover_event(Event::Listened);
                 }
                 Step::GoOn => {
                     tracing::warn!("the new process did not take over");
-                    self.table.stop(false);
-                    let ends = mem::take(&mut self.kin.ends);
-                    self.calls_ended(ends);
+                    self.connections.pause(false);
+                    let ends = mem::take(&mut self.handover.ends);
+                    self.on_calls_ended(ends);
                 }
                 Step::Drain => self.begin_drain(),
                 Step::Retire => self.retire(),
                 Step::TakeOver => self.take_over(),
                 Step::Serve { all } => self.serve(all),
                 Step::Seek => self.seek_anew(),
-                Step::End => self.kin.over = true,
+                Step::End => self.handover.over = true,
             }
         }
     }
@@ -263,12 +268,12 @@
     /// Other processes link.
     pub(super) fn take_door(&mut self) {
         loop {
-            let Some(door) = &self.kin.door else { return };
-            let free = self.kin.down.is_none();
+            let Some(door) = &self.handover.door else { return };
+            let free = self.handover.down.is_none();
             let Ok(kin) = door.accept(if free { DOWN } else { TURNED_AWAY }) else { return };
-            if free && self.kin.machine.role() == Role::Alone {
-                self.kin.down = Some(Wire::new(kin));
-                self.happen(Event::Linked);
+            if free && self.handover.machine.role() == Role::Alone {
+                self.handover.down = Some(Wire::new(kin));
+                self.on_handover_event(Event::Linked);
             }
         }
     }
@@ -279,18 +284,20 @@
         let idempotency = self.engine.idempotency();
         idempotency.mirror(true);
         let secret = idempotency.secret();
-        if let Some(wire) = &mut self.kin.down {
-            wire.say(&Frame::Hello { moment, secret, leaving: self.leaving }, With::Listener);
+        if let Some(wire) = &mut self.handover.down {
+            wire.say(&Frame::Hello { moment, secret, leaving: self.draining }, With::Listener);
         }
         // Both processes' descriptors count.
-        self.table.lend(SECOND + admin::SOCKETS + store::lanes_within(self.config.sockets));
+        self.connections.reserve_descriptors(
+            SECOND + admin::SOCKETS + store::max_connections_within(self.config.sockets),
+        );
     }
 
     /// Tells the heir of keys; false if commands have to wait until it has read of them.
     pub(super) fn mirror(&mut self) -> bool {
         let now = self.clock.now();
-        let Some(wire) = &mut self.kin.down else { return true };
-        if self.kin.machine.role() == Role::Elder {
+        let Some(wire) = &mut self.handover.down else { return true };
+        if self.handover.machine.role() == Role::Elder {
             while wire.has_room() {
                 let copies = self.engine.idempotency().copies(handover_link::KEYS);
                 if copies.is_empty() {
@@ -300,34 +307,34 @@
             }
         }
         self.write_down();
-        let Some(wire) = &mut self.kin.down else { return true };
+        let Some(wire) = &mut self.handover.down else { return true };
         let all = wire.is_written() && !self.engine.idempotency().is_behind();
-        if self.kin.machine.role() == Role::Elder && !self.kin.synced && all {
+        if self.handover.machine.role() == Role::Elder && !self.handover.synced && all {
             // From here on what is said has to be written before the kernel hears of it.
-            self.kin.synced = true;
+            self.handover.synced = true;
             wire.say(&Frame::Synced, With::Nothing);
             self.write_down();
         }
-        let unwritten = self.kin.down.as_ref().is_some_and(|wire| !wire.is_written());
+        let unwritten = self.handover.down.as_ref().is_some_and(|wire| !wire.is_written());
         let behind = unwritten || self.engine.idempotency().is_behind();
-        if !behind || !self.kin.synced || self.kin.machine.role() != Role::Elder {
-            self.kin.held_up = None;
+        if !behind || !self.handover.synced || self.handover.machine.role() != Role::Elder {
+            self.handover.held_up = None;
             return true;
         }
         // What runs must be known there first, or its death and this one's would let it run twice.
-        let since = *self.kin.held_up.get_or_insert(now);
+        let since = *self.handover.held_up.get_or_insert(now);
         if now.since(since) < HELD_UP {
             return false;
         }
         tracing::warn!("the new process does not read; it has to come again");
-        self.kin.down = None;
-        self.happen(Event::Unlinked);
+        self.handover.down = None;
+        self.on_handover_event(Event::Unlinked);
         true
     }
 
     fn write_down(&mut self) {
-        let Some(wire) = &mut self.kin.down else { return };
-        let table = &self.table;
+        let Some(wire) = &mut self.handover.down else { return };
+        let table = &self.connections;
         let socket = |with| match with {
             With::Nothing => Some(Passed::Nothing),
             With::Listener => table.listener().map(Passed::Listener),
@@ -342,18 +349,18 @@
         if let Broken::Framing(why) = broken {
             tracing::warn!(why, "the link to the new process");
         }
-        self.kin.down = None;
-        self.happen(Event::Unlinked);
+        self.handover.down = None;
+        self.on_handover_event(Event::Unlinked);
     }
 
     /// The heir says something.
     pub(super) fn take_down(&mut self, event: Ready) {
-        let Some(wire) = &mut self.kin.down else { return };
+        let Some(wire) = &mut self.handover.down else { return };
         let read = if event.readable { wire.read().map(|_| ()) } else { Ok(()) };
         let frames = self.frames(|kin| kin.down.as_mut());
         for frame in frames.0 {
             match frame {
-                Frame::Taken => self.happen(Event::Taken),
+                Frame::Taken => self.on_handover_event(Event::Taken),
                 Frame::DropCall(id) => self.drop_call(id),
                 _ => {}
             }
@@ -369,7 +376,7 @@
         of: impl Fn(&mut Kindred<S>) -> Option<&mut Wire<S>>,
     ) -> (Vec<Frame>, Result<(), Broken>) {
         let mut frames = Vec::new();
-        while let Some(wire) = of(&mut self.kin) {
+        while let Some(wire) = of(&mut self.handover) {
             match wire.next_frame() {
                 Ok(Some(frame)) => frames.push(frame),
                 Ok(None) => break,
@@ -383,26 +390,28 @@
     fn part(&mut self) {
         let now = self.clock.now();
         tracing::info!(open = self.open_attempts(), "handing over to the new process");
-        self.stop = Some(now.plus(self.config.stop));
-        self.table.stop(true);
+        self.stop_at = Some(now.plus(self.config.stop));
+        self.connections.pause(true);
         let running = self.engine.running();
         let inherited: BTreeSet<RequestId> =
-            self.kin.inherited.iter().flat_map(|i| i.runs.iter().copied()).collect();
+            self.handover.inherited.iter().flat_map(|i| i.runs.iter().copied()).collect();
         let own = running.into_iter().filter(|id| !inherited.contains(id)).collect();
         let mut kernels = vec![self.kernel.snapshot(own)];
-        kernels
-            .extend(self.kin.inherited.iter().map(|i| i.kernel.snapshot(i.runs.iter().copied().collect())));
+        kernels.extend(
+            self.handover.inherited.iter().map(|i| i.kernel.snapshot(i.runs.iter().copied().collect())),
+        );
         self.kernel.unlink();
-        self.kin.inherited.iter_mut().for_each(|i| i.kernel.unlink());
-        let calls = self.store.out().into_iter().chain(self.kin.remote.iter().copied()).collect();
+        self.handover.inherited.iter_mut().for_each(|i| i.kernel.unlink());
+        let calls =
+            self.store.outstanding().into_iter().chain(self.handover.remote.iter().copied()).collect();
         let rest = Rest {
             engine: self.engine.snapshot(),
             kernels,
             calls,
-            classes: self.slots.names().to_vec(),
-            idle: self.table.idle(),
+            classes: self.class_slots.names().to_vec(),
+            idle: self.connections.idle_timeout(),
         };
-        let Some(wire) = &mut self.kin.down else { return };
+        let Some(wire) = &mut self.handover.down else { return };
         loop {
             let copies = self.engine.idempotency().copies(handover_link::KEYS);
             if copies.is_empty() {
@@ -410,7 +419,7 @@
             }
             wire.say(&Frame::Keys(copies), With::Nothing);
         }
-        for conn in self.table.snapshot() {
+        for conn in self.connections.snapshot() {
             let id = conn.id;
             wire.say(&Frame::Conn(Box::new(conn)), With::Conn(id));
         }
@@ -418,47 +427,47 @@
             wire.say(&Frame::Attempt(Box::new(place.clone())), With::Nothing);
         }
         wire.say(&Frame::Rest(Box::new(rest)), With::Nothing);
-        let marks = self.kin.claim.as_ref().and_then(|claim| claim.marks().ok()).unwrap_or_default();
+        let marks = self.handover.claim.as_ref().and_then(|claim| claim.marks().ok()).unwrap_or_default();
         wire.say(&Frame::Over(marks), With::Nothing);
-        self.kin.claim = None;
+        self.handover.claim = None;
         self.write_down();
     }
 
     /// Another process is the node: only calls that are out are left here.
     fn retire(&mut self) {
         tracing::info!("another process has taken over");
-        self.figures.handed_over(self.open_attempts());
+        self.request_metrics.record_handed_over(self.open_attempts());
         self.attempts.clear();
         self.engine.retire();
         self.engine.idempotency().mirror(false);
-        self.table.retire();
-        self.kin.inherited.clear();
-        self.kin.door = None;
-        self.kin.claim = None;
-        let ends = mem::take(&mut self.kin.ends);
+        self.connections.release_all();
+        self.handover.inherited.clear();
+        self.handover.door = None;
+        self.handover.claim = None;
+        let ends = mem::take(&mut self.handover.ends);
         self.pass_on(ends);
-        if self.kin.down.is_none() {
-            self.kin.over = true;
+        if self.handover.down.is_none() {
+            self.handover.over = true;
         }
     }
 
     /// Calls have ended at a process that is the node no more, or not for now.
-    pub(super) fn pass_on(&mut self, ends: Vec<Ended>) {
-        if self.kin.machine.role() != Role::Retired {
-            return self.kin.ends.extend(ends);
+    pub(super) fn pass_on(&mut self, ends: Vec<EndedCall>) {
+        if self.handover.machine.role() != Role::Retired {
+            return self.handover.ends.extend(ends);
         }
-        for Ended { id, end, reply, lag } in ends {
-            if let Some(wire) = &mut self.kin.down {
-                wire.say(&Frame::Called(id, end, reply, lag), With::Nothing);
+        for EndedCall { id, outcome, reply, latency } in ends {
+            if let Some(wire) = &mut self.handover.down {
+                wire.say(&Frame::Called(id, outcome, reply, latency), With::Nothing);
             }
         }
     }
 
     pub(super) fn drop_call(&mut self, id: RequestId) {
-        if !self.kin.remote.remove(&id) {
+        if !self.handover.remote.remove(&id) {
             return self.store.drop_call(id, &mut self.counters);
         }
-        if let Some(wire) = &mut self.kin.up {
+        if let Some(wire) = &mut self.handover.up {
             wire.say(&Frame::DropCall(id), With::Nothing);
         }
     }
@@ -467,7 +476,7 @@
 
     /// The elder says something.
     pub(super) fn take_up(&mut self, event: Ready) {
-        let Some(wire) = &mut self.kin.up else { return };
+        let Some(wire) = &mut self.handover.up else { return };
         let read = if event.readable { wire.read().map(|_| ()) } else { Ok(()) };
         let (frames, framed) = self.frames(|kin| kin.up.as_mut());
         let mut heard = Ok(());
@@ -483,32 +492,32 @@
         if let Broken::Framing(why) = broken {
             tracing::warn!(why, "the link to the process before this one");
         }
-        self.kin.up = None;
-        for id in mem::take(&mut self.kin.remote) {
+        self.handover.up = None;
+        for id in mem::take(&mut self.handover.remote) {
             // A broken link proves nothing.
-            self.report(EngineEvent::CallEnded(id, CallOutcome::Broken, Micros(0)));
+            self.notify_engine(EngineEvent::CallEnded(id, CallOutcome::Broken, Micros(0)));
         }
-        if !self.kin.machine.is_heir() {
+        if !self.handover.machine.is_heir() {
             return;
         }
         if matches!(broken, Broken::Framing(_)) {
-            self.happen(Event::Unreadable);
-            self.kin.next_look = self.clock.now().plus(GIVE_WAY);
-        } else if self.kin.spare.is_some() {
-            self.happen(Event::Unlinked);
+            self.on_handover_event(Event::Unreadable);
+            self.handover.next_look = self.clock.now().plus(GIVE_WAY);
+        } else if self.handover.spare.is_some() {
+            self.on_handover_event(Event::Unlinked);
         } else {
             // It was turned away: another process takes over at this moment.
-            self.kin.next_look = self.clock.now().plus(LOOK);
+            self.handover.next_look = self.clock.now().plus(LOOK);
         }
     }
 
     fn hear(&mut self, frame: Frame) -> Result<(), Broken> {
-        let waits = matches!(self.kin.machine.role(), Role::Heir { .. });
-        let Some(wire) = &mut self.kin.up else { return Ok(()) };
+        let waits = matches!(self.handover.machine.role(), Role::Heir { .. });
+        let Some(wire) = &mut self.handover.up else { return Ok(()) };
         match frame {
             Frame::Hello { moment, secret, leaving } if waits => {
-                self.kin.behind_drain = leaving;
-                self.kin.spare = Some(wire.take_listener(LISTENER)?);
+                self.handover.behind_drain = leaving;
+                self.handover.spare = Some(wire.take_listener(LISTENER)?);
                 self.system.align(moment);
                 self.clock.read(&self.system);
                 // The clock has moved on by the elder's age: nobody has waited for that long.
@@ -518,23 +527,23 @@
             Frame::Keys(copies) if waits => {
                 copies.into_iter().for_each(|copy| self.engine.idempotency().adopt(copy));
             }
-            Frame::Synced if waits => self.happen(Event::Synced),
+            Frame::Synced if waits => self.on_handover_event(Event::Synced),
             Frame::Conn(conn) if waits => {
-                let stream = wire.take_stream(self.table.next_key())?;
+                let stream = wire.take_stream(self.connections.next_key())?;
                 let there = conn.id;
-                let here = self.table.restore(stream, *conn);
-                self.kin.conns.insert(there, here);
+                let here = self.connections.restore(stream, *conn);
+                self.handover.conns.insert(there, here);
             }
-            Frame::Attempt(place) if waits => self.kin.places.push(*place),
-            Frame::Rest(rest) if waits => self.kin.rest = Some(rest),
-            Frame::Over(marks) if waits && self.kin.rest.is_some() => {
-                self.kin.marks = marks;
-                self.happen(Event::Over);
+            Frame::Attempt(place) if waits => self.handover.places.push(*place),
+            Frame::Rest(rest) if waits => self.handover.rest = Some(rest),
+            Frame::Over(marks) if waits && self.handover.rest.is_some() => {
+                self.handover.marks = marks;
+                self.on_handover_event(Event::Over);
             }
-            Frame::Called(id, end, reply, lag) => {
-                let ended = Ended { id, end, reply, lag };
-                if self.kin.remote.remove(&id) || !self.kin.machine.is_node() {
-                    self.calls_ended(vec![ended]);
+            Frame::Called(id, outcome, reply, latency) => {
+                let ended = EndedCall { id, outcome, reply, latency };
+                if self.handover.remote.remove(&id) || !self.handover.machine.is_node() {
+                    self.on_calls_ended(vec![ended]);
                 }
             }
             _ => return Err(Broken::Framing("a frame out of order")),
@@ -545,27 +554,27 @@
     /// Goes on in the place of the elder.
     fn take_over(&mut self) {
         let now = self.clock.now();
-        if let Some(wire) = &mut self.kin.up {
+        if let Some(wire) = &mut self.handover.up {
             // Before anything is done: an elder that does not read this goes on itself if this process dies.
             wire.say(&Frame::Taken, With::Nothing);
         }
         self.write_up();
-        let Some(rest) = self.kin.rest.take() else { return };
-        let here = mem::take(&mut self.kin.conns);
-        for mut place in mem::take(&mut self.kin.places) {
-            place.conn = here.get(&place.conn).copied().unwrap_or(ConnId::NOWHERE);
+        let Some(rest) = self.handover.rest.take() else { return };
+        let here = mem::take(&mut self.handover.conns);
+        for mut place in mem::take(&mut self.handover.places) {
+            place.conn = here.get(&place.conn).copied().unwrap_or(ConnectionId::GONE);
             if place.open {
-                self.figures.taken();
+                self.request_metrics.record_admitted();
             }
             self.attempts.insert(place.id, place);
         }
-        self.slots = ClassSlots::with(rest.classes, rest.engine.open.clone());
-        self.figures.list(self.slots.names());
+        self.class_slots = ClassSlots::with(rest.classes, rest.engine.open.clone());
+        self.request_metrics.register_classes(self.class_slots.names());
         self.engine.restore(rest.engine);
         self.engine.set_linked(self.kernel.is_booted());
         let until = now.plus(self.engine.longest_deadline()).plus(OVERTIME);
         let kernels = rest.kernels.iter().filter(|k| !k.runs.is_empty()).take(MOST_KERNELS);
-        self.kin.inherited = kernels
+        self.handover.inherited = kernels
             .zip(INHERITED..)
             .map(|(snapshot, key)| Inherited {
                 kernel: Kernel::restore(snapshot, key, &self.system),
@@ -574,76 +583,76 @@
                 until,
             })
             .collect();
-        self.kin.remote = rest.calls.into_iter().collect();
+        self.handover.remote = rest.calls.into_iter().collect();
         if let Some(idle) = rest.idle {
-            self.table.set_idle(idle);
+            self.connections.set_idle_timeout(idle);
         }
-        for (conn, fcgi) in self.table.checks() {
-            self.add_check(conn, fcgi);
+        for (conn, fcgi) in self.connections.pending_health_checks() {
+            self.start_deep_check(conn, fcgi);
         }
         self.go_into_service();
         tracing::info!(open = self.open_attempts(), "took over");
         // This process may have been told of other settings than the one before it.
-        self.take_settings();
+        self.apply_settings();
         self.let_go();
     }
 
     fn go_into_service(&mut self) {
-        self.kin.open_door(&self.system);
-        let spare = self.kin.spare.take();
+        self.handover.open_door(&self.system);
+        let spare = self.handover.spare.take();
         match spare.map_or_else(|| self.system.listen(self.config.listen, LISTENER), Ok) {
-            Ok(listener) => self.table.listen(listener),
+            Ok(listener) => self.connections.listen(listener),
             Err(e) => {
                 tracing::error!(problem = %e, "listening");
-                self.kin.over = true;
+                self.handover.over = true;
             }
         }
-        self.table.stop(false);
+        self.connections.pause(false);
     }
 
     /// Forgets what the elder has sent at its end.
     fn forget_sent(&mut self) {
-        (self.kin.conns, self.kin.places, self.kin.rest) = (BTreeMap::new(), Vec::new(), None);
-        self.table.retire();
+        (self.handover.conns, self.handover.places, self.handover.rest) = (BTreeMap::new(), Vec::new(), None);
+        self.connections.release_all();
     }
 
     /// The elder is gone without a word.
     fn serve(&mut self, all: bool) {
         tracing::warn!(all, "the process before this one is gone; serving with the keys that it told of");
-        let (now, window) = (self.clock.moment(), longest_window(&self.config));
+        let (now, window) = (self.clock.moment(), longest_dedup_window(&self.config));
         self.engine.idempotency().orphaned(now, all, window);
         self.forget_sent();
         self.go_into_service();
-        if let Some((cold, age)) = self.kin.booted {
-            self.report(EngineEvent::BackendStarted { cold, age });
+        if let Some((cold, age)) = self.handover.booted {
+            self.notify_engine(EngineEvent::BackendStarted { cold, age });
         }
     }
 
     /// Forgets all that came from the elder, and looks for it anew.
     fn seek_anew(&mut self) {
-        self.kin.up = None;
-        self.kin.spare = None;
+        self.handover.up = None;
+        self.handover.spare = None;
         self.forget_sent();
         let idempotency = self.engine.idempotency();
         let secret = idempotency.secret();
         idempotency.begin_copy(secret);
-        self.kin.next_look = self.clock.now();
+        self.handover.next_look = self.clock.now();
     }
 
     fn seek(&mut self) {
         let now = self.clock.now();
-        let looks = self.kin.seeks() && now >= self.kin.next_look;
-        let Some((socket, _)) = self.kin.paths.as_ref().filter(|_| looks) else { return };
-        self.kin.next_look = now.plus(LOOK);
+        let looks = self.handover.seeks() && now >= self.handover.next_look;
+        let Some((socket, _)) = self.handover.paths.as_ref().filter(|_| looks) else { return };
+        self.handover.next_look = now.plus(LOOK);
         match self.system.kin(socket, UP) {
-            Ok(kin) => self.kin.up = Some(Wire::new(kin)),
+            Ok(kin) => self.handover.up = Some(Wire::new(kin)),
             // Nobody answers: it may have ended since, with keys that were never told.
-            Err(_) => self.happen(Event::Unlinked),
+            Err(_) => self.on_handover_event(Event::Unlinked),
         }
     }
 
     fn write_up(&mut self) {
-        let Some(wire) = &mut self.kin.up else { return };
+        let Some(wire) = &mut self.handover.up else { return };
         if let Err(broken) = wire.write(|_| Some(Passed::Nothing)) {
             self.up_broke(&broken);
         }
@@ -651,10 +660,13 @@
 
     /// Lets go of the process before this one, once nothing is to come from it.
     fn let_go(&mut self) {
-        if self.kin.machine.is_node() && self.kin.inherited.is_empty() && self.kin.remote.is_empty() {
-            let written = self.kin.up.as_ref().is_none_or(Wire::is_written);
+        if self.handover.machine.is_node()
+            && self.handover.inherited.is_empty()
+            && self.handover.remote.is_empty()
+        {
+            let written = self.handover.up.as_ref().is_none_or(Wire::is_written);
             if written {
-                self.kin.up = None;
+                self.handover.up = None;
             }
         }
     }
@@ -662,24 +674,25 @@
     /// What is due between processes.
     pub(super) fn tick_kin(&mut self) {
         let now = self.clock.now();
-        if self.kin.paths.is_none() {
+        if self.handover.paths.is_none() {
             return;
         }
-        self.happen(Event::Tick);
+        self.on_handover_event(Event::Tick);
         self.seek();
-        for i in (0..self.kin.inherited.len()).rev() {
-            if let Some(one) = self.kin.inherited.get_mut(i)
+        for i in (0..self.handover.inherited.len()).rev() {
+            if let Some(one) = self.handover.inherited.get_mut(i)
                 && now >= one.until
             {
                 // Nothing was heard of them for longer than any of them may take.
                 let runs = mem::take(&mut one.runs);
-                runs.into_iter().for_each(|id| self.report(EngineEvent::RunEnded(id, RunOutcome::Failed)));
-                self.kin.inherited.remove(i);
+                runs.into_iter()
+                    .for_each(|id| self.notify_engine(EngineEvent::RunEnded(id, RunOutcome::Failed)));
+                self.handover.inherited.remove(i);
             }
         }
-        if self.kin.machine.is_node() {
-            for one in &mut self.kin.inherited {
-                one.kernel.tick(now);
+        if self.handover.machine.is_node() {
+            for one in &mut self.handover.inherited {
+                one.kernel.on_timer(now);
             }
             self.let_go();
         }
@@ -688,11 +701,11 @@
     /// Ends a turn: writes what is left for other processes.
     pub(super) fn flush_kin(&mut self) {
         let now = self.clock.now();
-        for one in &mut self.kin.inherited {
+        for one in &mut self.handover.inherited {
             // Their links may break; what is lost is said again on the next one.
             one.kernel.flush(now);
         }
-        self.kin.inherited.retain(|one| !one.runs.is_empty());
+        self.handover.inherited.retain(|one| !one.runs.is_empty());
         self.write_up();
         self.write_down();
         self.let_go();
@@ -702,18 +715,21 @@
     pub(super) fn pass_aside(&mut self) -> Micros {
         let now = self.clock.now();
         let mut kernel = None;
-        if self.kin.machine.is_heir() {
-            self.kernel.tick(now);
+        if self.handover.machine.is_heir() {
+            self.kernel.on_timer(now);
             self.kernel.flush(now);
-            kernel = self.kernel.wake();
+            kernel = self.kernel.next_wakeup();
         }
-        self.admin.tick(now);
-        let mut ended = self.store.tick(now, &mut self.counters);
+        self.admin.on_timer(now);
+        let mut ended = self.store.on_timer(now, &mut self.counters);
         ended.extend(self.store.flush(now));
-        self.calls_ended(ended);
+        self.on_calls_ended(ended);
         self.tick_kin();
         self.flush_kin();
-        let stop = self.stop;
-        next_turn(now, [kernel, self.store.wake(), self.admin.wake(), self.kin.wake(), stop])
+        let stop = self.stop_at;
+        earliest_wakeup(
+            now,
+            [kernel, self.store.next_wakeup(), self.admin.next_wakeup(), self.handover.wake(), stop],
+        )
     }
 }
--- a/crates/node/src/handover_link.rs
+++ b/crates/node/src/handover_link.rs
@@ -1,7 +1,7 @@
 //! What two processes of one node say to each other: frames of CBOR with a length before them, and sockets that go
 //! along with some. Who is the node, and when that changes, is `gaugestand_admission::succession`'s.
 
-use super::connections::{self, ConnId};
+use super::connections::{self, ConnectionId};
 use super::io::{Kin, Passed, System};
 use super::kernel;
 use gaugestand_admission::RequestId;
@@ -42,7 +42,7 @@
     /// All keys were sent; from now on a change of one is sent before the command that it is about.
     Synced,
     /// A connection, with its socket.
-    Conn(Box<connections::Snapshot>),
+    Conn(Box<connections::ConnectionSnapshot>),
     /// An open try, or one whose run goes on.
     #[serde(rename = "Try")]
     Attempt(Box<Place>),
@@ -64,7 +64,7 @@
     /// Its id.
     pub id: RequestId,
     /// The connection it came on.
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     /// Its number there.
     pub fcgi: u16,
     /// Index of its class.
@@ -86,7 +86,7 @@
     #[serde(rename = "facade")]
     pub engine: engine::Snapshot,
     /// Kernels that tell of runs which go on, the elder's own first.
-    pub kernels: Vec<kernel::Snapshot>,
+    pub kernels: Vec<kernel::KernelSnapshot>,
     /// Tries whose calls are out at the elder, or at one before it.
     pub calls: Vec<RequestId>,
     /// Names of the classes, by index.
@@ -103,7 +103,7 @@
     /// The listening socket.
     Listener,
     /// That of a connection.
-    Conn(ConnId),
+    Conn(ConnectionId),
 }
 
 /// Why a link to another process cannot go on.
--- a/crates/node/src/health_checks.rs
+++ b/crates/node/src/health_checks.rs
@@ -4,7 +4,7 @@
 //! checks alone would fill the cores. So one is done at a time, everyone who asks meanwhile waits for it, and what it
 //! showed holds for [`FRESH`].
 
-use super::connections::ConnId;
+use super::connections::ConnectionId;
 use super::counters::Counters;
 use super::io::System;
 use super::kernel::Kernel;
@@ -23,7 +23,7 @@
 /// A check that waits.
 #[derive(Debug)]
 struct Waiting {
-    conn: ConnId,
+    conn: ConnectionId,
     fcgi: u16,
     since: Micros,
 }
@@ -51,7 +51,7 @@
 impl Checks {
     /// One more. Tells how it ends if that is known; otherwise it waits, and the kernel is asked with the next
     /// [`Checks::post`].
-    pub fn add(&mut self, now: Micros, conn: ConnId, fcgi: u16) -> Option<bool> {
+    pub fn add(&mut self, now: Micros, conn: ConnectionId, fcgi: u16) -> Option<bool> {
         if let Some((good, _)) = self.shown.filter(|(_, at)| now.since(*at) < FRESH) {
             return Some(good);
         }
@@ -61,7 +61,7 @@
 
     /// The kernel has done the work of the one with this ticket, well or not; returns those that it answers. One that was
     /// given up shows as much when it ends after all; one that was never asked for shows nothing.
-    pub fn posted(&mut self, now: Micros, ticket: u64, good: bool) -> Vec<(ConnId, u16)> {
+    pub fn posted(&mut self, now: Micros, ticket: u64, good: bool) -> Vec<(ConnectionId, u16)> {
         let late = self.given_up.iter().position(|t| *t == ticket);
         if late.and_then(|at| self.given_up.remove(at)).is_none() {
             if self.asked.is_none_or(|asked| asked.ticket != ticket) {
@@ -80,7 +80,7 @@
         now: Micros,
         kernel: &mut Kernel<S>,
         counters: &mut Counters,
-    ) -> Vec<(ConnId, u16)> {
+    ) -> Vec<(ConnectionId, u16)> {
         let late = |w: &Waiting| now.since(w.since) >= CHECK;
         let over = self.open.iter().filter(|w| late(w)).map(|w| (w.conn, w.fcgi)).collect();
         self.open.retain(|w| !late(w));
@@ -102,7 +102,7 @@
     }
 
     /// When to call [`Checks::post`] again although nothing comes.
-    pub fn wake(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Micros> {
         let asked = self.asked.map(|asked| asked.since).filter(|_| !self.open.is_empty());
         self.open.iter().map(|w| w.since).chain(asked).min().map(|since| since.plus(CHECK))
     }
--- a/crates/node/src/idempotency_store.rs
+++ b/crates/node/src/idempotency_store.rs
@@ -209,7 +209,7 @@
         let Way::Postgres(remote) = &self.way else { return None };
         let bound = if remote.session.is_some() && remote.epoch.is_none() { LOGIN } else { SILENT };
         let late = remote.asked.map(|(since, _)| since.plus(bound));
-        let retry = remote.link.wake(true).map(|t| t.max(remote.retry_at));
+        let retry = remote.link.next_wakeup(true).map(|t| t.max(remote.retry_at));
         [late, retry].into_iter().flatten().min()
     }
 }
@@ -308,7 +308,7 @@
         if self.asked.is_some_and(|(since, _)| now.mono.since(since) >= bound) {
             self.no_retry_elsewhere(now.mono, Fault("no answer in time".to_string()));
         }
-        if self.link.tick(now.mono).is_some() {
+        if self.link.on_timer(now.mono).is_some() {
             self.down(now.mono, key_table);
         }
         if self.link.is_down() && now.mono >= self.retry_at && self.link.connect(now.mono).is_some() {
--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -128,7 +128,7 @@
     }
 
     /// When it wants to be looked at again although nothing came; `wanted` if it should be up.
-    pub fn wake(&self, wanted: bool) -> Option<Micros> {
+    pub fn next_wakeup(&self, wanted: bool) -> Option<Micros> {
         match &self.state {
             State::Connecting(_, since) => Some(since.plus(CONNECT)),
             State::Down if wanted => Some(self.retry_at),
@@ -137,7 +137,7 @@
     }
 
     /// Gives up a connection that is not made in time.
-    pub fn tick(&mut self, now: Micros) -> Option<Change> {
+    pub fn on_timer(&mut self, now: Micros) -> Option<Change> {
         match &self.state {
             State::Connecting(_, since) if now.since(*since) >= CONNECT => Some(self.fail(now)),
             _ => None,
--- a/crates/node/src/kernel.rs
+++ b/crates/node/src/kernel.rs
@@ -157,7 +157,7 @@
 
 /// Where a process stands with its kernel, for another one to go on with its runs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Snapshot {
+pub struct KernelSnapshot {
     /// The kernel's address.
     pub to: SocketAddr,
     cursor: u64,
@@ -195,14 +195,14 @@
     }
 
     /// Where this process stands with it, with these runs.
-    pub fn snapshot(&self, runs: Vec<RequestId>) -> Snapshot {
+    pub fn snapshot(&self, runs: Vec<RequestId>) -> KernelSnapshot {
         let unread = self.unread.iter().map(|u| (u.id, u.text.clone())).collect();
-        Snapshot { to: self.link.address(), cursor: self.cursor, unread, runs }
+        KernelSnapshot { to: self.link.address(), cursor: self.cursor, unread, runs }
     }
 
     /// The kernel of another process, not linked yet: its notices go on after the last one that was read there, and
     /// commands that were perhaps not read are said again.
-    pub fn restore(snapshot: &Snapshot, key: usize, system: &S) -> Self {
+    pub fn restore(snapshot: &KernelSnapshot, key: usize, system: &S) -> Self {
         let mut kernel = Kernel::new(snapshot.to, key, system, &[]);
         kernel.cursor = snapshot.cursor;
         let unread = snapshot.unread.iter().cloned();
@@ -398,13 +398,13 @@
     }
 
     /// Keeps the link up.
-    pub fn tick(&mut self, now: Micros) -> Option<Change> {
-        self.link.tick(now).or_else(|| self.link.connect(now))
+    pub fn on_timer(&mut self, now: Micros) -> Option<Change> {
+        self.link.on_timer(now).or_else(|| self.link.connect(now))
     }
 
     /// When to call [`Kernel::tick`] again.
-    pub fn wake(&self) -> Option<Micros> {
-        self.link.wake(true)
+    pub fn next_wakeup(&self) -> Option<Micros> {
+        self.link.next_wakeup(true)
     }
 
     /// Writes what can be written.
--- a/crates/node/src/membership_reports.rs
+++ b/crates/node/src/membership_reports.rs
@@ -37,7 +37,7 @@
     }
 
     /// Reports if it is time to, or if the state changed; returns when to call again.
-    pub fn tick(&mut self, now: Micros, up: bool, counters: &mut Counters) -> Option<Micros> {
+    pub fn on_timer(&mut self, now: Micros, up: bool, counters: &mut Counters) -> Option<Micros> {
         let (_, socket) = self.to.as_ref()?;
         let due = self.last.map_or(now, |(_, t)| t.plus(EVERY));
         if now < due && self.last.is_none_or(|(was, _)| was == up) {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -657,7 +657,7 @@
         for slot in 0..KEYS {
             let Some(channel) = self.channels[slot].as_mut() else { continue };
             let late = channel.who.is_none() && now.since(channel.since) >= GREETING;
-            if late || channel.link.tick(now).is_some() {
+            if late || channel.link.on_timer(now).is_some() {
                 self.lost(now, slot);
             }
         }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -53,7 +53,8 @@
     deep: bool,
     txn: Option<RequestId>,
     ingress: Option<Micros>,
-    router: u64,
+    #[serde(rename = "router")]
+    caller: u64,
     #[serde(rename = "hint")]
     work_hint: Option<Micros>,
     #[serde(rename = "held_kb")]
@@ -65,7 +66,8 @@
     caller_timeout: Option<Micros>,
     #[serde(rename = "again")]
     is_retry: bool,
-    row: Option<u64>,
+    #[serde(rename = "row")]
+    resource_key: Option<u64>,
 }
 
 /// What a whole request asks for.
@@ -87,7 +89,7 @@
     /// When it reached the machine, in Unix time.
     pub ingress: Micros,
     /// The number of its gateway.
-    pub router: u64,
+    pub caller: u64,
     /// Expected work.
     pub work_hint: Option<Micros>,
     /// Memory while held.
@@ -101,7 +103,7 @@
     /// Whether it is marked as a further try or a second copy.
     pub is_retry: bool,
     /// What a read is about, where that is told.
-    pub row: Option<u64>,
+    pub resource_key: Option<u64>,
 }
 
 /// A request of which not all records have come.
@@ -136,7 +138,7 @@
 }
 
 /// The subject of a read, sixteen hexadecimal digits.
-fn row(value: &[u8]) -> Option<u64> {
+fn resource_key(value: &[u8]) -> Option<u64> {
     id_of(value)?;
     u64::from_str_radix(std::str::from_utf8(value).ok()?, 16).ok()
 }
@@ -156,7 +158,7 @@
             b"HTTP_X_INGRESS_TIME" => {
                 self.ingress = Some(Micros::millis(whole(value).ok_or(bad("X-Ingress-Time"))?));
             }
-            b"HTTP_X_ROUTER" => self.router = whole(value).ok_or(bad("X-Router"))?,
+            b"HTTP_X_ROUTER" => self.caller = whole(value).ok_or(bad("X-Router"))?,
             b"HTTP_X_CPU_HINT" => {
                 let ms = number(value, 0.0, 1e9).ok_or(bad("X-Cpu-Hint"))?;
                 self.work_hint = Some(Micros((ms * 1e3) as u64)).filter(|h| h.0 > 0);
@@ -178,7 +180,7 @@
                     _ => return Err(bad("X-Second-Try")),
                 };
             }
-            b"HTTP_X_ROW" => self.row = Some(row(value).ok_or(bad("X-Row"))?),
+            b"HTTP_X_ROW" => self.resource_key = Some(resource_key(value).ok_or(bad("X-Row"))?),
             b"HTTP_X_TXN_KEY" => {
                 let key = std::str::from_utf8(value).or(Err(bad("X-Txn-Key")))?;
                 let sound = !key.is_empty() && key.len() <= 64 && key.bytes().all(|b| b.is_ascii_graphic());
@@ -208,14 +210,14 @@
             id: self.txn.ok_or(missing("X-Txn"))?,
             class,
             ingress: self.ingress.ok_or(missing("X-Ingress-Time"))?,
-            router: self.router,
+            caller: self.caller,
             work_hint: self.work_hint,
             queued_kb: self.queued_kb.ok_or(missing("X-Working-Set-Kb"))?,
             shed_order: self.shed_order.unwrap_or(0.0),
             repeat_key: self.repeat_key.filter(|_| needs_key),
             caller_timeout: self.caller_timeout,
             is_retry: self.is_retry,
-            row: self.row.filter(|_| !needs_key),
+            resource_key: self.resource_key.filter(|_| !needs_key),
         })))
     }
 }
--- a/crates/node/src/request_metrics.rs
+++ b/crates/node/src/request_metrics.rs
@@ -27,7 +27,7 @@
 
 /// Counts since the start of the process.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct RequestMetrics {
     /// By the name of the class, which keeps its totals while it is not among the settings.
     replies: BTreeMap<String, Ends>,
     /// Requests taken into the table.
@@ -36,9 +36,9 @@
     ended: u64,
 }
 
-impl Figures {
+impl RequestMetrics {
     /// These classes are listed from now on, also before a request of them ends.
-    pub fn list(&mut self, classes: &[String]) {
+    pub fn register_classes(&mut self, classes: &[String]) {
         for class in classes {
             if !self.replies.contains_key(class) {
                 self.replies.insert(class.clone(), Ends::default());
@@ -47,18 +47,18 @@
     }
 
     /// A request was taken into the table.
-    pub fn taken(&mut self) {
+    pub fn record_admitted(&mut self) {
         self.taken += 1;
     }
 
     /// A request that was taken ended. Call it once for each.
-    pub fn ended(&mut self, class: &str, end: End) {
+    pub fn record_end(&mut self, class: &str, end: End) {
         self.ended += 1;
-        self.turned_down(class, end);
+        self.record_reply(class, end);
     }
 
     /// A request of this class was answered without being taken.
-    pub fn turned_down(&mut self, class: &str, end: End) {
+    pub fn record_reply(&mut self, class: &str, end: End) {
         // Only classes that were listed come here: a client cannot make new ones.
         let Some(ends) = self.replies.get_mut(class) else { return };
         match end {
@@ -69,22 +69,22 @@
     }
 
     /// So many that were taken are another process's from now on.
-    pub fn handed_over(&mut self, open: usize) {
+    pub fn record_handed_over(&mut self, open: usize) {
         self.taken -= (open as u64).min(self.taken);
     }
 
     /// How requests of a class have ended.
-    pub fn of(&self, class: &str) -> Ends {
+    pub fn replies(&self, class: &str) -> Ends {
         self.replies.get(class).copied().unwrap_or_default()
     }
 
     /// Whether all that was taken has ended or is among so many that are open.
-    pub fn add_up(&self, open: usize) -> bool {
+    pub fn is_consistent(&self, open: usize) -> bool {
         self.taken == self.ended + open as u64
     }
 
     /// One line a figure; `others` are counts that are kept elsewhere.
-    pub fn text(&self, open: usize, others: &[(&str, u64)]) -> String {
+    pub fn render(&self, open: usize, others: &[(&str, u64)]) -> String {
         let mut text = String::new();
         // Writing to a String cannot fail.
         for (class, ends) in &self.replies {
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -26,11 +26,11 @@
 /// A reply of which a part has come is spoilt if nothing more of it comes for this long.
 const STALLED: Micros = Micros::millis(250);
 /// Most connections, whatever the descriptors.
-pub const MOST_LANES: usize = 64;
+pub const MAX_CONNECTIONS: usize = 64;
 
 /// The connections that a node with so many descriptors may have: half of them are the gateways'.
-pub fn lanes_within(sockets: usize) -> usize {
-    (sockets / 8).saturating_sub(4).clamp(2, MOST_LANES)
+pub fn max_connections_within(sockets: usize) -> usize {
+    (sockets / 8).saturating_sub(4).clamp(2, MAX_CONNECTIONS)
 }
 
 /// What a reply says.
@@ -108,15 +108,15 @@
 
 /// The end of a call.
 #[derive(Debug, PartialEq)]
-pub struct Ended {
+pub struct EndedCall {
     /// Whose call it was.
     pub id: RequestId,
     /// How it ended.
-    pub end: CallOutcome,
+    pub outcome: CallOutcome,
     /// The reply for the run, after a good end.
     pub reply: Option<Vec<u8>>,
     /// How long it took.
-    pub lag: Micros,
+    pub latency: Micros,
 }
 
 /// One connection with the calls that are out on it.
@@ -140,7 +140,7 @@
         let late = self.calls.values().map(Call::over).min();
         let stalled = self.partial.map(|since| since.plus(STALLED));
         let idle = self.calls.is_empty().then(|| self.used.plus(IDLE));
-        [late, stalled, idle, self.link.wake(true)].into_iter().flatten().min()
+        [late, stalled, idle, self.link.next_wakeup(true)].into_iter().flatten().min()
     }
 
     /// Queues the calls that are not on the link yet, if it is up.
@@ -162,7 +162,7 @@
     }
 
     /// Takes the replies that were read, `more` if anything was just now; appends the calls that they end.
-    fn take_replies(&mut self, now: Micros, more: bool, counters: &mut Counters, out: &mut Vec<Ended>) {
+    fn take_replies(&mut self, now: Micros, more: bool, counters: &mut Counters, out: &mut Vec<EndedCall>) {
         loop {
             let (len, id, word) = match reply(self.link.input()) {
                 Reply::Part => break,
@@ -177,7 +177,7 @@
             self.link.consume(len);
             self.partial = None;
             counters.replies_read += 1;
-            let (end, reply) = match word {
+            let (outcome, reply) = match word {
                 Word::Ok(body) => (CallOutcome::Succeeded, Some(body)),
                 Word::Busy => (CallOutcome::Overloaded, None),
                 Word::Err => (CallOutcome::Failed, None),
@@ -186,7 +186,7 @@
                 Word::Void => continue,
             };
             match self.calls.remove(&id) {
-                Some(call) => out.push(Ended { id, end, reply, lag: now.since(call.began) }),
+                Some(call) => out.push(EndedCall { id, outcome, reply, latency: now.since(call.began) }),
                 None => counters.replies_unasked += 1,
             }
             self.used = now;
@@ -197,15 +197,15 @@
     }
 
     /// Ends all calls as the link went down.
-    fn fail_all(&mut self, now: Micros, change: Change, out: &mut Vec<Ended>) {
+    fn fail_all(&mut self, now: Micros, change: Change, out: &mut Vec<EndedCall>) {
         let written = self.link.written();
         for (id, call) in std::mem::take(&mut self.calls) {
-            let end = match call.at {
+            let outcome = match call.at {
                 // A broken link proves nothing of what was sent; what was not sent never ran.
                 Some(at) if change == Change::Broken && at < written => CallOutcome::Broken,
                 _ => CallOutcome::Unreachable,
             };
-            out.push(Ended { id, end, reply: None, lag: now.since(call.began) });
+            out.push(EndedCall { id, outcome, reply: None, latency: now.since(call.began) });
         }
     }
 }
@@ -223,7 +223,7 @@
     /// Lanes with something to write or to settle this turn.
     touched: Vec<usize>,
     /// Calls that came to nothing before a lane had them.
-    unplaced: Vec<Ended>,
+    unplaced: Vec<EndedCall>,
     /// Nothing is due before.
     due: Micros,
 }
@@ -238,7 +238,7 @@
     }
 
     /// The tries whose calls are out.
-    pub fn out(&self) -> Vec<RequestId> {
+    pub fn outstanding(&self) -> Vec<RequestId> {
         let lanes = self.lanes.iter().flatten().flat_map(|lane| lane.calls.keys());
         lanes.chain(self.unplaced.iter().map(|ended| &ended.id)).copied().collect()
     }
@@ -260,7 +260,12 @@
         let place = self.place(now, id);
         let lane = place.and_then(|place| self.lanes.get_mut(place)?.as_mut().map(|lane| (place, lane)));
         let Some((place, lane)) = lane else {
-            self.unplaced.push(Ended { id, end: CallOutcome::Unreachable, reply: None, lag: Micros(0) });
+            self.unplaced.push(EndedCall {
+                id,
+                outcome: CallOutcome::Unreachable,
+                reply: None,
+                latency: Micros(0),
+            });
             self.due = now;
             return;
         };
@@ -319,7 +324,7 @@
     }
 
     /// The poller has something for the lane with this key; returns the calls that ended.
-    pub fn ready(&mut self, now: Micros, event: Ready, counters: &mut Counters) -> Vec<Ended> {
+    pub fn ready(&mut self, now: Micros, event: Ready, counters: &mut Counters) -> Vec<EndedCall> {
         let mut out = Vec::new();
         let place = event.key.wrapping_sub(self.first_key);
         let Some(Some(lane)) = self.lanes.get_mut(place) else { return out };
@@ -343,7 +348,7 @@
     }
 
     /// Ends what is overdue and closes lanes of no more use; returns the calls that ended.
-    pub fn tick(&mut self, now: Micros, counters: &mut Counters) -> Vec<Ended> {
+    pub fn on_timer(&mut self, now: Micros, counters: &mut Counters) -> Vec<EndedCall> {
         let mut out = std::mem::take(&mut self.unplaced);
         if now < self.due {
             return out;
@@ -351,7 +356,7 @@
         let mut late = Vec::new();
         for (place, slot) in self.lanes.iter_mut().enumerate() {
             let Some(lane) = slot else { continue };
-            if let Some(change) = lane.link.tick(now) {
+            if let Some(change) = lane.link.on_timer(now) {
                 lane.fail_all(now, change, &mut out);
             }
             if lane.partial.is_some_and(|since| now.since(since) >= STALLED) {
@@ -363,8 +368,9 @@
             let over = lane.calls.iter().filter(|(_, c)| now >= c.over());
             for (id, call) in over {
                 // One that the dial took all the time of was never sent: it never ran.
-                let end = if call.at.is_some() { CallOutcome::TimedOut } else { CallOutcome::Unreachable };
-                late.push(Ended { id: *id, end, reply: None, lag: now.since(call.began) });
+                let outcome =
+                    if call.at.is_some() { CallOutcome::TimedOut } else { CallOutcome::Unreachable };
+                late.push(EndedCall { id: *id, outcome, reply: None, latency: now.since(call.began) });
                 // Guards against a connection that has gone quiet: not even the end of the time was told.
                 lane.retired = true;
             }
@@ -381,12 +387,12 @@
     }
 
     /// When to call [`Store::tick`] again.
-    pub fn wake(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Micros> {
         Some(self.due).filter(|due| due.0 < u64::MAX)
     }
 
     /// Writes what can be written; returns the calls that ended as their link broke.
-    pub fn flush(&mut self, now: Micros) -> Vec<Ended> {
+    pub fn flush(&mut self, now: Micros) -> Vec<EndedCall> {
         let mut out = Vec::new();
         for place in std::mem::take(&mut self.touched) {
             let Some(Some(lane)) = self.lanes.get_mut(place) else { continue };
--- a/crates/node/src/store/tests.rs
+++ b/crates/node/src/store/tests.rs
@@ -34,8 +34,8 @@
     store.call(Micros(0), id, wait, b"c".to_vec(), &mut counters);
     assert!(store.flush(Micros(0)).is_empty());
     let over = wait.plus(OVERTIME);
-    assert!(store.tick(Micros(over.0 - 1), &mut counters).is_empty());
-    let ended = store.tick(over, &mut counters);
-    assert_eq!(ended.iter().map(|e| (e.id, e.end)).collect::<Vec<_>>(), [(id, CallOutcome::Unreachable)]);
-    assert_eq!((counters.calls_sent, store.out().len()), (0, 0));
+    assert!(store.on_timer(Micros(over.0 - 1), &mut counters).is_empty());
+    let ended = store.on_timer(over, &mut counters);
+    assert_eq!(ended.iter().map(|e| (e.id, e.outcome)).collect::<Vec<_>>(), [(id, CallOutcome::Unreachable)]);
+    assert_eq!((counters.calls_sent, store.outstanding().len()), (0, 0));
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -338,8 +338,8 @@
         }
         let next = node.turn(&ready);
         // Guards against a path on which a request ends uncounted, or twice.
-        if !node.figures().add_up(node.open_attempts()) {
-            let seen = node.figures().text(node.open_attempts(), &[]);
+        if !node.request_metrics().is_consistent(node.open_attempts()) {
+            let seen = node.request_metrics().render(node.open_attempts(), &[]);
             self.rules.wrong(t, "figures", seen);
         }
         match next {
