--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -10,9 +10,9 @@
 use std::net::SocketAddr;
 
 /// Most callers at once.
-pub const MOST_CALLERS: usize = 8;
+pub const MAX_CALLERS: usize = 8;
 /// Descriptors that it needs: those and the listener.
-pub const SOCKETS: usize = MOST_CALLERS + 1;
+pub const SOCKETS: usize = MAX_CALLERS + 1;
 /// Longest line, with its end.
 const MOST_LINE: usize = 64;
 /// What a call about the fleet starts with, and its longest line: a version's content goes in one.
@@ -119,7 +119,7 @@
         fleet: bool,
     ) -> io::Result<Self> {
         let listener = at.map(|at| system.listen(at, key)).transpose()?;
-        let callers = (0..MOST_CALLERS).map(|_| None).collect();
+        let callers = (0..MAX_CALLERS).map(|_| None).collect();
         Ok(Admin { system: system.clone(), key, first_key, listener, at, callers, serial: 0, fleet })
     }
 
@@ -143,18 +143,18 @@
 
     /// Whether a key is that of a caller.
     pub fn has_key(&self, key: usize) -> bool {
-        (self.first_key..self.first_key + MOST_CALLERS).contains(&key)
+        (self.first_key..self.first_key + MAX_CALLERS).contains(&key)
     }
 
     /// Takes the callers that wait; one that there is no place for gets that of the one that is quiet for longest.
     pub fn accept(&mut self, now: Micros) {
         let Some(listener) = &self.listener else { return };
         // As many as there are places: what else waits comes with the next turn.
-        for _ in 0..MOST_CALLERS {
+        for _ in 0..MAX_CALLERS {
             let free = self.callers.iter().position(Option::is_none);
             let quiet = || {
                 let since = |c: &Option<Caller<S::Stream>>| c.as_ref().map(|c| (c.answered, c.since));
-                (0..MOST_CALLERS).min_by_key(|i| self.callers.get(*i).and_then(since))
+                (0..MAX_CALLERS).min_by_key(|i| self.callers.get(*i).and_then(since))
             };
             let Some(place) = free.or_else(quiet) else { return };
             // The place is free before the newcomer comes: two are never watched under one key.
--- a/crates/node/src/event_loop/handover.rs
+++ b/crates/node/src/event_loop/handover.rs
@@ -111,7 +111,7 @@
 
     /// Looks for another process of this node: with a link to it, or with the claim and a listener.
     pub(super) fn find(system: &S, config: &Config) -> Result<(Self, Option<S::Listener>), NodeError> {
-        let listen = || system.listen(config.listen, LISTENER);
+        let listen = || system.listen(config.listen, GATEWAY_LISTENER);
         let alone = |why: &str| {
             tracing::info!(why, "no other process can take over from this one");
             let listener = listen().map_err(io_error("listening"))?;
@@ -126,7 +126,7 @@
         loop {
             // Who answers there is the node; otherwise whoever has the claim is, or is about to be.
             if claim.is_none() {
-                if let Ok(kin) = system.kin(&socket, UP) {
+                if let Ok(kin) = system.kin(&socket, PREDECESSOR) {
                     let mut found = Kindred::new(Handover::heir(), Some((socket, lock)));
                     found.up = Some(Wire::new(kin));
                     tracing::info!("another process of this node serves; waiting to take over from it");
@@ -162,7 +162,7 @@
 
     fn open_door(&mut self, system: &S) {
         let Some((socket, _)) = &self.paths else { return };
-        match system.door(socket, DOOR) {
+        match system.door(socket, HANDOVER_LISTENER) {
             Ok(door) => self.door = Some(door),
             Err(e) => {
                 let why = format!("{}: {e}", socket.display());
@@ -270,7 +270,7 @@
         loop {
             let Some(door) = &self.handover.door else { return };
             let free = self.handover.down.is_none();
-            let Ok(kin) = door.accept(if free { DOWN } else { TURNED_AWAY }) else { return };
+            let Ok(kin) = door.accept(if free { SUCCESSOR } else { EXCESS_SUCCESSOR }) else { return };
             if free && self.handover.machine.role() == Role::Alone {
                 self.handover.down = Some(Wire::new(kin));
                 self.on_handover_event(Event::Linked);
@@ -517,7 +517,7 @@
         match frame {
             Frame::Hello { moment, secret, leaving } if waits => {
                 self.handover.behind_drain = leaving;
-                self.handover.spare = Some(wire.take_listener(LISTENER)?);
+                self.handover.spare = Some(wire.take_listener(GATEWAY_LISTENER)?);
                 self.system.align(moment);
                 self.clock.read(&self.system);
                 // The clock has moved on by the elder's age: nobody has waited for that long.
@@ -575,7 +575,7 @@
         let until = now.plus(self.engine.longest_deadline()).plus(OVERTIME);
         let kernels = rest.kernels.iter().filter(|k| !k.runs.is_empty()).take(MOST_KERNELS);
         self.handover.inherited = kernels
-            .zip(INHERITED..)
+            .zip(FIRST_INHERITED_KERNEL..)
             .map(|(snapshot, key)| Inherited {
                 kernel: Kernel::restore(snapshot, key, &self.system),
                 runs: snapshot.runs.iter().copied().collect(),
@@ -600,7 +600,7 @@
     fn go_into_service(&mut self) {
         self.handover.open_door(&self.system);
         let spare = self.handover.spare.take();
-        match spare.map_or_else(|| self.system.listen(self.config.listen, LISTENER), Ok) {
+        match spare.map_or_else(|| self.system.listen(self.config.listen, GATEWAY_LISTENER), Ok) {
             Ok(listener) => self.connections.listen(listener),
             Err(e) => {
                 tracing::error!(problem = %e, "listening");
@@ -644,7 +644,7 @@
         let looks = self.handover.seeks() && now >= self.handover.next_look;
         let Some((socket, _)) = self.handover.paths.as_ref().filter(|_| looks) else { return };
         self.handover.next_look = now.plus(LOOK);
-        match self.system.kin(socket, UP) {
+        match self.system.kin(socket, PREDECESSOR) {
             Ok(kin) => self.handover.up = Some(Wire::new(kin)),
             // Nobody answers: it may have ended since, with keys that were never told.
             Err(_) => self.on_handover_event(Event::Unlinked),
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -40,34 +40,34 @@
 mod handover;
 
 /// Poller keys; connections follow.
-const LISTENER: usize = 0;
+const GATEWAY_LISTENER: usize = 0;
 const KERNEL: usize = 1;
-const LEAVE: usize = 2;
-const PRINT: usize = 3;
+const TERMINATION: usize = 2;
+const PRINT_COUNTERS: usize = 3;
 const RELOAD: usize = 4;
-const RECORD: usize = 5;
-const ADMIN: usize = 6;
-const DOOR: usize = 7;
-const UP: usize = 8;
-const DOWN: usize = 9;
-const TURNED_AWAY: usize = 10;
+const IDEMPOTENCY_STORE: usize = 5;
+const ADMIN_LISTENER: usize = 6;
+const HANDOVER_LISTENER: usize = 7;
+const PREDECESSOR: usize = 8;
+const SUCCESSOR: usize = 9;
+const EXCESS_SUCCESSOR: usize = 10;
 const CONSENSUS_LOG: usize = 11;
-const INHERITED: usize = 12;
-const FIRST_CALLER: usize = 16;
-const FIRST_LANE: usize = FIRST_CALLER + admin::MOST_CALLERS;
-const PEER_LISTENER: usize = FIRST_LANE + store::MAX_CONNECTIONS;
+const FIRST_INHERITED_KERNEL: usize = 12;
+const FIRST_ADMIN_CALLER: usize = 16;
+const FIRST_STORE_CONNECTION: usize = FIRST_ADMIN_CALLER + admin::MAX_CALLERS;
+const PEER_LISTENER: usize = FIRST_STORE_CONNECTION + store::MAX_CONNECTIONS;
 const FIRST_PEER: usize = PEER_LISTENER + 1;
-const FIRST_CONN: usize = FIRST_PEER + peers::KEYS;
+const FIRST_CONNECTION: usize = FIRST_PEER + peers::KEYS;
 
 /// Longest wait for the poller, so that a clock that was set wrong is noticed.
-const LONGEST_WAIT: Micros = Micros::millis(1_000);
+const MAX_POLL_WAIT: Micros = Micros::millis(1_000);
 /// Before the end of a drain: when to stop listening, and when to be gone.
-const STOP_LISTENING: Micros = Micros::millis(250);
-const GONE: Micros = Micros::millis(100);
+const LISTENER_CLOSE_MARGIN: Micros = Micros::millis(250);
+const EXIT_MARGIN: Micros = Micros::millis(100);
 /// Connections that the other side does not end are closed so long before the end of a drain.
-const CLOSED: Micros = Micros::millis(30);
+const FORCED_CLOSE_MARGIN: Micros = Micros::millis(30);
 /// Turns that it takes at least, so that the poller was asked in between.
-const LOOKS: u8 = 2;
+const MIN_FINAL_POLLS: u8 = 2;
 
 /// Why the node could not start or go on.
 #[derive(Debug)]
@@ -141,7 +141,7 @@
 /// The earliest of these, or the longest wait. Nothing is looked at again at once: what is overdue then waits for
 /// something else to happen.
 fn earliest_wakeup(now: Micros, wake: impl IntoIterator<Item = Option<Micros>>) -> Micros {
-    wake.into_iter().flatten().min().unwrap_or(now.plus(LONGEST_WAIT)).max(now.plus(Micros(200)))
+    wake.into_iter().flatten().min().unwrap_or(now.plus(MAX_POLL_WAIT)).max(now.plus(Micros(200)))
 }
 
 fn longest_dedup_window(config: &Config) -> Micros {
@@ -154,15 +154,16 @@
     pub fn start(system: S, config: Config, logs: Logs) -> Result<Self, NodeError> {
         // Before anything can connect: a signal that comes while the rest is being prepared waits, and ends nothing.
         let signals = |key, which: &[i32]| system.signals(key, which).map_err(io_error("signals"));
-        let (leave, print) = (signals(LEAVE, &[SIGTERM, SIGINT])?, signals(PRINT, &[SIGUSR1])?);
+        let (leave, print) =
+            (signals(TERMINATION, &[SIGTERM, SIGINT])?, signals(PRINT_COUNTERS, &[SIGUSR1])?);
         let reload = signals(RELOAD, &[SIGHUP])?;
         let clock = Clock::new(&system);
         let lanes = store::max_connections_within(config.sockets);
         // The store is read before anybody can connect.
         let who = (config.name.as_str(), config.seed, longest_dedup_window(&config));
         let stored = config.operators.record.as_ref();
-        let (record, mut key_table) =
-            Keeper::start(stored, who, RECORD, &system, clock.moment()).map_err(NodeError::Record)?;
+        let (record, mut key_table) = Keeper::start(stored, who, IDEMPOTENCY_STORE, &system, clock.moment())
+            .map_err(NodeError::Record)?;
         key_table.set_most(config.most_kept);
         let others = lanes
             + if key_table.is_durable() { idempotency_store::SOCKETS } else { 0 }
@@ -171,11 +172,11 @@
         let keys = (PEER_LISTENER, CONSENSUS_LOG, FIRST_PEER);
         let join = |fleet| Peers::start(&system, fleet, &config.name, config.seed, keys).map(Box::new);
         let peers = config.operators.fleet.as_ref().map(join).transpose().map_err(NodeError::Fleet)?;
-        let admin = Admin::listen(&system, config.admin, ADMIN, FIRST_CALLER, peers.is_some())
+        let admin = Admin::listen(&system, config.admin, ADMIN_LISTENER, FIRST_ADMIN_CALLER, peers.is_some())
             .map_err(io_error("listening at the second address"))?;
         let mut figures = RequestMetrics::default();
         figures.register_classes(&config.classes);
-        let mut table = ConnectionTable::new(FIRST_CONN, config.sockets - others);
+        let mut table = ConnectionTable::new(FIRST_CONNECTION, config.sockets - others);
         let (kin, listener) = Kindred::find(&system, &config)?;
         match listener {
             Some(listener) => table.listen(listener),
@@ -188,7 +189,7 @@
             idempotency_store: record,
             logs,
             kernel: Kernel::new(config.kernel, KERNEL, &system, &config.gauges),
-            store: Store::new(config.store, FIRST_LANE, lanes, &system),
+            store: Store::new(config.store, FIRST_STORE_CONNECTION, lanes, &system),
             membership: Members::new(&system, config.members, &config.name).map_err(io_error("members"))?,
             counters: Counters::default(),
             admin,
@@ -235,7 +236,7 @@
         let mut ready = Vec::new();
         let mut wake = self.clock.now();
         loop {
-            let wait = wake.since(self.clock.now()).0.min(LONGEST_WAIT.0);
+            let wait = wake.since(self.clock.now()).0.min(MAX_POLL_WAIT.0);
             self.system.wait(Micros(wait), &mut ready).map_err(io_error("poller"))?;
             match self.turn(&ready) {
                 Some(next) => wake = next,
@@ -275,16 +276,16 @@
         }
         let now = self.clock.now();
         let done = self.engine.owed() == 0 && !self.connections.is_writing();
-        let closed = self.connections.is_empty() || now.plus(CLOSED) >= stop;
-        let over = now.plus(GONE) >= stop && done && closed || now >= stop;
-        over && self.final_polls >= LOOKS
+        let closed = self.connections.is_empty() || now.plus(FORCED_CLOSE_MARGIN) >= stop;
+        let over = now.plus(EXIT_MARGIN) >= stop && done && closed || now >= stop;
+        over && self.final_polls >= MIN_FINAL_POLLS
     }
 
     /// Near the end of a drain: whether what came before now has surely been read. A wait that ran out, or that a signal
     /// interrupted, says nothing of what has come since: the poller is asked again first.
     fn has_looked(&mut self, stop: Micros, quiet: bool) -> bool {
         self.final_polls = self.final_polls.saturating_add(1);
-        self.final_polls >= LOOKS && (quiet || self.clock.now().plus(CLOSED) >= stop)
+        self.final_polls >= MIN_FINAL_POLLS && (quiet || self.clock.now().plus(FORCED_CLOSE_MARGIN) >= stop)
     }
 
     /// At the end of a drain, when all is answered: what is not whole by now is refused, as it never ran, and no
@@ -338,7 +339,7 @@
         let mut wake = vec![self.engine.on_timer(self.clock.moment(), &mut verdicts)];
         self.execute_commands(verdicts);
         self.idempotency_store.pump(self.clock.moment(), self.engine.idempotency());
-        if self.stop_at.is_some_and(|stop| now.plus(STOP_LISTENING) >= stop) {
+        if self.stop_at.is_some_and(|stop| now.plus(LISTENER_CLOSE_MARGIN) >= stop) {
             self.connections.stop_listening(now, &mut self.counters);
         }
         let up = self.engine.healthy() && self.knows_the_version();
@@ -346,14 +347,14 @@
             wake.push(self.membership.on_timer(now, up, &mut self.counters));
         }
         self.flush();
-        if let Some(stop) = self.stop_at.filter(|stop| now.plus(GONE) >= *stop) {
+        if let Some(stop) = self.stop_at.filter(|stop| now.plus(EXIT_MARGIN) >= *stop) {
             if !self.has_looked(stop, quiet) {
                 wake.push(Some(now));
             } else if self.engine.owed() == 0 {
                 self.close_connections();
             }
         }
-        let steps = [STOP_LISTENING, GONE, CLOSED];
+        let steps = [LISTENER_CLOSE_MARGIN, EXIT_MARGIN, FORCED_CLOSE_MARGIN];
         let step = |stop: &Micros| steps.into_iter().map(|s| stop.since(s)).find(|t| now < *t);
         let leaving = self.stop_at.map(|stop| step(&stop).unwrap_or(stop));
         wake.extend([
@@ -398,33 +399,35 @@
         let now = self.clock.now();
         match event.key {
             // What is accepted after all was handed over would be lost.
-            LISTENER if self.handover.machine.is_node() => self.connections.accept(now, &mut self.counters),
-            LISTENER => {}
+            GATEWAY_LISTENER if self.handover.machine.is_node() => {
+                self.connections.accept(now, &mut self.counters)
+            }
+            GATEWAY_LISTENER => {}
             KERNEL => self.take_kernel(event),
-            DOOR => self.take_door(),
-            UP => self.take_up(event),
-            DOWN => self.take_down(event),
-            key if (INHERITED..FIRST_CALLER).contains(&key) => self.take_inherited(event),
-            LEAVE => {
-                self.drain_signal(LEAVE);
+            HANDOVER_LISTENER => self.take_door(),
+            PREDECESSOR => self.take_up(event),
+            SUCCESSOR => self.take_down(event),
+            key if (FIRST_INHERITED_KERNEL..FIRST_ADMIN_CALLER).contains(&key) => self.take_inherited(event),
+            TERMINATION => {
+                self.drain_signal(TERMINATION);
                 // Said again in a drain it says nothing new: above all it hands nothing over.
                 if !self.draining {
                     self.on_handover_event(HandoverEvent::Leave);
                 }
             }
-            PRINT => {
-                self.drain_signal(PRINT);
+            PRINT_COUNTERS => {
+                self.drain_signal(PRINT_COUNTERS);
                 self.print_counters();
             }
             RELOAD => {
                 self.drain_signal(RELOAD);
                 self.take_configuration();
             }
-            RECORD => {
+            IDEMPOTENCY_STORE => {
                 let (now, ready) = (self.clock.moment(), (event.readable, event.writable));
                 self.idempotency_store.ready(now, ready, self.engine.idempotency(), &mut self.counters);
             }
-            ADMIN => self.admin.accept(now),
+            ADMIN_LISTENER => self.admin.accept(now),
             key if self.admin.has_key(key) => {
                 if let Some((place, said)) = self.admin.ready(event)
                     && let Some(answer) = self.tell(place, said)
@@ -448,8 +451,8 @@
 
     fn drain_signal(&mut self, key: usize) {
         let pipe = match key {
-            LEAVE => &mut self.termination_signals,
-            PRINT => &mut self.counters_signal,
+            TERMINATION => &mut self.termination_signals,
+            PRINT_COUNTERS => &mut self.counters_signal,
             _ => &mut self.reload_signal,
         };
         // The bytes say nothing; only that they came matters.
@@ -464,7 +467,7 @@
         let stop = *self.stop_at.get_or_insert(self.clock.now().plus(self.config.stop));
         let notice = Micros(stop.0.saturating_sub(self.config.stop.0));
         // All is answered some time before the end, so that it is also written by then.
-        let by = Micros(stop.0.saturating_sub(STOP_LISTENING.0));
+        let by = Micros(stop.0.saturating_sub(LISTENER_CLOSE_MARGIN.0));
         if let Some(peers) = &mut self.peers {
             peers.leave(self.clock.now());
         }
