--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -110,7 +110,7 @@
 pub struct Moved<S: System>(Option<SocketAddr>, Option<S::Listener>);
 
 impl<S: System> Admin<S> {
-    /// Listens at the address, if there is one; callers are watched under [`MOST_CALLERS`] keys from `first_key` on.
+    /// Listens at the address, if there is one; callers are watched under [`MAX_CALLERS`] keys from `first_key` on.
     pub fn listen(
         system: &S,
         at: Option<SocketAddr>,
@@ -260,7 +260,7 @@
         self.callers.iter_mut().flatten().for_each(|c| c.since = now);
     }
 
-    /// When to call [`Admin::tick`] again.
+    /// When to call [`Admin::on_timer`] again.
     pub fn next_wakeup(&self) -> Option<Micros> {
         self.callers.iter().flatten().map(|c| c.since.plus(PATIENCE)).min()
     }
--- a/crates/node/src/connections/tests.rs
+++ b/crates/node/src/connections/tests.rs
@@ -1,12 +1,18 @@
-//! The table of connections over loopback sockets, with both events of a crossing there before it looks.
+//! The table of connections over loopback sockets: races between what a gateway sends and what a timeout closes.
 
+use super::idle::{TIMEOUT_CHECK_INTERVAL, WRITE_STALL_TIMEOUT};
+use super::lingering_close::{LINGERING_CLOSE_TIMEOUT, MAX_DROPPED_BYTES};
+use super::listener::OWN_DESCRIPTORS;
+use super::table::MAX_UNWRITTEN_BYTES;
 use super::*;
+use crate::counters::Counters;
 use crate::io::real::Real;
+use crate::io::{Stream as _, System as _};
 use std::io::{Read as _, Write as _};
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 
-/// A connection with one open request, taken at the time given, and its other side.
-fn table(now: Micros) -> (ConnectionTable<Real>, ConnectionId, TcpStream) {
+/// A table with one connection, accepted at the given time with one request open, and the gateway's side of it.
+fn table_with_open_request(now: Micros) -> (ConnectionTable<Real>, ConnectionId, TcpStream) {
     let system = Real::new().expect("a poller");
     let mut table: ConnectionTable<Real> = ConnectionTable::new(1, 64);
     table.listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a port"));
@@ -17,20 +23,22 @@
     }
     let id = table.at_key(1).expect("the first place");
     let conn = table.get(id).expect("it is there");
-    conn.note_asked();
-    conn.open.insert(1, OpenRequest::Admitted(RequestId(1), true));
+    conn.note_requested();
+    conn.insert_request(1, OpenRequest::Admitted(RequestId(1), true));
     (table, id, client)
 }
 
-// Guards against an answer that ends its connection instead of going out on it: nothing had passed there for longer
-// than a reader may stall, since its request took that long, and the look for stalled ones came before the write.
+// A request takes longer than a reader may stall, so that nothing passes on its connection for that long. Its answer is queued,
+// and the check of timeouts arrives before the write. Were the stall counted from the last activity, the connection would be cut
+// off with its answer unwritten.
 #[test]
-fn an_answer_after_a_long_wait_is_written_and_does_not_count_as_stalled() {
+fn an_answer_queued_after_a_long_run_is_written_and_not_taken_for_a_stall() {
     let began = Micros::millis(1_000);
-    for wait in [STALLED, STALLED.plus(STALLED), Micros::millis(17_000)] {
-        let (mut table, id, mut client) = table(began);
-        let (now, mut counters) = (began.plus(wait), Counters::default());
-        table.get(id).expect("it is there").output.push(b"answer".to_vec());
+    for wait in [WRITE_STALL_TIMEOUT, WRITE_STALL_TIMEOUT.plus(WRITE_STALL_TIMEOUT), Micros::millis(17_000)] {
+        let (mut table, id, mut client) = table_with_open_request(began);
+        let now = began.plus(wait);
+        let mut counters = Counters::default();
+        table.get(id).expect("it is there").queue(b"answer".to_vec());
         table.touch(id);
         let look = table.on_timer(now, &mut counters);
         assert!(look.gone.is_empty(), "cut off with its answer unwritten after {wait:?}");
@@ -41,22 +49,26 @@
     }
 }
 
-// Guards against a reader that never reads and is kept for ever.
+// A gateway stops reading its answers. They would wait in memory for ever.
 #[test]
-fn what_is_not_read_is_cut_off_after_its_time() {
-    let (mut table, id, _client) = table(Micros(0));
-    let (now, mut counters) = (Micros::millis(30_000), Counters::default());
+fn a_connection_whose_peer_does_not_read_is_cut_off_after_the_stall_timeout() {
+    let (mut table, id, _client) = table_with_open_request(Micros(0));
+    let now = Micros::millis(30_000);
+    let mut counters = Counters::default();
     // More than the system takes for the other side, in pieces under the bound on what waits.
-    while table.get(id).expect("it is there").output.is_empty() {
-        table.get(id).expect("it is there").output.push(vec![0; MOST_OUT - 1]);
+    while table.get(id).expect("it is there").state.output.is_empty() {
+        table.get(id).expect("it is there").queue(vec![0; MAX_UNWRITTEN_BYTES - 1]);
         table.touch(id);
         table.flush(now, &mut counters);
     }
-    let just_before = Micros(now.plus(STALLED).0 - 1);
+    let just_before = Micros(now.plus(WRITE_STALL_TIMEOUT).0 - 1);
     assert!(table.on_timer(just_before, &mut counters).gone.is_empty());
     table.touch(id);
     table.flush(just_before, &mut counters);
-    assert_eq!(table.on_timer(now.plus(STALLED).plus(LOOK), &mut counters).gone, [RequestId(1)]);
+    assert_eq!(
+        table.on_timer(now.plus(WRITE_STALL_TIMEOUT).plus(TIMEOUT_CHECK_INTERVAL), &mut counters).gone,
+        [RequestId(1)]
+    );
 }
 
 /// Waits until a connection lies in the listener's queue.
@@ -74,22 +86,23 @@
     client.read_to_end(&mut read).map(|_| read)
 }
 
-// Guards against a last answer that is lost: a close over bytes that were not read is a reset.
+// A gateway sends more behind the request whose answer ends the connection. A close over bytes that were not read is a reset,
+// which discards the answer on its way.
 #[test]
-fn a_last_answer_is_read_whole_although_more_came_behind_its_request() {
-    let (mut table, id, mut client) = table(Micros(0));
+fn the_last_answer_arrives_whole_although_more_came_behind_its_request() {
+    let (mut table, id, mut client) = table_with_open_request(Micros(0));
     let mut counters = Counters::default();
     client.write_all(&[9; 100]).expect("the system takes it");
     let conn = table.get(id).expect("it is there");
-    conn.open.clear();
-    conn.output.push(b"answer".to_vec());
-    conn.last = true;
+    conn.state.open_requests.clear();
+    conn.queue(b"answer".to_vec());
+    conn.state.closes_after_write = true;
     table.touch(id);
     assert!(table.flush(Micros(0), &mut counters).is_empty());
     client.write_all(&[9; 100]).expect("the system takes it");
     assert_eq!(rest(&mut client).expect("an end and no reset"), b"answer");
     // It is closed as soon as the other side has ended too, and what came until then was dropped.
-    let mut buffer = buffer();
+    let mut buffer = read_buffer();
     client.shutdown(std::net::Shutdown::Write).expect("still there");
     while table.get(id).is_some() {
         table.drop_input(id, &mut buffer);
@@ -97,34 +110,35 @@
     assert_eq!(table.open_count(), 0);
 }
 
-// Guards against a connection that is kept, or read, for as long as its other side goes on sending.
+// A client goes on sending after its connection was ended. It must neither be read nor keep its descriptor for as long as it
+// likes.
 #[test]
 fn a_lingering_close_is_bounded_in_bytes_and_in_time() {
-    let (mut table, id, mut client) = table(Micros(0));
+    let (mut table, id, mut client) = table_with_open_request(Micros(0));
     let mut counters = Counters::default();
-    table.get(id).expect("it is there").open.clear();
-    table.get(id).expect("it is there").last = true;
+    table.get(id).expect("it is there").state.open_requests.clear();
+    table.get(id).expect("it is there").state.closes_after_write = true;
     table.touch(id);
     table.flush(Micros(0), &mut counters);
-    let mut buffer = buffer();
-    for _ in 0..MOST_DROPPED / CHUNK {
-        client.write_all(&[9; CHUNK]).expect("the system takes it");
-        let mut left = table.get(id).and_then(|c| c.closing).map_or(0, |c| c.left);
-        while left > 0 && table.get(id).is_some_and(|c| c.has_unread()) {
+    let mut buffer = read_buffer();
+    for _ in 0..MAX_DROPPED_BYTES / READ_CHUNK_BYTES {
+        client.write_all(&[9; READ_CHUNK_BYTES]).expect("the system takes it");
+        let mut left = table.get(id).and_then(|c| c.state.lingering_close).map_or(0, |c| c.remaining_bytes);
+        while left > 0 && table.get(id).is_some_and(|c| c.stream.has_unread()) {
             table.drop_input(id, &mut buffer);
-            left = table.get(id).and_then(|c| c.closing).map_or(0, |c| c.left);
+            left = table.get(id).and_then(|c| c.state.lingering_close).map_or(0, |c| c.remaining_bytes);
         }
     }
-    assert!(table.get(id).is_some_and(|c| !c.reads()), "it reads no more than that");
-    table.on_timer(Micros(LINGERING_CLOSE.0 - 1), &mut counters);
+    assert!(table.get(id).is_some_and(|c| !c.wants_input()), "it reads no more than that");
+    table.on_timer(Micros(LINGERING_CLOSE_TIMEOUT.0 - 1), &mut counters);
     assert_eq!(table.open_count(), 1);
-    table.on_timer(LINGERING_CLOSE.plus(LOOK), &mut counters);
+    table.on_timer(LINGERING_CLOSE_TIMEOUT.plus(TIMEOUT_CHECK_INTERVAL), &mut counters);
     assert_eq!(table.open_count(), 0);
 }
 
-// Guards against requests on connections that the system has accepted and the node has not: closing the listener resets them.
+// In a drain the listener closes while a connection with a request waits in the system's queue. Closing the listener resets it.
 #[test]
-fn what_the_system_has_accepted_is_taken_in_before_the_listener_goes() {
+fn connections_in_the_system_s_queue_are_accepted_before_the_listener_closes() {
     let system = Real::new().expect("a poller");
     let mut table: ConnectionTable<Real> = ConnectionTable::new(1, 64);
     table.listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a port"));
@@ -134,40 +148,43 @@
     table.stop_listening(Micros(0), &mut Counters::default());
     assert_eq!((table.open_count(), table.address()), (1, None));
     let id = table.at_key(1).expect("the first place");
-    let mut buffer = buffer();
+    let mut buffer = read_buffer();
     let read = table.get(id).expect("it is there").read(Micros(0), &mut buffer).expect("not reset");
     assert_eq!(&buffer[..read], b"a request");
 }
 
-// Guards against closing on a request that came in the very moment in which its connection had rested for long enough, and
-// against a reset for one that comes a moment later.
+// A request arrives in the moment in which its connection has been idle for the timeout: closed then, the request would be
+// lost. One that arrives a moment later finds an end of the stream and no reset, which says that it never ran.
 #[test]
-fn an_idle_close_spares_what_has_come_and_ends_what_has_not_without_a_reset() {
-    for comes in [true, false] {
-        let (mut table, id, mut client) = table(Micros(0));
-        let (idle, mut counters) = (Micros::millis(200), Counters::default());
-        table.get(id).expect("it is there").open.clear();
+fn an_idle_close_spares_a_request_that_has_arrived_and_never_resets() {
+    for arrives in [true, false] {
+        let (mut table, id, mut client) = table_with_open_request(Micros(0));
+        let idle = Micros::millis(200);
+        let mut counters = Counters::default();
+        table.get(id).expect("it is there").state.open_requests.clear();
         table.set_idle_timeout(idle);
-        if comes {
+        if arrives {
             client.write_all(&[1]).expect("the system takes it");
         }
         table.on_timer(idle, &mut counters);
         let conn = table.get(id).expect("it is there");
-        assert_eq!((conn.is_closing(), counters.connections_idle_closed), (!comes, u64::from(!comes)));
-        if !comes {
+        assert_eq!((conn.is_closing(), counters.connections_idle_closed), (!arrives, u64::from(!arrives)));
+        if !arrives {
             client.write_all(&[1]).expect("the system takes it");
             assert_eq!(rest(&mut client).expect("an end and no reset"), b"");
         }
     }
 }
 
-// Guards against new connections that wait for those that are only being closed.
+// The descriptors are used up, in part by connections that are only being closed. A newcomer must get the place of one of
+// those, before any that may still be used.
 #[test]
-fn a_connection_that_is_being_closed_makes_room_first() {
+fn a_connection_in_its_lingering_close_makes_room_first() {
     let system = Real::new().expect("a poller");
-    let mut table: ConnectionTable<Real> = ConnectionTable::new(1, OWN + 3);
+    let mut table: ConnectionTable<Real> = ConnectionTable::new(1, OWN_DESCRIPTORS + 3);
     table.listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a port"));
-    let (at, mut counters) = (table.address().expect("it listens"), Counters::default());
+    let at = table.address().expect("it listens");
+    let mut counters = Counters::default();
     let connect = |table: &mut ConnectionTable<Real>, now, counters: &mut Counters| {
         let client = TcpStream::connect(at).expect("accepted");
         await_connection(&system);
@@ -177,7 +194,7 @@
     let _idle = connect(&mut table, Micros(0), &mut counters);
     let _closing = connect(&mut table, Micros(1), &mut counters);
     let (first, second) = (table.at_key(1).expect("one"), table.at_key(2).expect("another"));
-    table.get(second).expect("it is there").last = true;
+    table.get(second).expect("it is there").state.closes_after_write = true;
     table.touch(second);
     table.flush(Micros(1), &mut counters);
     let _late = connect(&mut table, Micros::millis(200), &mut counters);
--- a/crates/node/src/event_loop/drain.rs
+++ b/crates/node/src/event_loop/drain.rs
@@ -76,7 +76,7 @@
     /// Rejects what is not complete by now, as it never ran, and shuts the write side of every connection. Each is closed
     /// once its other side has ended too.
     fn close_connections(&mut self, now: Micros) {
-        for request in self.connections.unread() {
+        for request in self.connections.unadmitted_requests() {
             let Some(open) = self.connections.take_request(request) else { continue };
             let keeps_connection = open.keeps_connection();
             if matches!(open, OpenRequest::HealthCheck(_)) {
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -1,6 +1,6 @@
 //! The event loop: one thread that reads what is ready, lets the engine decide, carries its commands out and writes.
 //!
-//! One iteration ([`Node::run_iteration`]) reads the clock once, [dispatches](dispatch) every readiness event of the poller,
+//! One iteration ([`Node::run_iteration`]) reads the clock once, dispatches every readiness event of the poller,
 //! does what is due by now, and then writes what all of that has queued. Each file beside this one is the loop's part in one
 //! concern:
 //!
@@ -186,7 +186,7 @@
             config,
             system,
             connections,
-            read_buffer: connections::buffer(),
+            read_buffer: connections::read_buffer(),
             engine,
         })
     }
--- a/crates/node/src/event_loop/requests.rs
+++ b/crates/node/src/event_loop/requests.rs
@@ -5,7 +5,7 @@
 //! stops and what was admitted before is still answered.
 
 use super::Node;
-use crate::connections::{ConnectionId, MOST_OPEN, OpenRequest, RequestRef};
+use crate::connections::{ConnectionId, MAX_OPEN_REQUESTS, OpenRequest, RequestRef};
 use crate::fastcgi::{self, Record, kind};
 use crate::handover_link::Place;
 use crate::io::System;
@@ -33,7 +33,7 @@
         let Some(connection) = self.connections.get(id).filter(|connection| !connection.is_closing()) else {
             return self.connections.drop_input(id, buffer);
         };
-        let read = if connection.is_dead() {
+        let read = if connection.is_reset() {
             Err(io::ErrorKind::ConnectionReset.into())
         } else if readable {
             connection.read(now, buffer)
@@ -53,7 +53,7 @@
         let now = self.clock.now();
         let Some(connection) = self.connections.get(id) else { return };
         if framing.is_ok() {
-            return connection.keep(now, &input[consumed..], consumed > 0);
+            return connection.keep_partial_record(now, &input[consumed..], consumed > 0);
         }
         // Nothing that follows can be trusted; what came before is still answered.
         self.counters.framing_lost += 1;
@@ -75,7 +75,7 @@
             if self.process_record(id, record).is_err() {
                 return (consumed, Err(FramingLost));
             }
-            if self.connections.get(id).is_none_or(|connection| connection.is_deaf()) {
+            if self.connections.get(id).is_none_or(|connection| connection.has_stopped_reading()) {
                 return (consumed, Ok(()));
             }
         }
@@ -86,7 +86,7 @@
         let Record { kind, id: fcgi_id, content, .. } = record;
         let request = RequestRef { connection: id, fcgi_id };
         let Some(connection) = self.connections.get(id) else { return Err(FramingLost) };
-        match (kind, connection.open.get_mut(&fcgi_id)) {
+        match (kind, connection.open_request(fcgi_id)) {
             (kind::BEGIN_REQUEST, Some(_)) => return Err(FramingLost),
             (kind::BEGIN_REQUEST, None) => connection.begin(now, fcgi_id, content),
             (kind::PARAMS | kind::STDIN, Some(OpenRequest::Incoming(incoming, ..))) => {
@@ -99,10 +99,11 @@
             }
             (kind::ABORT_REQUEST, Some(_)) => self.abort(request),
             (kind::GET_VALUES, _) if fcgi_id == 0 => {
-                let known = [("FCGI_MAX_REQS", MOST_OPEN.to_string()), ("FCGI_MPXS_CONNS", "1".to_string())];
-                connection.output.push(fastcgi::values_result(content, &known));
+                let known =
+                    [("FCGI_MAX_REQS", MAX_OPEN_REQUESTS.to_string()), ("FCGI_MPXS_CONNS", "1".to_string())];
+                connection.queue(fastcgi::values_result(content, &known));
             }
-            (unknown, _) if fcgi_id == 0 => connection.output.push(fastcgi::unknown_type(unknown)),
+            (unknown, _) if fcgi_id == 0 => connection.queue(fastcgi::unknown_type(unknown)),
             // Of a request that has ended, or that was never begun: the protocol has them ignored, within a bound.
             _ => {
                 if !connection.note_stray(content.len()) {
@@ -123,7 +124,7 @@
         };
         let parsed = incoming.finish(|name| self.class_slots.find(name), &self.keyed_classes);
         if let (Ok(_), Some(connection)) = (&parsed, self.connections.get(request.connection)) {
-            connection.note_asked();
+            connection.note_requested();
         }
         match parsed {
             Ok((Asked::Check(deep), _)) => self.on_health_check(request, keeps_connection, deep),
@@ -168,7 +169,8 @@
         self.counters.requests_read += 1;
         self.counters.patience_untold += u64::from(lacks_timeout);
         if let Some(connection) = self.connections.get(request.connection) {
-            connection.open.insert(request.fcgi_id, OpenRequest::Admitted(params.id, keeps_connection));
+            let open = OpenRequest::Admitted(params.id, keeps_connection);
+            connection.insert_request(request.fcgi_id, open);
         }
         let attempt = Place {
             id: params.id,
@@ -239,8 +241,7 @@
             self.counters.answers_unsent += 1;
             return;
         };
-        connection.output.respond(request.fcgi_id, response);
-        connection.last |= !keeps_connection;
+        connection.respond(request.fcgi_id, keeps_connection, response);
         self.connections.touch(request.connection);
     }
 
--- a/crates/node/src/handover_link.rs
+++ b/crates/node/src/handover_link.rs
@@ -42,7 +42,7 @@
     /// All keys were sent; from now on a change of one is sent before the command that it is about.
     Synced,
     /// A connection, with its socket.
-    Conn(Box<connections::ConnectionSnapshot>),
+    Conn(Box<connections::ConnectionState>),
     /// An open try, or one whose run goes on.
     #[serde(rename = "Try")]
     Attempt(Box<Place>),
--- a/crates/node/src/health_checks.rs
+++ b/crates/node/src/health_checks.rs
@@ -49,7 +49,7 @@
 
 impl Checks {
     /// One more. Tells how it ends if that is known; otherwise it waits, and the kernel is asked with the next
-    /// [`Checks::post`].
+    /// [`Checks::request`].
     pub fn add(&mut self, now: Micros, request: RequestRef) -> Option<bool> {
         if let Some((good, _)) = self.shown.filter(|(_, at)| now.since(*at) < FRESH) {
             return Some(good);
@@ -100,7 +100,7 @@
         over
     }
 
-    /// When to call [`Checks::post`] again although nothing comes.
+    /// When to call [`Checks::request`] again although nothing comes.
     pub fn next_wakeup(&self) -> Option<Micros> {
         let asked = self.asked.map(|asked| asked.since).filter(|_| !self.open.is_empty());
         self.open.iter().map(|w| w.since).chain(asked).min().map(|since| since.plus(CHECK))
--- a/crates/node/src/kernel.rs
+++ b/crates/node/src/kernel.rs
@@ -210,7 +210,7 @@
         kernel
     }
 
-    /// Breaks the link off; the next [`Kernel::tick`] makes a new one.
+    /// Breaks the link off; the next [`Kernel::on_timer`] makes a new one.
     pub fn unlink(&mut self) {
         self.link = Link::new(self.link.address(), self.key, &self.system);
         (self.barrier, self.booted) = (None, false);
@@ -402,7 +402,7 @@
         self.link.on_timer(now).or_else(|| self.link.connect(now))
     }
 
-    /// When to call [`Kernel::tick`] again.
+    /// When to call [`Kernel::on_timer`] again.
     pub fn next_wakeup(&self) -> Option<Micros> {
         self.link.next_wakeup(true)
     }
--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -67,7 +67,7 @@
     }
 }
 
-#[derive(Debug)]
+#[derive(Clone, Debug)]
 enum Piece {
     Own(Vec<u8>),
     Shared(Rc<[u8]>, usize, usize),
@@ -83,7 +83,7 @@
 }
 
 /// What waits to be written to one connection.
-#[derive(Debug, Default)]
+#[derive(Clone, Debug, Default)]
 pub struct Outbox {
     pieces: VecDeque<Piece>,
     /// Bytes of the first piece that are written.
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -386,7 +386,7 @@
         out
     }
 
-    /// When to call [`Store::tick`] again.
+    /// When to call [`Store::on_timer`] again.
     pub fn next_wakeup(&self) -> Option<Micros> {
         Some(self.due).filter(|due| due.0 < u64::MAX)
     }
