--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -4,7 +4,7 @@
 //! requests and knows none of them; the loop says what a call is answered.
 
 use super::io::{Listener, Ready, Stream, System};
-use super::response::Outbox;
+use super::write_queue::WriteQueue;
 use gaugestand_admission::time::Micros;
 use std::io::{self, Read as _};
 use std::net::SocketAddr;
@@ -86,7 +86,7 @@
     stream: T,
     since: Micros,
     input: Vec<u8>,
-    output: Outbox,
+    output: WriteQueue,
     answered: bool,
 }
 
@@ -161,7 +161,7 @@
             let old = self.callers.get_mut(place).and_then(Option::take);
             match listener.accept(self.first_key + place) {
                 Ok(stream) => {
-                    let (input, output) = (Vec::new(), Outbox::default());
+                    let (input, output) = (Vec::new(), WriteQueue::default());
                     self.serial += 1;
                     let serial = self.serial;
                     let caller = Caller { serial, stream, since: now, input, output, answered: false };
--- a/crates/node/src/connections/connection.rs
+++ b/crates/node/src/connections/connection.rs
@@ -2,9 +2,10 @@
 
 use super::lingering_close::LingeringClose;
 use super::{ConnectionId, MAX_OPEN_REQUESTS, OpenRequest, READ_CHUNK_BYTES};
-use crate::fastcgi::{self, status};
+use crate::fastcgi::{self, BeginRequest, protocol_status};
 use crate::io::Stream;
-use crate::response::{Outbox, Response};
+use crate::response::Response;
+use crate::write_queue::WriteQueue;
 use gaugestand_admission::time::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -37,8 +38,8 @@
     #[serde(rename = "input")]
     pub(super) partial_record: Vec<u8>,
     /// What waits to be written.
-    #[serde(with = "super::snapshot::outbox_bytes")]
-    pub(super) output: Outbox,
+    #[serde(with = "super::snapshot::unwritten_bytes")]
+    pub(super) output: WriteQueue,
     /// Its open requests, by FastCGI id.
     #[serde(rename = "open")]
     pub(super) open_requests: BTreeMap<u16, OpenRequest>,
@@ -87,7 +88,7 @@
         ConnectionState {
             id,
             partial_record: Vec::new(),
-            output: Outbox::default(),
+            output: WriteQueue::default(),
             open_requests: BTreeMap::new(),
             accepted_at: now,
             last_active: now,
@@ -111,16 +112,16 @@
 
     /// Opens a request, or ends it at once where that cannot be done: then it never ran.
     pub fn begin(&mut self, now: Micros, fcgi_id: u16, content: &[u8]) {
-        let opened = match fastcgi::begin(content) {
-            Some((fastcgi::RESPONDER, _)) if self.state.open_requests.len() >= MAX_OPEN_REQUESTS => {
-                Err(status::OVERLOADED)
+        let opened = match fastcgi::parse_begin_request(content) {
+            Some(BeginRequest { role: fastcgi::RESPONDER, keeps_connection }) => {
+                let is_full = self.state.open_requests.len() >= MAX_OPEN_REQUESTS;
+                if is_full { Err(protocol_status::OVERLOADED) } else { Ok(keeps_connection) }
             }
-            Some((fastcgi::RESPONDER, flags)) => Ok(flags & fastcgi::KEEP_CONN != 0),
-            _ => Err(status::UNKNOWN_ROLE),
+            _ => Err(protocol_status::UNKNOWN_ROLE),
         };
         match opened {
             Ok(keeps) => self.insert_request(fcgi_id, OpenRequest::Incoming(Box::default(), keeps, now)),
-            Err(status) => self.queue(fastcgi::end_request(fcgi_id, 0, status)),
+            Err(status) => self.queue(fastcgi::end_request(fcgi_id, status)),
         }
     }
 
@@ -136,7 +137,7 @@
 
     /// Queues a response; `keeps_connection` unless the connection ends with it.
     pub fn respond(&mut self, fcgi_id: u16, keeps_connection: bool, response: &Response<'_>) {
-        self.state.output.respond(fcgi_id, response);
+        response.enqueue(fcgi_id, &mut self.state.output);
         self.state.closes_after_write |= !keeps_connection;
     }
 
--- a/crates/node/src/connections/mod.rs
+++ b/crates/node/src/connections/mod.rs
@@ -19,7 +19,7 @@
 mod table;
 
 use super::fastcgi;
-use super::request::Incoming;
+use super::request::IncomingRequest;
 use gaugestand_admission::RequestId;
 use gaugestand_admission::time::Micros;
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
 /// Most bytes read from one connection in one go, so that none keeps the others waiting.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// Room for a chunk behind the part of a record that was left of the chunk before.
-const READ_BUFFER_BYTES: usize = READ_CHUNK_BYTES + fastcgi::LONGEST;
+const READ_BUFFER_BYTES: usize = READ_CHUNK_BYTES + fastcgi::MAX_RECORD_BYTES;
 /// Most open requests on a connection, as gateways are told in FCGI_MAX_REQS. Bounds what one gateway can hold in memory.
 pub const MAX_OPEN_REQUESTS: usize = 32;
 
@@ -62,7 +62,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum OpenRequest {
     /// Its records come in, since then.
-    Incoming(Box<Incoming>, bool, Micros),
+    #[serde(rename = "Incoming")]
+    Incoming(Box<IncomingRequest>, bool, Micros),
     /// Read and admitted; the answer is owed.
     #[serde(rename = "Owed")]
     Admitted(RequestId, bool),
--- a/crates/node/src/connections/snapshot.rs
+++ b/crates/node/src/connections/snapshot.rs
@@ -37,23 +37,23 @@
     }
 }
 
-/// An outbox is passed on as the bytes that are still to be written.
-pub(super) mod outbox_bytes {
-    use crate::response::Outbox;
+/// A write queue is passed on as the bytes that are still to be written.
+pub(super) mod unwritten_bytes {
+    use crate::write_queue::WriteQueue;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
     pub(in crate::connections) fn serialize<S: Serializer>(
-        outbox: &Outbox,
+        queue: &WriteQueue,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
-        outbox.bytes().serialize(serializer)
+        queue.bytes().serialize(serializer)
     }
 
     pub(in crate::connections) fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
-    ) -> Result<Outbox, D::Error> {
-        let mut outbox = Outbox::default();
-        outbox.push(Vec::<u8>::deserialize(deserializer)?);
-        Ok(outbox)
+    ) -> Result<WriteQueue, D::Error> {
+        let mut queue = WriteQueue::default();
+        queue.push(Vec::<u8>::deserialize(deserializer)?);
+        Ok(queue)
     }
 }
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -1,10 +1,23 @@
-//! What the node took in, sent and answered.
+//! What the node took in, sent and answered, counted since its start.
+//!
+//! Names as printed are the operators' and do not change; where the code's term is another one, the printed name stands behind
+//! it.
 
 use gaugestand_idempotency::Figures;
 use std::fmt;
 
+/// The name that a counter is printed under.
+macro_rules! printed_name {
+    ($name:ident) => {
+        stringify!($name)
+    };
+    ($name:ident, $printed:literal) => {
+        $printed
+    };
+}
+
 macro_rules! counters {
-    ($($(#[doc = $doc:literal])+ $name:ident,)+) => {
+    ($($(#[doc = $doc:literal])+ $name:ident $(=> $printed:literal)?,)+) => {
         /// Counts since the start; printed on request and at the exit.
         #[derive(Debug, Default)]
         pub struct Counters {
@@ -14,7 +27,7 @@
         impl fmt::Display for Counters {
             /// One line a counter, its name and its value.
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                $(writeln!(f, "{} {}", stringify!($name), self.$name)?;)+
+                $(writeln!(f, "{} {}", printed_name!($name $(, $printed)?), self.$name)?;)+
                 Ok(())
             }
         }
@@ -22,19 +35,19 @@
 }
 
 impl Counters {
-    /// Takes in how the store of record stands.
-    pub fn record(&mut self, f: Figures, open: bool) {
-        self.record_open = open.into();
-        self.record_entries = f.entries as u64;
-        self.record_bytes = f.bytes as u64;
-        self.record_waiting = f.writes as u64;
-        self.record_removals = f.removals as u64;
-        self.record_commits = f.commits;
-        self.record_committed = f.committed;
-        self.record_failures = f.failures;
-        self.record_opened = f.opened;
-        self.record_turned_away = f.turned_away;
-        self.record_in_doubt = f.in_doubt;
+    /// Takes in the state of the idempotency table and its store.
+    pub fn read_idempotency(&mut self, figures: Figures, circuit_open: bool) {
+        self.idempotency_circuit_open = circuit_open.into();
+        self.idempotency_entries = figures.entries as u64;
+        self.idempotency_bytes = figures.bytes as u64;
+        self.idempotency_writes_waiting = figures.writes as u64;
+        self.idempotency_removals_waiting = figures.removals as u64;
+        self.idempotency_commits = figures.commits;
+        self.idempotency_writes_committed = figures.committed;
+        self.idempotency_failures = figures.failures;
+        self.idempotency_circuit_openings = figures.opened;
+        self.idempotency_rejections = figures.turned_away;
+        self.idempotency_in_doubt = figures.in_doubt;
     }
 }
 
@@ -61,31 +74,31 @@
     framing_lost,
     /// Answers with the result of the request's own run.
     answers_served,
-    /// Answers with the result of another try.
+    /// Answers with the result of another attempt.
     answers_replayed,
-    /// Refusals.
-    answers_refused,
+    /// Rejections.
+    answers_rejected => "answers_refused",
     /// Failures.
     answers_failed,
     /// Health checks answered good.
-    checks_good,
+    checks_passed => "checks_good",
     /// Health checks answered bad.
-    checks_bad,
+    checks_failed => "checks_bad",
     /// Answers for which no connection was left.
     answers_unsent,
     /// Runs asked of the kernel.
     runs_sent,
-    /// Stops asked of the kernel.
-    stops_sent,
+    /// Preemptions asked of the kernel.
+    preemptions_sent => "stops_sent",
     /// Gauges asked of the kernel.
     gauges_sent,
     /// Deep checks asked of the kernel.
-    posts_sent,
+    deep_checks_sent => "posts_sent",
     /// Notices read from the kernel.
     notices_read,
     /// Notices that came again and were passed over.
     notices_repeated,
-    /// Commands that the kernel turned down.
+    /// Commands that the kernel rejected.
     commands_rejected,
     /// Lines of the kernel or the store that could not be read.
     lines_bad,
@@ -97,54 +110,54 @@
     calls_dropped,
     /// Calls that a run went on without.
     calls_skipped,
-    /// Requests that did not say how long their gateway waits, though the site's do.
-    patience_untold,
+    /// Requests that did not say how long their gateway waits, although the site's gateways do.
+    caller_timeouts_missing => "patience_untold",
     /// Replies read from the store.
     replies_read,
     /// Replies to no call that is out on their connection: second copies, unknown ids, calls given up.
-    replies_unasked,
+    replies_unexpected => "replies_unasked",
     /// Links to the store made.
     store_links,
     /// New configurations that took effect.
     reloads,
-    /// New configurations that were turned down.
+    /// New configurations that were rejected.
     reloads_failed,
-    /// 1 while the store of record is given up for now, else 0.
-    record_open,
-    /// Keys that are remembered now.
-    record_entries,
+    /// 1 while the circuit breaker of the idempotency store is open, else 0.
+    idempotency_circuit_open => "record_open",
+    /// Keys in the idempotency table now.
+    idempotency_entries => "record_entries",
     /// Bytes that they take now.
-    record_bytes,
-    /// Writes to the store of record that wait or are out now.
-    record_waiting,
+    idempotency_bytes => "record_bytes",
+    /// Writes to the idempotency store that wait or are out now.
+    idempotency_writes_waiting => "record_waiting",
     /// Rows past their window that wait to be removed now.
-    record_removals,
-    /// Batches that the store of record has made durable.
-    record_commits,
+    idempotency_removals_waiting => "record_removals",
+    /// Batches that the idempotency store has made durable.
+    idempotency_commits => "record_commits",
     /// Writes in them.
-    record_committed,
+    idempotency_writes_committed => "record_committed",
     /// Batches that failed or proved nothing.
-    record_failures,
-    /// Times that the store of record was given up for a while.
-    record_opened,
-    /// First tries of keyed requests refused as the store of record could not take them.
-    record_turned_away,
+    idempotency_failures => "record_failures",
+    /// Times that the circuit breaker of the idempotency store opened.
+    idempotency_circuit_openings => "record_opened",
+    /// First attempts of keyed requests rejected as the idempotency store could not take them.
+    idempotency_rejections => "record_turned_away",
     /// Runs found at the start of which nobody knows how they ended.
-    record_in_doubt,
-    /// Connections to the store of record made.
-    record_links,
-    /// Messages of the fleet that were read.
-    fellow_messages,
-    /// Messages of the fleet that ended their link: unreadable, too long, or not for this node.
-    fellow_unfit,
-    /// Messages of the fleet that a slow fellow had no room for.
-    fellow_dropped,
-    /// Pages of the agreed log that were made durable.
-    fleet_pages,
-    /// Requests refused as this node had no lease for what the fleet agreed on.
-    fleet_unleased,
-    /// Requests refused by the fleet's lists.
-    fleet_barred,
+    idempotency_in_doubt => "record_in_doubt",
+    /// Connections to the idempotency store made.
+    idempotency_links => "record_links",
+    /// Messages of other nodes that were read.
+    peer_messages => "fellow_messages",
+    /// Messages of other nodes that ended their link: unreadable, too long, or not for this node.
+    peer_messages_invalid => "fellow_unfit",
+    /// Messages to other nodes that were dropped as they read too slowly.
+    peer_messages_dropped => "fellow_dropped",
+    /// Records of the consensus log that were made durable.
+    consensus_log_records => "fleet_pages",
+    /// Requests rejected as this node had no lease for the agreed version.
+    rejected_without_lease => "fleet_unleased",
+    /// Requests rejected by the cluster's lists.
+    rejected_by_list => "fleet_barred",
     /// Lines of the log that nobody read in time.
     log_lines_dropped,
     /// Reports to the membership service.
--- a/crates/node/src/event_loop/cluster.rs
+++ b/crates/node/src/event_loop/cluster.rs
@@ -195,8 +195,8 @@
             return None;
         }
         let count = match ruling {
-            Ruling::NoLease => &mut self.counters.fleet_unleased,
-            _ => &mut self.counters.fleet_barred,
+            Ruling::NoLease => &mut self.counters.rejected_without_lease,
+            _ => &mut self.counters.rejected_by_list,
         };
         *count += 1;
         let (status, capacity) = ("503 Service Unavailable", self.engine.capacity());
--- a/crates/node/src/event_loop/commands.rs
+++ b/crates/node/src/event_loop/commands.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::connections::RequestRef;
 use crate::io::System;
-use crate::request_metrics::End;
+use crate::request_metrics::ReplyOutcome;
 use crate::response::{Response, http_status};
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::{EngineCommand, EngineEvent};
@@ -35,13 +35,13 @@
             EngineCommand::SkipCall(id) => self.skip_call(id),
             EngineCommand::DropCall(id) => self.drop_call(id),
             EngineCommand::Reject { id, retry_after, no_retry_elsewhere } => {
-                self.record_end(id, End::Overload);
+                self.record_end(id, ReplyOutcome::Overload);
                 let status = http_status::SERVICE_UNAVAILABLE;
                 let answered = self.answer(id, status, retry_after, no_retry_elsewhere, empty_body.clone());
-                self.counters.answers_refused += u64::from(answered);
+                self.counters.answers_rejected += u64::from(answered);
             }
             EngineCommand::Fail { id, retry_after, no_retry_elsewhere } => {
-                self.record_end(id, End::Error);
+                self.record_end(id, ReplyOutcome::Error);
                 let status = http_status::INTERNAL_SERVER_ERROR;
                 let answered = self.answer(id, status, retry_after, no_retry_elsewhere, empty_body.clone());
                 self.counters.answers_failed += u64::from(answered);
@@ -73,7 +73,7 @@
 
     fn preempt_run(&mut self, id: RequestId) {
         self.kernel_of(id).preempt(id);
-        self.counters.stops_sent += 1;
+        self.counters.preemptions_sent += 1;
     }
 
     fn start_call(&mut self, id: RequestId, timeout: Micros) {
@@ -91,7 +91,7 @@
     }
 
     fn answer_with_result(&mut self, id: RequestId, result: Rc<[u8]>) -> bool {
-        self.record_end(id, End::Success);
+        self.record_end(id, ReplyOutcome::Success);
         self.answer(id, http_status::OK, Micros(0), false, result)
     }
 
--- a/crates/node/src/event_loop/drain.rs
+++ b/crates/node/src/event_loop/drain.rs
@@ -83,7 +83,7 @@
                 self.answer_health_check(request, keeps_connection, false);
                 continue;
             }
-            self.counters.answers_refused += 1;
+            self.counters.answers_rejected += 1;
             let rejection = Response::plain(http_status::SERVICE_UNAVAILABLE, self.engine.capacity());
             self.respond(request, keeps_connection, &rejection);
         }
--- a/crates/node/src/event_loop/health.rs
+++ b/crates/node/src/event_loop/health.rs
@@ -44,9 +44,9 @@
 
     pub(super) fn answer_health_check(&mut self, request: RequestRef, keeps_connection: bool, passed: bool) {
         let (count, status) = if passed {
-            (&mut self.counters.checks_good, http_status::OK)
+            (&mut self.counters.checks_passed, http_status::OK)
         } else {
-            (&mut self.counters.checks_bad, http_status::SERVICE_UNAVAILABLE)
+            (&mut self.counters.checks_failed, http_status::SERVICE_UNAVAILABLE)
         };
         *count += 1;
         let capacity = self.engine.capacity();
--- a/crates/node/src/event_loop/kernel_events.rs
+++ b/crates/node/src/event_loop/kernel_events.rs
@@ -25,7 +25,7 @@
                     self.notify_engine(EngineEvent::GaugesRead(gauges));
                 }
                 Notice::Posted(ticket, passed) => {
-                    let requests = self.health_checks.posted(now, ticket, passed);
+                    let requests = self.health_checks.on_result(now, ticket, passed);
                     self.end_deep_checks(requests, passed);
                 }
                 notice => self.on_run_notice(notice),
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -25,7 +25,7 @@
 use super::connections::{self, ConnectionId, ConnectionTable};
 use super::counters::Counters;
 use super::handover_link::Place;
-use super::health_checks::Checks;
+use super::health_checks::HealthChecks;
 use super::idempotency_store::{self, Keeper};
 use super::io::clock::Clock;
 use super::io::{Ready, System};
@@ -33,7 +33,7 @@
 use super::log::Logs;
 use super::membership_reports::Members;
 use super::peers::{self, Peers};
-use super::request::Fault;
+use super::request::RequestError;
 use super::request_metrics::RequestMetrics;
 use super::store::{self, EndedCall, Store};
 use error::io_error;
@@ -98,7 +98,7 @@
     attempts: BTreeMap<RequestId, Place>,
     /// Other processes of this node.
     handover: Kindred<S>,
-    health_checks: Checks,
+    health_checks: HealthChecks,
     /// SIGTERM and SIGINT.
     termination_signals: S::Signals,
     /// SIGUSR1.
@@ -173,7 +173,7 @@
             keyed_classes: config.keyed.clone(),
             attempts: BTreeMap::new(),
             handover,
-            health_checks: Checks::default(),
+            health_checks: HealthChecks::default(),
             termination_signals,
             counters_signal,
             reload_signal,
@@ -302,7 +302,7 @@
         let expired = self.connections.on_timer(now, &mut self.counters);
         self.on_callers_gone(expired.gone);
         for request in expired.unfinished {
-            self.fail_incomplete(request, Fault::Unfinished);
+            self.fail_incomplete(request, RequestError::Incomplete);
         }
     }
 
@@ -346,7 +346,7 @@
     fn print_counters(&mut self) {
         let key_table = self.engine.idempotency();
         let circuit_open = key_table.breaker() != Breaker::Closed;
-        self.counters.record(key_table.figures(), circuit_open);
+        self.counters.read_idempotency(key_table.figures(), circuit_open);
         self.counters.log_lines_dropped = self.logs.dropped();
         self.logs.print(&self.counters.to_string());
     }
--- a/crates/node/src/event_loop/requests.rs
+++ b/crates/node/src/event_loop/requests.rs
@@ -6,11 +6,11 @@
 
 use super::Node;
 use crate::connections::{ConnectionId, MAX_OPEN_REQUESTS, OpenRequest, RequestRef};
-use crate::fastcgi::{self, Record, kind};
+use crate::fastcgi::{self, Record, record_type};
 use crate::handover_link::Place;
 use crate::io::System;
-use crate::request::{Asked, AttemptParams, Fault};
-use crate::request_metrics::End;
+use crate::request::{AttemptParams, ParsedRequest, RequestError};
+use crate::request_metrics::ReplyOutcome;
 use crate::response::{Response, http_status};
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::{AdmitError, Arrival, EngineEvent};
@@ -66,12 +66,12 @@
     fn process_records(&mut self, id: ConnectionId, input: &[u8]) -> (usize, Result<(), FramingLost>) {
         let mut consumed = 0;
         loop {
-            let record = match fastcgi::record(&input[consumed..]) {
+            let record = match fastcgi::parse_record(&input[consumed..]) {
                 Ok(Some(record)) => record,
                 Ok(None) => return (consumed, Ok(())),
                 Err(_) => return (consumed, Err(FramingLost)),
             };
-            consumed += record.len;
+            consumed += record.total_bytes;
             if self.process_record(id, record).is_err() {
                 return (consumed, Err(FramingLost));
             }
@@ -83,22 +83,22 @@
 
     fn process_record(&mut self, id: ConnectionId, record: Record<'_>) -> Result<(), FramingLost> {
         let now = self.clock.now();
-        let Record { kind, id: fcgi_id, content, .. } = record;
+        let Record { record_type, id: fcgi_id, content, .. } = record;
         let request = RequestRef { connection: id, fcgi_id };
         let Some(connection) = self.connections.get(id) else { return Err(FramingLost) };
-        match (kind, connection.open_request(fcgi_id)) {
-            (kind::BEGIN_REQUEST, Some(_)) => return Err(FramingLost),
-            (kind::BEGIN_REQUEST, None) => connection.begin(now, fcgi_id, content),
-            (kind::PARAMS | kind::STDIN, Some(OpenRequest::Incoming(incoming, ..))) => {
-                let complete = incoming.take(kind == kind::STDIN, content);
-                match incoming.fault() {
-                    Some(fault) => self.fail_incomplete(request, fault),
+        match (record_type, connection.open_request(fcgi_id)) {
+            (record_type::BEGIN_REQUEST, Some(_)) => return Err(FramingLost),
+            (record_type::BEGIN_REQUEST, None) => connection.begin(now, fcgi_id, content),
+            (record_type::PARAMS | record_type::STDIN, Some(OpenRequest::Incoming(incoming, ..))) => {
+                let complete = incoming.take(record_type == record_type::STDIN, content);
+                match incoming.error() {
+                    Some(error) => self.fail_incomplete(request, error),
                     None if complete => self.on_request_complete(request),
                     None => {}
                 }
             }
-            (kind::ABORT_REQUEST, Some(_)) => self.abort(request),
-            (kind::GET_VALUES, _) if fcgi_id == 0 => {
+            (record_type::ABORT_REQUEST, Some(_)) => self.abort(request),
+            (record_type::GET_VALUES, _) if fcgi_id == 0 => {
                 let known =
                     [("FCGI_MAX_REQS", MAX_OPEN_REQUESTS.to_string()), ("FCGI_MPXS_CONNS", "1".to_string())];
                 connection.queue(fastcgi::values_result(content, &known));
@@ -127,16 +127,20 @@
             connection.note_requested();
         }
         match parsed {
-            Ok((Asked::Check(deep), _)) => self.on_health_check(request, keeps_connection, deep),
-            Ok((Asked::Attempt(params), body)) => self.admit(request, keeps_connection, *params, body),
-            Err(fault) => self.fail_request(request, keeps_connection, fault),
+            Ok((ParsedRequest::HealthCheck(deep), _)) => {
+                self.on_health_check(request, keeps_connection, deep)
+            }
+            Ok((ParsedRequest::Attempt(params), body)) => {
+                self.admit(request, keeps_connection, *params, body)
+            }
+            Err(error) => self.fail_request(request, keeps_connection, error),
         }
     }
 
     fn admit(&mut self, request: RequestRef, keeps_connection: bool, params: AttemptParams, body: Vec<u8>) {
         if let Some(rejection) = self.fleet_refuses(&params) {
-            self.counters.answers_refused += 1;
-            self.request_metrics.record_reply(self.class_slots.name(params.class), End::Overload);
+            self.counters.answers_rejected += 1;
+            self.request_metrics.record_reply(self.class_slots.name(params.class), ReplyOutcome::Overload);
             return self.respond(request, keeps_connection, &rejection);
         }
         let arrival = Arrival {
@@ -157,17 +161,17 @@
         let lacks_timeout = self.config.tells_patience && params.caller_timeout.is_none();
         let mut commands = Vec::new();
         if let Err(error) = self.engine.admit(self.clock.moment(), arrival, &mut commands) {
-            self.request_metrics.record_reply(self.class_slots.name(params.class), End::Error);
-            let fault = match error {
+            self.request_metrics.record_reply(self.class_slots.name(params.class), ReplyOutcome::Error);
+            let error = match error {
                 // Whatever became of the other attempt, this one cannot be told apart from it.
-                AdmitError::DuplicateId => Fault::Malformed("X-Txn"),
-                AdmitError::KeyConflict => Fault::Conflict,
+                AdmitError::DuplicateId => RequestError::Malformed("X-Txn"),
+                AdmitError::KeyConflict => RequestError::KeyConflict,
             };
-            return self.fail_request(request, keeps_connection, fault);
+            return self.fail_request(request, keeps_connection, error);
         }
         self.request_metrics.record_admitted();
         self.counters.requests_read += 1;
-        self.counters.patience_untold += u64::from(lacks_timeout);
+        self.counters.caller_timeouts_missing += u64::from(lacks_timeout);
         if let Some(connection) = self.connections.get(request.connection) {
             let open = OpenRequest::Admitted(params.id, keeps_connection);
             connection.insert_request(request.fcgi_id, open);
@@ -190,18 +194,18 @@
     }
 
     /// Fails a request whose records are not all there.
-    pub(super) fn fail_incomplete(&mut self, request: RequestRef, fault: Fault) {
+    pub(super) fn fail_incomplete(&mut self, request: RequestRef, error: RequestError) {
         if let Some(open) = self.connections.take_request(request) {
-            self.fail_request(request, open.keeps_connection(), fault);
+            self.fail_request(request, open.keeps_connection(), error);
         }
     }
 
-    fn fail_request(&mut self, request: RequestRef, keeps_connection: bool, fault: Fault) {
+    fn fail_request(&mut self, request: RequestRef, keeps_connection: bool, error: RequestError) {
         self.counters.requests_bad += 1;
         let capacity = self.engine.capacity();
-        self.respond(request, keeps_connection, &Response::plain(fault.status(), capacity));
+        self.respond(request, keeps_connection, &Response::plain(error.status(), capacity));
         // The rest of a request that is too long need not be read.
-        let ends_connection = fault == Fault::TooLong;
+        let ends_connection = error == RequestError::TooLong;
         self.connections.note_bad_request(self.clock.now(), request.connection, ends_connection);
     }
 
@@ -224,7 +228,7 @@
     }
 
     fn on_caller_gone(&mut self, id: RequestId) {
-        self.record_end(id, End::Error);
+        self.record_end(id, ReplyOutcome::Error);
         self.notify_engine(EngineEvent::CallerGone(id));
     }
 
@@ -248,10 +252,10 @@
     // ---- Accounting ----------------------------------------------------------------------------------
 
     /// The one place where an admitted request ends, for whatever reason; the first end counts.
-    pub(super) fn record_end(&mut self, id: RequestId, end: End) {
+    pub(super) fn record_end(&mut self, id: RequestId, outcome: ReplyOutcome) {
         if let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.open) {
             attempt.open = false;
-            self.request_metrics.record_end(self.class_slots.name(attempt.class), end);
+            self.request_metrics.record_end(self.class_slots.name(attempt.class), outcome);
         }
     }
 
--- a/crates/node/src/health_checks.rs
+++ b/crates/node/src/health_checks.rs
@@ -1,8 +1,8 @@
 //! Deep health checks: what the kernel has shown of late, or will show, answers all of them.
 //!
 //! The work of one check costs the cores as much as a request does, and each gateway asks on its own: with many of them the
-//! checks alone would fill the cores. So one is done at a time, everyone who asks meanwhile waits for it, and what it
-//! showed holds for [`FRESH`].
+//! checks alone would fill the cores. So one check is out at a time, everyone who asks meanwhile waits for it, and its result
+//! holds for [`RESULT_LIFETIME`]. A check that the kernel does not answer within [`CHECK_TIMEOUT`] has failed.
 
 use super::connections::RequestRef;
 use super::counters::Counters;
@@ -12,97 +12,110 @@
 use std::collections::VecDeque;
 
 /// A check that the kernel has not answered by then has failed.
-const CHECK: Micros = Micros::millis(3_000);
-/// What a check has shown holds for so long. Gateways ask every second or two, so none hears much later than from a check of
-/// its own that the work no longer gets done.
-pub const FRESH: Micros = Micros::millis(1_000);
+const CHECK_TIMEOUT: Micros = Micros::millis(3_000);
+/// The result of a check holds for so long. Gateways ask every second or two, so none hears much later than from a check of
+/// its own that work no longer gets done.
+pub const RESULT_LIFETIME: Micros = Micros::millis(1_000);
+/// Most abandoned checks whose result still counts.
+const MAX_ABANDONED: usize = 8;
 
-/// Most of those that were given up whose end still counts.
-const MOST_GIVEN_UP: usize = 8;
-
-/// A check that waits.
+/// A health check that waits for its answer.
 #[derive(Debug)]
 struct Waiting {
     request: RequestRef,
     since: Micros,
 }
 
-/// The one that the kernel is asked to do: its ticket, since when, and the number of the link that it was asked on.
+/// The check that the kernel was asked for.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct Outstanding {
     ticket: u64,
     since: Micros,
+    /// The number of the link that it was asked on.
     link: u64,
 }
 
-/// The checks that wait, and what the last one has shown.
+/// The result of a check.
+#[derive(Clone, Copy, Debug)]
+struct CheckResult {
+    passed: bool,
+    at: Micros,
+}
+
+/// The checks that wait, and the last result.
 #[derive(Debug, Default)]
-pub struct Checks {
-    open: Vec<Waiting>,
-    /// The kernel is at it.
-    asked: Option<Asked>,
-    /// Tickets of those that were given up and may end after all.
-    given_up: VecDeque<u64>,
-    /// What it has shown, and when.
-    shown: Option<(bool, Micros)>,
+pub struct HealthChecks {
+    waiting: Vec<Waiting>,
+    outstanding: Option<Outstanding>,
+    /// Tickets of checks that were given up and may end after all.
+    abandoned: VecDeque<u64>,
+    last_result: Option<CheckResult>,
 }
 
-impl Checks {
-    /// One more. Tells how it ends if that is known; otherwise it waits, and the kernel is asked with the next
-    /// [`Checks::request`].
+impl HealthChecks {
+    /// A check has come. Returns its result if that is known; otherwise it waits, and the kernel is asked with the next
+    /// [`HealthChecks::request`].
     pub fn add(&mut self, now: Micros, request: RequestRef) -> Option<bool> {
-        if let Some((good, _)) = self.shown.filter(|(_, at)| now.since(*at) < FRESH) {
-            return Some(good);
+        if let Some(result) = self.last_result.filter(|result| now.since(result.at) < RESULT_LIFETIME) {
+            return Some(result.passed);
         }
-        self.open.push(Waiting { request, since: now });
+        self.waiting.push(Waiting { request, since: now });
         None
     }
 
-    /// The kernel has done the work of the one with this ticket, well or not; returns those that it answers. One that was
-    /// given up shows as much when it ends after all; one that was never asked for shows nothing.
-    pub fn posted(&mut self, now: Micros, ticket: u64, good: bool) -> Vec<RequestRef> {
-        let late = self.given_up.iter().position(|t| *t == ticket);
-        if late.and_then(|at| self.given_up.remove(at)).is_none() {
-            if self.asked.is_none_or(|asked| asked.ticket != ticket) {
+    /// The kernel has done the work of the check with this ticket, well or not; returns those that it answers. An abandoned
+    /// check shows as much when it ends after all; one that was never asked for shows nothing.
+    pub fn on_result(&mut self, now: Micros, ticket: u64, passed: bool) -> Vec<RequestRef> {
+        let abandoned = self.abandoned.iter().position(|abandoned| *abandoned == ticket);
+        if abandoned.and_then(|index| self.abandoned.remove(index)).is_none() {
+            if self.outstanding.is_none_or(|outstanding| outstanding.ticket != ticket) {
                 return Vec::new();
             }
-            self.asked = None;
+            self.outstanding = None;
         }
-        self.shown = Some((good, now));
-        self.open.drain(..).map(|w| w.request).collect()
+        self.last_result = Some(CheckResult { passed, at: now });
+        self.waiting.drain(..).map(|check| check.request).collect()
     }
 
-    /// Asks the kernel for the work of a check if any waits and none is being done, again after a new link; returns
-    /// those that it did not answer.
+    /// Asks the kernel for the work of a check if any waits and none is out, and again after a new link; returns the checks
+    /// that it did not answer in time.
     pub fn request<S: System>(
         &mut self,
         now: Micros,
         kernel: &mut Kernel<S>,
         counters: &mut Counters,
     ) -> Vec<RequestRef> {
-        let late = |w: &Waiting| now.since(w.since) >= CHECK;
-        let over = self.open.iter().filter(|w| late(w)).map(|w| w.request).collect();
-        self.open.retain(|w| !late(w));
-        let link = kernel.link_number();
-        // Guards against a question that was lost: without this nothing would ever be asked again.
-        let lost = |asked: &mut Asked| asked.link != link || now.since(asked.since) >= CHECK;
-        if let Some(asked) = self.asked.take_if(lost) {
-            self.given_up.push_back(asked.ticket);
-            if self.given_up.len() > MOST_GIVEN_UP {
-                self.given_up.pop_front();
-            }
+        let is_late = |check: &Waiting| now.since(check.since) >= CHECK_TIMEOUT;
+        let late = self.waiting.iter().filter(|check| is_late(check)).map(|check| check.request).collect();
+        self.waiting.retain(|check| !is_late(check));
+        self.abandon_lost(now, kernel.link_number());
+        // While the link is down the check waits: it is broken for a moment, and work may still get done.
+        if self.outstanding.is_none() && !self.waiting.is_empty() && kernel.is_linked() {
+            let ticket = kernel.request_deep_check();
+            self.outstanding = Some(Outstanding { ticket, since: now, link: kernel.link_number() });
+            counters.deep_checks_sent += 1;
         }
-        // Guards against a check that fails as the link breaks for a moment: the work still gets done.
-        if self.asked.is_none() && !self.open.is_empty() && kernel.is_linked() {
-            self.asked = Some(Asked { ticket: kernel.request_deep_check(), since: now, link });
-            counters.posts_sent += 1;
+        late
+    }
+
+    /// Gives up a check whose request may have been lost with its link: without this none would ever be asked for again.
+    fn abandon_lost(&mut self, now: Micros, link: u64) {
+        let is_lost = |outstanding: &mut Outstanding| {
+            outstanding.link != link || now.since(outstanding.since) >= CHECK_TIMEOUT
+        };
+        if let Some(lost) = self.outstanding.take_if(is_lost) {
+            self.abandoned.push_back(lost.ticket);
+            if self.abandoned.len() > MAX_ABANDONED {
+                self.abandoned.pop_front();
+            }
         }
-        over
     }
 
-    /// When to call [`Checks::request`] again although nothing comes.
+    /// When to call [`HealthChecks::request`] again although nothing comes.
     pub fn next_wakeup(&self) -> Option<Micros> {
-        let asked = self.asked.map(|asked| asked.since).filter(|_| !self.open.is_empty());
-        self.open.iter().map(|w| w.since).chain(asked).min().map(|since| since.plus(CHECK))
+        let outstanding = self.outstanding.filter(|_| !self.waiting.is_empty());
+        let waiting = self.waiting.iter().map(|check| check.since);
+        let oldest = waiting.chain(outstanding.map(|outstanding| outstanding.since)).min();
+        oldest.map(|since| since.plus(CHECK_TIMEOUT))
     }
 }
--- a/crates/node/src/idempotency_store.rs
+++ b/crates/node/src/idempotency_store.rs
@@ -244,7 +244,7 @@
     ) {
         match self.link.ready(now.mono, readable, writable) {
             Some(Change::Up) => {
-                counters.record_links += 1;
+                counters.idempotency_links += 1;
                 self.asked = Some((now.mono, None));
                 match Session::new(self.login.clone(), self.epoch, self.entries) {
                     Ok(session) => self.session = Some(session),
--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -1,7 +1,7 @@
 //! A connection of ours to a peer that may be absent, late or drop: used for the kernel and the store.
 
 use super::{Stream, System};
-use crate::response::Outbox;
+use crate::write_queue::WriteQueue;
 use gaugestand_admission::time::Micros;
 use std::io::{self, Read};
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     retry_at: Micros,
     retry_in: Micros,
     input: Vec<u8>,
-    output: Outbox,
+    output: WriteQueue,
     /// Bytes queued since the link is up.
     queued: u64,
     /// How much of that was written when it last went down.
@@ -59,7 +59,7 @@
     /// A link that is down.
     pub fn new(to: SocketAddr, key: usize, system: &S) -> Self {
         let (retry_at, retry_in) = (Micros(0), RETRY.0);
-        let (input, output) = (Vec::new(), Outbox::default());
+        let (input, output) = (Vec::new(), WriteQueue::default());
         let (system, state) = (system.clone(), State::Down);
         let (queued, sent, ended) = (0, 0, false);
         Link { to, key, system, state, retry_at, retry_in, input, output, queued, sent, ended }
@@ -110,7 +110,7 @@
         self.state = State::Down;
         self.ended = false;
         self.input.clear();
-        self.output = Outbox::default();
+        self.output = WriteQueue::default();
         if was_up {
             self.retry_in = RETRY.0;
             self.retry_at = now;
--- a/crates/node/src/kernel.rs
+++ b/crates/node/src/kernel.rs
@@ -3,7 +3,7 @@
 use super::counters::Counters;
 use super::io::System;
 use super::io::link::{Change, Link};
-use super::request::{id_of, id_text};
+use super::request::{format_request_id, parse_request_id};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use gaugestand_admission::time::Micros;
@@ -90,7 +90,7 @@
 
 impl Raw<'_> {
     fn id(&self) -> Result<RequestId, BadLine> {
-        self.handle.as_ref().and_then(|h| id_of(h.as_bytes())).ok_or(BadLine)
+        self.handle.as_ref().and_then(|h| parse_request_id(h.as_bytes())).ok_or(BadLine)
     }
 
     fn bytes(&self) -> Result<Vec<u8>, BadLine> {
@@ -248,26 +248,32 @@
         let entry = serde_json::Value::from(class);
         self.command(
             id,
-            format!(r#"{{"event":"SCHED","handle":"{}","entry":{entry},"arg":"{arg}"}}"#, id_text(id)),
+            format!(
+                r#"{{"event":"SCHED","handle":"{}","entry":{entry},"arg":"{arg}"}}"#,
+                format_request_id(id)
+            ),
         );
     }
 
     /// Stops a run.
     pub fn preempt(&mut self, id: RequestId) {
-        self.command(id, format!(r#"{{"event":"PREEMPT","handle":"{}"}}"#, id_text(id)));
+        self.command(id, format!(r#"{{"event":"PREEMPT","handle":"{}"}}"#, format_request_id(id)));
     }
 
     /// Hands a run the reply to its call.
     pub fn complete_call(&mut self, id: RequestId, reply: &[u8]) {
         let arg = STANDARD.encode(reply);
-        self.command(id, format!(r#"{{"event":"IODONE","handle":"{}","arg":"{arg}"}}"#, id_text(id)));
+        self.command(
+            id,
+            format!(r#"{{"event":"IODONE","handle":"{}","arg":"{arg}"}}"#, format_request_id(id)),
+        );
     }
 
     /// Has a run go on without the call that the notice of this number asked for. Said twice it does no more than once:
     /// the kernel tells calls of one run apart by that number.
     pub fn skip_call(&mut self, id: RequestId, notice: u64) {
-        let id_text = id_text(id);
-        self.command(id, format!(r#"{{"event":"NOIO","handle":"{id_text}","cursor":{notice}}}"#));
+        let handle = format_request_id(id);
+        self.command(id, format!(r#"{{"event":"NOIO","handle":"{handle}","cursor":{notice}}}"#));
     }
 
     /// Sends a command now, and keeps it until it is known to be read.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -8,8 +8,6 @@
 pub mod config;
 pub mod connections;
 pub mod counters;
-#[cfg(test)]
-mod cuts;
 pub mod event_loop;
 pub mod fastcgi;
 pub mod handover_link;
@@ -19,8 +17,11 @@
 pub mod kernel;
 pub mod log;
 pub mod membership_reports;
+#[cfg(test)]
+mod parser_tests;
 pub mod peers;
 pub mod request;
 pub mod request_metrics;
 pub mod response;
 pub mod store;
+pub mod write_queue;
--- a/crates/node/src/cuts.rs
+++ b/crates/node/src/parser_tests.rs
@@ -1,65 +1,74 @@
-//! Tests of the parsers of what comes from outside: random cuts of valid messages, and random garbage. Both go
-//! through [`alike`], from fixed seeds.
+//! The parsers of what comes from outside. A network delivers messages in any pieces, and a broken or hostile peer sends
+//! anything: [`check_parser`] feeds each parser random cuts of valid messages and random garbage, from fixed seeds.
 
-use super::request::{Incoming, id_of, id_text};
+use super::request::{IncomingRequest, format_request_id, parse_request_id};
 use super::{fastcgi, kernel, store};
 use gaugestand_admission::RequestId;
 use quickcheck::{Arbitrary, Gen};
 
 /// What a parser makes of the start of a buffer: nothing yet, nothing ever, or something of that many bytes.
-enum Step<T> {
-    Part,
-    Lost,
-    Whole(usize, T),
+enum Parsed<T> {
+    Incomplete,
+    FramingLost,
+    Complete(usize, T),
 }
 
 /// Everything that `parse` makes of `bytes` if they come in these pieces, and whether the framing was lost.
-fn fed<T>(bytes: &[u8], cuts: &[usize], parse: impl Fn(&[u8]) -> Step<T>) -> (Vec<T>, bool) {
-    let (mut buf, mut out) = (Vec::new(), Vec::new());
+fn parse_in_pieces<T>(bytes: &[u8], cuts: &[usize], parse: impl Fn(&[u8]) -> Parsed<T>) -> (Vec<T>, bool) {
+    let mut buffer = Vec::new();
+    let mut items = Vec::new();
     let ends = cuts.iter().copied().chain([bytes.len()]);
     let mut from = 0;
     for to in ends {
-        buf.extend(&bytes[from..to]);
+        buffer.extend(&bytes[from..to]);
         from = to;
         loop {
-            match parse(&buf) {
-                Step::Part => break,
-                Step::Lost => return (out, true),
-                Step::Whole(len, item) => {
-                    assert!(0 < len && len <= buf.len(), "takes {len} of {} bytes", buf.len());
-                    buf.drain(..len);
-                    out.push(item);
+            match parse(&buffer) {
+                Parsed::Incomplete => break,
+                Parsed::FramingLost => return (items, true),
+                Parsed::Complete(len, item) => {
+                    assert!(0 < len && len <= buffer.len(), "takes {len} of {} bytes", buffer.len());
+                    buffer.drain(..len);
+                    items.push(item);
                 }
             }
         }
     }
-    (out, false)
+    (items, false)
 }
 
-/// The one helper: makes messages with `make`, and checks that `parse` reads them alike cut and whole, finds
-/// as many as were made, and bears garbage alone, behind a message and in the middle of one.
-fn alike<T: PartialEq + std::fmt::Debug>(
+/// Makes messages with `make`, and checks that `parse` reads them alike cut and whole, finds as many as were made, and bears
+/// garbage alone, behind a message and in the middle of one.
+fn check_parser<T: PartialEq + std::fmt::Debug>(
     make: impl Fn(&mut Gen) -> Vec<u8>,
-    parse: impl Fn(&[u8]) -> Step<T>,
+    parse: impl Fn(&[u8]) -> Parsed<T>,
     sound: impl Fn(&T) -> bool,
 ) {
     for seed in 0..400 {
         let g = &mut Gen::from_size_and_seed(64, seed);
         let made: Vec<Vec<u8>> = (0..1 + seed % 5).map(|_| make(g)).collect();
         let mut bytes = made.concat();
-        let whole = fed(&bytes, &[], &parse);
+        let whole = parse_in_pieces(&bytes, &[], &parse);
         assert_eq!((whole.0.len(), whole.1), (made.len(), false), "seed {seed}");
         assert!(whole.0.iter().all(&sound), "seed {seed}: {:?}", whole.0);
-        assert_eq!(fed(&bytes, &cuts(g, bytes.len()), &parse), whole, "seed {seed}");
+        assert_eq!(parse_in_pieces(&bytes, &cuts(g, bytes.len()), &parse), whole, "seed {seed}");
         // Each place to cut there is, and a byte at a time.
         for cut in (0..=bytes.len()).filter(|_| seed < 40) {
-            assert_eq!(fed(&bytes, &[cut], &parse), whole, "seed {seed}, cut at {cut}");
+            assert_eq!(parse_in_pieces(&bytes, &[cut], &parse), whole, "seed {seed}, cut at {cut}");
         }
-        assert_eq!(fed(&bytes, &(0..bytes.len()).collect::<Vec<_>>(), &parse), whole, "seed {seed}");
+        assert_eq!(
+            parse_in_pieces(&bytes, &(0..bytes.len()).collect::<Vec<_>>(), &parse),
+            whole,
+            "seed {seed}"
+        );
         let garbage = Vec::<u8>::arbitrary(g);
         for at in [0, bytes.len(), usize::arbitrary(g) % bytes.len()] {
             bytes.splice(at..(at + garbage.len()).min(bytes.len()), garbage.iter().copied());
-            assert_eq!(fed(&bytes, &cuts(g, bytes.len()), &parse), fed(&bytes, &[], &parse), "seed {seed}");
+            assert_eq!(
+                parse_in_pieces(&bytes, &cuts(g, bytes.len()), &parse),
+                parse_in_pieces(&bytes, &[], &parse),
+                "seed {seed}"
+            );
         }
     }
 }
@@ -80,42 +89,49 @@
 }
 
 #[test]
-fn fastcgi_records() {
+fn fastcgi_records_are_read_alike_in_any_pieces() {
     let make = |g: &mut Gen| {
-        let (kind, id, content) = (u8::arbitrary(g), u16::arbitrary(g), Vec::<u8>::arbitrary(g));
+        let record_type = u8::arbitrary(g);
+        let id = u16::arbitrary(g);
+        let content = Vec::<u8>::arbitrary(g);
         let padding = usize::arbitrary(g) % 256;
-        let mut out = fastcgi::header(kind, id, content.len() as u16).to_vec();
+        let mut out = fastcgi::record_header(record_type, id, content.len() as u16).to_vec();
         out[6] = padding as u8;
         out.extend(&content);
         out.resize(out.len() + padding, 7);
         out
     };
-    let parse = |buf: &[u8]| match fastcgi::record(buf) {
-        Ok(None) => Step::Part,
-        Err(_) => Step::Lost,
-        Ok(Some(r)) => Step::Whole(r.len, (r.kind, r.id, r.content.to_vec())),
+    let parse = |buffer: &[u8]| match fastcgi::parse_record(buffer) {
+        Ok(None) => Parsed::Incomplete,
+        Err(_) => Parsed::FramingLost,
+        Ok(Some(record)) => {
+            Parsed::Complete(record.total_bytes, (record.record_type, record.id, record.content.to_vec()))
+        }
     };
-    alike(make, parse, |_| true);
+    check_parser(make, parse, |_| true);
 }
 
 #[test]
-fn fastcgi_pairs() {
+fn fastcgi_pairs_are_read_alike_in_any_pieces() {
     let make = |g: &mut Gen| {
-        let (name, value) = (Vec::<u8>::arbitrary(g), Vec::<u8>::arbitrary(g));
+        let name = Vec::<u8>::arbitrary(g);
+        let value = Vec::<u8>::arbitrary(g);
         let mut out = vec![name.len() as u8];
         out.extend((value.len() as u32 | 1 << 31).to_be_bytes());
         out.extend(name.into_iter().chain(value));
         out
     };
-    let parse = |buf: &[u8]| match fastcgi::pair(buf) {
-        None => Step::Part,
-        Some((name, value, rest)) => Step::Whole(buf.len() - rest.len(), (name.to_vec(), value.to_vec())),
+    let parse = |buffer: &[u8]| match fastcgi::parse_pair(buffer) {
+        None => Parsed::Incomplete,
+        Some(pair) => {
+            Parsed::Complete(buffer.len() - pair.rest.len(), (pair.name.to_vec(), pair.value.to_vec()))
+        }
     };
-    alike(make, parse, |_| true);
+    check_parser(make, parse, |_| true);
 }
 
 #[test]
-fn parameters_cut_over_records() {
+fn parameters_cut_over_records_are_read_alike() {
     for seed in 0..400 {
         let g = &mut Gen::from_size_and_seed(64, seed);
         let mut bytes = Vec::new();
@@ -127,7 +143,8 @@
         let garbage = Vec::<u8>::arbitrary(g);
         bytes.extend(garbage.into_iter().filter(|_| seed % 2 == 0));
         let read = |cuts: &[usize]| {
-            let (mut incoming, mut from) = (Incoming::default(), 0);
+            let mut incoming = IncomingRequest::default();
+            let mut from = 0;
             for to in cuts.iter().copied().chain([bytes.len()]) {
                 // An empty record would end them.
                 if from < to {
@@ -145,7 +162,7 @@
 }
 
 #[test]
-fn kernel_lines() {
+fn kernel_lines_are_read_alike_in_any_pieces() {
     let make = |g: &mut Gen| {
         let event = pick(g, &["REAP", "IOREQ", "INFO", "POSTED", "EINVAL", "DMESG", "BOOTED"]);
         let fate = match event {
@@ -159,16 +176,16 @@
             "figures": [0.5, u8::arbitrary(g)], "novel": String::arbitrary(g)});
         format!("{line}\n").into_bytes()
     };
-    let parse = |buf: &[u8]| match kernel::line(buf) {
-        kernel::Line::Part => Step::Part,
-        kernel::Line::TooLong => Step::Lost,
-        kernel::Line::Whole(len, cursor, notice) => Step::Whole(len, (cursor, notice)),
+    let parse = |buffer: &[u8]| match kernel::line(buffer) {
+        kernel::Line::Part => Parsed::Incomplete,
+        kernel::Line::TooLong => Parsed::FramingLost,
+        kernel::Line::Whole(len, cursor, notice) => Parsed::Complete(len, (cursor, notice)),
     };
-    alike(make, parse, |(cursor, notice)| cursor.is_some() && notice.is_ok());
+    check_parser(make, parse, |(cursor, notice)| cursor.is_some() && notice.is_ok());
 }
 
 #[test]
-fn store_replies() {
+fn store_replies_are_read_alike_in_any_pieces() {
     let make = |g: &mut Gen| {
         let id = id(g);
         match pick(g, &["OK", "BUSY", "ERR", "LATE", "VOID"]) {
@@ -182,30 +199,30 @@
             word => format!("{id} {word}\r\n").into_bytes(),
         }
     };
-    let parse = |buf: &[u8]| match store::reply(buf) {
-        store::Reply::Part => Step::Part,
-        store::Reply::Bad => Step::Lost,
-        store::Reply::Whole(len, id, word) => Step::Whole(len, (id, word)),
+    let parse = |buffer: &[u8]| match store::reply(buffer) {
+        store::Reply::Part => Parsed::Incomplete,
+        store::Reply::Bad => Parsed::FramingLost,
+        store::Reply::Whole(len, id, word) => Parsed::Complete(len, (id, word)),
     };
-    alike(make, parse, |(_, word)| !matches!(word, store::Word::Ok(body) if body.len() > 4096));
+    check_parser(make, parse, |(_, word)| !matches!(word, store::Word::Ok(body) if body.len() > 4096));
 }
 
 #[test]
-fn lengths_beyond_all_bounds_are_told_from_what_is_still_to_come() {
+fn a_length_out_of_bounds_is_not_taken_for_an_incomplete_message() {
     assert_eq!(store::reply(&[b'0'; store::MOST_LINE]), store::Reply::Bad);
     assert_eq!(store::reply(b"9b1f03aa5c7e2d41 OK 99999999999999999999\r\n"), store::Reply::Bad);
     assert_eq!(store::reply(b"9b1f03aa5c7e2d41 OK 65537\r\n"), store::Reply::Bad);
     assert_eq!(store::reply(b"9b1f03aa5c7e2d41 OK 3\r\nabcd"), store::Reply::Bad);
     assert_eq!(kernel::line(&[b'{'; kernel::MOST_LINE]), kernel::Line::TooLong);
-    assert_eq!(fastcgi::pair(&[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1]), None);
+    assert_eq!(fastcgi::parse_pair(&[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1]), None);
 }
 
 #[test]
-fn ids_keep_their_spelling() {
+fn request_ids_keep_their_spelling() {
     for text in ["9b1f03aa5c7e2d41", "9B1F03AA5C7E2D41", "0000000000000000"] {
-        assert_eq!(id_of(text.as_bytes()).map(id_text).as_deref(), Some(text));
+        assert_eq!(parse_request_id(text.as_bytes()).map(format_request_id).as_deref(), Some(text));
     }
     for text in ["9b1f03aa5c7e2d4", "9b1f03aa5c7e2d4g", "9b1f03aa5c7e2d410", ""] {
-        assert_eq!(id_of(text.as_bytes()), None::<RequestId>, "{text}");
+        assert_eq!(parse_request_id(text.as_bytes()), None::<RequestId>, "{text}");
     }
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -509,13 +509,13 @@
             let taken = read.and_then(|(from, body)| self.hear(now, slot, from, body));
             match taken {
                 Ok(()) => {
-                    counters.fellow_messages += 1;
+                    counters.peer_messages += 1;
                     if let Some(channel) = self.channels[slot].as_mut() {
                         channel.link.consume(LENGTH + length);
                     }
                 }
                 Err(unfit) => {
-                    counters.fellow_unfit += 1;
+                    counters.peer_messages_invalid += 1;
                     if let (Unfit::Gone(_, life), Some(channel)) = (&unfit, self.channels[slot].as_mut()) {
                         let told = Body::Gone(self.consensus.last_agreed());
                         channel.link.send(frame(&self.stamp.seal(told, *life)));
@@ -598,7 +598,7 @@
             match outcome {
                 Outcome::Done => {
                     self.pages.pop_front();
-                    counters.fleet_pages += 1;
+                    counters.consensus_log_records += 1;
                     self.step(now, Event::Written(number));
                 }
                 Outcome::NotDone(cause) | Outcome::Unknown(cause) => {
@@ -701,7 +701,7 @@
         let Some(channel) = self.channels[slot].as_mut() else { return };
         let Some((_, life)) = channel.who else { return };
         if channel.link.waiting() > MOST_WAITING {
-            counters.fellow_dropped += 1;
+            counters.peer_messages_dropped += 1;
             return;
         }
         channel.link.send(frame(&self.stamp.seal(body, life)));
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -7,7 +7,7 @@
 use super::counters::Counters;
 use super::io::link::{CONNECT, Change, Link};
 use super::io::{Ready, System};
-use super::request::{id_of, id_text};
+use super::request::{format_request_id, parse_request_id};
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::CallOutcome;
 use gaugestand_admission::time::Micros;
@@ -66,7 +66,7 @@
     };
     let Some(line) = buf[..end].strip_suffix(b"\r") else { return Reply::Bad };
     let mut parts = line.split(|b| *b == b' ');
-    let Some(id) = parts.next().and_then(id_of) else { return Reply::Bad };
+    let Some(id) = parts.next().and_then(parse_request_id) else { return Reply::Bad };
     let (word, len, more) = (parts.next().unwrap_or_default(), parts.next(), parts.next());
     let word = match (word, len, more) {
         (b"OK", Some(len), None) => return body(buf, end + 1, id, len),
@@ -152,8 +152,8 @@
         for (id, call) in self.calls.iter_mut().filter(|(_, c)| c.at.is_none()) {
             // What the wait for the link took is off the time of the call.
             let left = call.began.plus(call.wait).since(now).0 / 1000;
-            let mut line =
-                format!("CALL {} {} {}\r\n", id_text(*id), left.max(1), call.body.len()).into_bytes();
+            let mut line = format!("CALL {} {} {}\r\n", format_request_id(*id), left.max(1), call.body.len())
+                .into_bytes();
             line.extend(&call.body);
             line.extend(b"\r\n");
             call.at = Some(self.link.send(line));
@@ -187,7 +187,7 @@
             };
             match self.calls.remove(&id) {
                 Some(call) => out.push(EndedCall { id, outcome, reply, latency: now.since(call.began) }),
-                None => counters.replies_unasked += 1,
+                None => counters.replies_unexpected += 1,
             }
             self.used = now;
         }
@@ -306,7 +306,7 @@
         let Some(place) = self.lanes.iter().position(has) else { return };
         let Some(lane) = &mut self.lanes[place] else { return };
         if lane.calls.remove(&id).is_some_and(|call| call.at.is_some()) {
-            lane.link.send(format!("DROP {}\r\n", id_text(id)).into_bytes());
+            lane.link.send(format!("DROP {}\r\n", format_request_id(id)).into_bytes());
             counters.calls_dropped += 1;
             self.touched.push(place);
         }
