--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,87 +1,113 @@
-//! The second address: operators' callers, one line and one answer each.
+//! The second address: operators' connections, with one line and one answer each.
 //!
-//! Its descriptors are its own, so that it answers while the clients' table is full. It decides nothing about
-//! requests and knows none of them; the loop says what a call is answered.
+//! Its descriptors are reserved, so that it answers while the table of gateways' connections is full. Callers, their lines and
+//! their time are bounded; at the bound the one that has been quiet for longest makes room. It knows nothing of requests: the
+//! event loop says what a call is answered.
 
 use super::io::{Listener, Ready, Stream, System};
 use super::write_queue::WriteQueue;
 use gaugestand_admission::time::Micros;
-use std::io::{self, Read as _};
+use std::io;
 use std::net::SocketAddr;
 
-/// Most callers at once.
+/// Most callers at once: a few operators and their monitoring.
 pub const MAX_CALLERS: usize = 8;
-/// Descriptors that it needs: those and the listener.
-pub const SOCKETS: usize = MAX_CALLERS + 1;
-/// Longest line, with its end.
-const MOST_LINE: usize = 64;
-/// What a call about the fleet starts with, and its longest line: a version's content goes in one.
-const FLEET: &[u8] = b"FLEET ";
-const MOST_FLEET_LINE: usize = gaugestand_cluster::wire::MOST_CONTENT + MOST_LINE;
+/// Descriptors that it needs: those of the callers and the listener.
+pub const RESERVED_DESCRIPTORS: usize = MAX_CALLERS + 1;
+/// Most bytes of a line, with its end; calls are a word.
+const MAX_LINE_BYTES: usize = 64;
+/// What a call about the cluster starts with.
+const CLUSTER_PREFIX: &str = "FLEET ";
+/// Most bytes of such a line: a version's content goes in one.
+const MAX_CLUSTER_LINE_BYTES: usize = gaugestand_cluster::wire::MOST_CONTENT + MAX_LINE_BYTES;
 /// Most bytes read at a time of such a line.
-const CHUNK: usize = 16 * 1024;
-/// Most pieces of what comes after the line that are read and dropped.
-const MOST_DROPPED: usize = 16;
-/// A caller that has not said a line, or has not read its answer, by then is let go.
-const PATIENCE: Micros = Micros::millis(5_000);
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Bytes that are read and dropped at a time of what comes after the line.
+const DROPPED_CHUNK_BYTES: usize = 512;
+/// Most such chunks, so that a caller that goes on sending does not hold up the loop.
+const MAX_DROPPED_CHUNKS: usize = 16;
+/// A caller that has not sent its line, or not read its answer, by then is closed.
+const CALLER_TIMEOUT: Micros = Micros::millis(5_000);
 
-/// What a caller wants.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process takes clients.
+    /// PING: whether this process admits requests.
     Ping,
-    /// The figures.
+    /// INFO: the request metrics.
     Info,
-    /// Something about the fleet, in the words that follow.
-    Fleet(String),
+    /// FLEET: something about the cluster, in the words that follow.
+    Cluster(String),
 }
 
-/// What a caller has said so far.
+/// Why a caller gets an error.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum CallError {
+    /// The line is longer than any call.
+    #[error("the line is too long")]
+    TooLong,
+    /// The caller has ended without the end of its line.
+    #[error("the line has no end")]
+    NoEnd,
+    /// More came behind the line.
+    #[error("one line a connection")]
+    MoreThanOneLine,
+    /// There is no such call.
+    #[error("no such call; there are PING and INFO")]
+    Unknown,
+    /// The line is not UTF-8.
+    #[error("the line is not text")]
+    NotText,
+}
+
+/// What a caller has sent so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
-    /// No whole line yet.
-    Part,
-    /// This.
-    Whole(Call),
-    /// Nothing that can be answered, and why.
-    Wrong(&'static str),
+pub enum CallerInput {
+    /// No complete line yet.
+    Incomplete,
+    /// A call.
+    Call(Call),
+    /// Something that can never become a call.
+    Invalid(CallError),
 }
 
-/// Reads what a caller has said; `over` if nothing more comes, `fleet` if there is one.
-pub fn said(input: &[u8], over: bool, fleet: bool) -> Said {
-    let most = most_line(input, fleet);
-    let Some(end) = input.iter().position(|b| *b == b'\n') else {
-        return match (input.len() >= most, over) {
-            (true, _) => Said::Wrong("the line is too long"),
-            (false, true) => Said::Wrong("the line has no end"),
-            (false, false) => Said::Part,
+/// Reads what a caller has sent; `ended` if nothing more comes, `in_cluster` if there is a cluster to ask about.
+pub fn parse_call(input: &[u8], ended: bool, in_cluster: bool) -> CallerInput {
+    let max_bytes = max_line_bytes(input, in_cluster);
+    let Some(line_end) = input.iter().position(|byte| *byte == b'\n') else {
+        return match (input.len() >= max_bytes, ended) {
+            (true, _) => CallerInput::Invalid(CallError::TooLong),
+            (false, true) => CallerInput::Invalid(CallError::NoEnd),
+            (false, false) => CallerInput::Incomplete,
         };
     };
-    if end >= most {
-        return Said::Wrong("the line is too long");
+    if line_end >= max_bytes {
+        return CallerInput::Invalid(CallError::TooLong);
     }
-    if input.len() > end + 1 {
-        return Said::Wrong("one line a connection");
+    if input.len() > line_end + 1 {
+        return CallerInput::Invalid(CallError::MoreThanOneLine);
     }
-    match std::str::from_utf8(&input[..end]).map(|line| line.strip_suffix('\r').unwrap_or(line)) {
-        Ok("PING") => Said::Whole(Call::Ping),
-        Ok("INFO") => Said::Whole(Call::Info),
-        Ok(line) if fleet && line.starts_with("FLEET ") => {
-            Said::Whole(Call::Fleet(line["FLEET ".len()..].into()))
-        }
-        Ok(_) => Said::Wrong("no such call; there are PING and INFO"),
-        Err(_) => Said::Wrong("the line is not text"),
+    let Ok(line) = std::str::from_utf8(&input[..line_end]) else {
+        return CallerInput::Invalid(CallError::NotText);
+    };
+    let line = line.strip_suffix('\r').unwrap_or(line);
+    match (line, line.strip_prefix(CLUSTER_PREFIX)) {
+        ("PING", _) => CallerInput::Call(Call::Ping),
+        ("INFO", _) => CallerInput::Call(Call::Info),
+        (_, Some(words)) if in_cluster => CallerInput::Call(Call::Cluster(words.into())),
+        _ => CallerInput::Invalid(CallError::Unknown),
     }
 }
 
 /// How long a line that starts like this may be.
-fn most_line(input: &[u8], fleet: bool) -> usize {
-    if fleet && input.starts_with(FLEET) { MOST_FLEET_LINE } else { MOST_LINE }
+fn max_line_bytes(input: &[u8], in_cluster: bool) -> usize {
+    let is_cluster_call = in_cluster && input.starts_with(CLUSTER_PREFIX.as_bytes());
+    if is_cluster_call { MAX_CLUSTER_LINE_BYTES } else { MAX_LINE_BYTES }
 }
 
 #[derive(Debug)]
 struct Caller<T> {
-    /// Tells it apart from others that had its place before.
+    /// Tells it apart from earlier callers under the same key.
     serial: u64,
     stream: T,
     since: Micros,
@@ -97,30 +123,35 @@
     key: usize,
     first_key: usize,
     listener: Option<S::Listener>,
-    at: Option<SocketAddr>,
+    /// The configured address.
+    configured: Option<SocketAddr>,
     callers: Vec<Option<Caller<S::Stream>>>,
     /// Callers so far.
-    serial: u64,
-    /// There is a fleet to speak of.
-    fleet: bool,
+    last_serial: u64,
+    /// There is a cluster to ask about.
+    in_cluster: bool,
 }
 
-/// Another address, with its listener.
+/// Another address, which already is listened at.
 #[derive(Debug)]
-pub struct Moved<S: System>(Option<SocketAddr>, Option<S::Listener>);
+pub struct PreparedMove<S: System> {
+    configured: Option<SocketAddr>,
+    listener: Option<S::Listener>,
+}
 
 impl<S: System> Admin<S> {
     /// Listens at the address, if there is one; callers are watched under [`MAX_CALLERS`] keys from `first_key` on.
     pub fn listen(
         system: &S,
-        at: Option<SocketAddr>,
+        configured: Option<SocketAddr>,
         key: usize,
         first_key: usize,
-        fleet: bool,
+        in_cluster: bool,
     ) -> io::Result<Self> {
-        let listener = at.map(|at| system.listen(at, key)).transpose()?;
+        let listener = configured.map(|address| system.listen(address, key)).transpose()?;
         let callers = (0..MAX_CALLERS).map(|_| None).collect();
-        Ok(Admin { system: system.clone(), key, first_key, listener, at, callers, serial: 0, fleet })
+        let system = system.clone();
+        Ok(Admin { system, key, first_key, listener, configured, callers, last_serial: 0, in_cluster })
     }
 
     /// The address it listens at.
@@ -128,16 +159,20 @@
         self.listener.as_ref().and_then(|l| l.address())
     }
 
-    /// What [`Admin::move_to`] takes: a listener at another address, or nothing if it is the same. It can fail.
-    pub fn prepare(&self, at: Option<SocketAddr>) -> io::Result<Option<Moved<S>>> {
-        let listener = |at| self.system.listen(at, self.key);
-        Ok(if at == self.at { None } else { Some(Moved(at, at.map(listener).transpose()?)) })
+    /// Listens at another address beside the present one, for [`Admin::move_to`]; nothing if the address is the same. This can fail.
+    pub fn prepare(&self, configured: Option<SocketAddr>) -> io::Result<Option<PreparedMove<S>>> {
+        if configured == self.configured {
+            return Ok(None);
+        }
+        let listener = configured.map(|address| self.system.listen(address, self.key)).transpose()?;
+        Ok(Some(PreparedMove { configured, listener }))
     }
 
-    /// Listens there from now on; callers that are there stay.
-    pub fn move_to(&mut self, moved: Option<Moved<S>>) {
-        if let Some(Moved(at, listener)) = moved {
-            (self.at, self.listener) = (at, listener);
+    /// Listens there from now on; callers that are connected stay. This cannot fail.
+    pub fn move_to(&mut self, prepared: Option<PreparedMove<S>>) {
+        if let Some(prepared) = prepared {
+            self.configured = prepared.configured;
+            self.listener = prepared.listener;
         }
     }
 
@@ -146,155 +181,154 @@
         (self.first_key..self.first_key + MAX_CALLERS).contains(&key)
     }
 
-    /// Takes the callers that wait; one that there is no place for gets that of the one that is quiet for longest.
+    /// Accepts the callers that wait; where there is no slot left, the caller that has been quiet for longest makes room.
     pub fn accept(&mut self, now: Micros) {
         let Some(listener) = &self.listener else { return };
-        // As many as there are places: what else waits comes with the next turn.
+        // As many as there are slots: what else waits comes with the next iteration.
         for _ in 0..MAX_CALLERS {
             let free = self.callers.iter().position(Option::is_none);
-            let quiet = || {
-                let since = |c: &Option<Caller<S::Stream>>| c.as_ref().map(|c| (c.answered, c.since));
-                (0..MAX_CALLERS).min_by_key(|i| self.callers.get(*i).and_then(since))
-            };
-            let Some(place) = free.or_else(quiet) else { return };
-            // The place is free before the newcomer comes: two are never watched under one key.
-            let old = self.callers.get_mut(place).and_then(Option::take);
-            match listener.accept(self.first_key + place) {
+            let Some(slot) = free.or_else(|| self.quietest()) else { return };
+            // The slot is emptied before the newcomer is accepted: two are never watched under one key.
+            let evicted = self.callers.get_mut(slot).and_then(Option::take);
+            match listener.accept(self.first_key + slot) {
                 Ok(stream) => {
-                    let (input, output) = (Vec::new(), WriteQueue::default());
-                    self.serial += 1;
-                    let serial = self.serial;
-                    let caller = Caller { serial, stream, since: now, input, output, answered: false };
-                    self.callers[place] = Some(caller);
+                    self.last_serial += 1;
+                    self.callers[slot] = Some(Caller {
+                        serial: self.last_serial,
+                        stream,
+                        since: now,
+                        input: Vec::new(),
+                        output: WriteQueue::default(),
+                        answered: false,
+                    });
                 }
                 Err(_) => {
-                    self.callers[place] = old;
+                    self.callers[slot] = evicted;
                     return;
                 }
             }
         }
     }
 
-    /// Reads what a caller says; returns its place and what that is once it can be answered.
-    pub fn ready(&mut self, event: Ready) -> Option<(usize, Said)> {
-        let place = event.key.checked_sub(self.first_key)?;
-        let slot = self.callers.get_mut(place)?;
-        let caller = slot.as_mut()?;
-        let mut chunk = [0; CHUNK];
-        // Without a fleet no more is read than the longest line and what shows that it is over.
-        let most = if self.fleet { CHUNK } else { MOST_LINE + 1 };
-        let over = match caller.stream.read(&mut chunk[..most]) {
-            Ok(0) => true,
-            Ok(n) if !caller.answered => {
-                let most =
-                    most_line(if caller.input.is_empty() { &chunk[..n] } else { &caller.input }, self.fleet);
-                caller.input.extend(&chunk[..n.min(most + 1 - caller.input.len().min(most))]);
-                false
-            }
-            Ok(_) => false,
-            Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => false,
-            Err(_) => {
-                *slot = None;
-                return None;
-            }
+    /// The slot of the caller that makes room first: one that has no answer yet, and of those the oldest.
+    fn quietest(&self) -> Option<usize> {
+        let order = |caller: &Option<Caller<S::Stream>>| {
+            caller.as_ref().map(|caller| (caller.answered, caller.since))
+        };
+        (0..MAX_CALLERS).min_by_key(|slot| self.callers.get(*slot).and_then(order))
+    }
+
+    /// Reads what a caller sends; returns its slot and its input once that can be answered.
+    pub fn ready(&mut self, event: Ready) -> Option<(usize, CallerInput)> {
+        let slot = event.key.checked_sub(self.first_key)?;
+        let caller = self.callers.get_mut(slot)?.as_mut()?;
+        let Ok(ended) = caller.read(self.in_cluster) else {
+            self.callers[slot] = None;
+            return None;
         };
         if caller.answered {
-            self.write(place);
+            self.write(slot);
             return None;
         }
-        match said(&caller.input, over, self.fleet) {
-            Said::Part => None,
-            // It has gone without a word.
-            Said::Wrong(_) if over && caller.input.is_empty() => {
-                *slot = None;
+        match parse_call(&caller.input, ended, self.in_cluster) {
+            CallerInput::Incomplete => None,
+            // It has ended without a word.
+            CallerInput::Invalid(_) if ended && caller.input.is_empty() => {
+                self.callers[slot] = None;
                 None
             }
-            whole => Some((place, whole)),
+            input => Some((slot, input)),
         }
     }
 
-    /// The caller that has this place now, for an answer that comes later.
-    pub fn caller(&self, place: usize) -> Option<u64> {
-        self.callers.get(place)?.as_ref().map(|c| c.serial)
+    /// The caller that has this slot now, for an answer that comes later.
+    pub fn caller(&self, slot: usize) -> Option<u64> {
+        self.callers.get(slot)?.as_ref().map(|caller| caller.serial)
     }
 
-    /// Answers the caller of this number, if it is still there.
-    pub fn answer_later(&mut self, caller: u64, text: String) {
-        let at = |c: &Option<Caller<S::Stream>>| c.as_ref().is_some_and(|c| c.serial == caller);
-        if let Some(place) = self.callers.iter().position(at) {
-            self.answer(place, text);
+    /// Answers the caller with this number, if it is still connected.
+    pub fn answer_later(&mut self, serial: u64, text: String) {
+        let is_caller = |caller: &Option<Caller<S::Stream>>| {
+            caller.as_ref().is_some_and(|caller| caller.serial == serial)
+        };
+        if let Some(slot) = self.callers.iter().position(is_caller) {
+            self.answer(slot, text);
         }
     }
 
     /// Answers a caller; its connection ends once the answer is written.
-    pub fn answer(&mut self, place: usize, text: String) {
-        if let Some(caller) = self.callers.get_mut(place).and_then(Option::as_mut) {
+    pub fn answer(&mut self, slot: usize, text: String) {
+        if let Some(caller) = self.callers.get_mut(slot).and_then(Option::as_mut) {
             caller.answered = true;
             caller.output.push(text);
-            self.write(place);
+            self.write(slot);
         }
     }
 
-    fn write(&mut self, place: usize) {
-        let Some(slot) = self.callers.get_mut(place) else { return };
-        let Some(caller) = slot else { return };
+    fn write(&mut self, slot: usize) {
+        let Some(caller) = self.callers.get_mut(slot).and_then(Option::as_mut) else { return };
         let written = caller.output.write(&mut caller.stream);
-        // Guards against an answer that is lost as the end of a connection with unread bytes is a reset.
-        let mut rest = [0; 512];
-        (0..MOST_DROPPED).any(|_| !matches!(caller.stream.read(&mut rest), Ok(n) if n > 0));
+        caller.drop_input();
         let watched = written.and_then(|_| caller.stream.watch(false, true));
         if caller.output.is_empty() || watched.is_err() {
-            *slot = None;
+            self.callers[slot] = None;
         }
     }
 
-    /// Lets go of callers that are quiet for too long.
+    /// Closes callers that have been connected for too long.
     pub fn on_timer(&mut self, now: Micros) {
         for slot in &mut self.callers {
-            *slot = slot.take().filter(|c| now.since(c.since) < PATIENCE);
+            *slot = slot.take().filter(|caller| now.since(caller.since) < CALLER_TIMEOUT);
         }
     }
 
-    /// The callers that are there have come now: the clock has been set.
+    /// Counts the time of all callers from now: the clock has been set.
     pub fn restart(&mut self, now: Micros) {
-        self.callers.iter_mut().flatten().for_each(|c| c.since = now);
+        self.callers.iter_mut().flatten().for_each(|caller| caller.since = now);
     }
 
     /// When to call [`Admin::on_timer`] again.
     pub fn next_wakeup(&self) -> Option<Micros> {
-        self.callers.iter().flatten().map(|c| c.since.plus(PATIENCE)).min()
+        self.callers.iter().flatten().map(|caller| caller.since.plus(CALLER_TIMEOUT)).min()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_line_is_a_call_or_is_wrong_wherever_it_is_cut() {
-        let long = [b'P'; MOST_LINE];
-        let cases: [(&[u8], bool, Said); 10] = [
-            (b"PING\n", false, Said::Whole(Call::Ping)),
-            (b"INFO\r\n", true, Said::Whole(Call::Info)),
-            (b"", false, Said::Part),
-            (b"PIN", false, Said::Part),
-            (b"PIN", true, Said::Wrong("the line has no end")),
-            (b"ping\n", false, Said::Wrong("no such call; there are PING and INFO")),
-            (b"\n", false, Said::Wrong("no such call; there are PING and INFO")),
-            (b"\xff\xfe\n", false, Said::Wrong("the line is not text")),
-            (b"PING\nPING\n", false, Said::Wrong("one line a connection")),
-            (&long, false, Said::Wrong("the line is too long")),
-        ];
-        for (input, over, expected) in cases {
-            assert_eq!(said(input, over, false), expected, "{input:?}");
+impl<T: Stream> Caller<T> {
+    /// Reads what is there; returns whether the caller has ended. What comes after its answer is dropped.
+    fn read(&mut self, in_cluster: bool) -> io::Result<bool> {
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        // Without a cluster no more is read than the longest line, and one byte that shows that it is over.
+        let max_read = if in_cluster { READ_CHUNK_BYTES } else { MAX_LINE_BYTES + 1 };
+        match self.stream.read(&mut chunk[..max_read]) {
+            Ok(0) => Ok(true),
+            Ok(length) => {
+                if !self.answered {
+                    self.keep(&chunk[..length], in_cluster);
+                }
+                Ok(false)
+            }
+            Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {
+                Ok(false)
+            }
+            Err(error) => Err(error),
         }
-        let propose = [b"FLEET PROPOSE - - ".to_vec(), vec![b'x'; 4096], b"\n".to_vec()].concat();
-        assert_eq!(said(&propose, false, false), Said::Wrong("the line is too long"));
-        assert_eq!(said(&propose[..99], false, true), Said::Part);
-        assert!(
-            matches!(said(&propose, false, true), Said::Whole(Call::Fleet(words)) if words.len() == 4108)
-        );
-        let endless = vec![b'F'; 99];
-        assert_eq!(said(&endless, false, true), Said::Wrong("the line is too long"));
+    }
+
+    /// Keeps input up to one byte more than a line may have.
+    fn keep(&mut self, bytes: &[u8], in_cluster: bool) {
+        let line_start = if self.input.is_empty() { bytes } else { &self.input };
+        let max_bytes = max_line_bytes(line_start, in_cluster);
+        let room = max_bytes + 1 - self.input.len().min(max_bytes);
+        self.input.extend(&bytes[..bytes.len().min(room)]);
+    }
+
+    /// Reads and drops what is there. Guards against an answer that is lost: the close of a connection with unread bytes is a
+    /// reset, which discards what is still on its way.
+    fn drop_input(&mut self) {
+        let mut chunk = [0; DROPPED_CHUNK_BYTES];
+        (0..MAX_DROPPED_CHUNKS).any(|_| !matches!(self.stream.read(&mut chunk), Ok(length) if length > 0));
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/node/src/event_loop/admin_calls.rs
+++ b/crates/node/src/event_loop/admin_calls.rs
@@ -1,10 +1,29 @@
 //! Answers operators' calls at the second address.
 
 use super::Node;
-use crate::admin::{Call, Said};
+use crate::admin::{Call, CallerInput};
 use crate::io::{Ready, System};
 use gaugestand_admission::idempotency::IdempotencyTable as _;
 
+/// Why requests that arrive now are not admitted by this process, in the operators' words.
+#[derive(Clone, Copy, Debug, thiserror::Error)]
+enum NotReady {
+    #[error("another process has taken over")]
+    Retired,
+    #[error("another process is the node, and its keys are not in place")]
+    Standby,
+    #[error("it leaves service")]
+    Draining,
+    #[error("it does not listen")]
+    NotListening,
+    #[error("its kernel is not up")]
+    KernelDown,
+    #[error("keys are not in place")]
+    KeysMissing,
+    #[error("no majority has told it which version holds")]
+    VersionUnknown,
+}
+
 impl<S: System> Node<S> {
     pub(super) fn on_admin_caller_ready(&mut self, event: Ready) {
         if let Some((caller, input)) = self.admin.ready(event)
@@ -15,16 +34,16 @@
     }
 
     /// The answer to a caller, unless the cluster has to be asked first: then it comes later.
-    fn answer_admin_call(&mut self, caller: usize, input: Said) -> Option<String> {
+    fn answer_admin_call(&mut self, caller: usize, input: CallerInput) -> Option<String> {
         Some(match input {
-            Said::Whole(Call::Fleet(words)) => return self.tell_of_fleet(caller, &words),
-            Said::Whole(Call::Ping) => match self.check_readiness() {
+            CallerInput::Call(Call::Cluster(words)) => return self.tell_of_fleet(caller, &words),
+            CallerInput::Call(Call::Ping) => match self.check_readiness() {
                 Ok(()) => "done\n".into(),
-                Err(why) => format!("error {why}\n"),
+                Err(error) => format!("error {error}\n"),
             },
-            Said::Whole(Call::Info) => self.render_info(),
-            Said::Wrong(why) => format!("error {why}\n"),
-            Said::Part => "error no line\n".into(),
+            CallerInput::Call(Call::Info) => self.render_info(),
+            CallerInput::Invalid(error) => format!("error {error}\n"),
+            CallerInput::Incomplete => "error no line\n".into(),
         })
     }
 
@@ -37,23 +56,23 @@
         self.request_metrics.render(self.open_attempts(), &others) + "end\n"
     }
 
-    /// Whether requests that arrive now are admitted by this process, or why not, in the operators' words.
-    fn check_readiness(&mut self) -> Result<(), &'static str> {
+    /// Whether requests that arrive now are admitted by this process, or the first reason why not.
+    fn check_readiness(&mut self) -> Result<(), NotReady> {
         if self.handover.is_ready() {
             return Ok(());
         }
         let backend_up = self.engine.is_up();
         let conditions = [
-            (!self.handover.machine.is_retired(), "another process has taken over"),
-            (!self.handover.machine.is_heir(), "another process is the node, and its keys are not in place"),
-            (self.stop_at.is_none(), "it leaves service"),
-            (self.connections.address().is_some(), "it does not listen"),
-            (backend_up, "its kernel is not up"),
-            (self.engine.idempotency().is_ready(), "keys are not in place"),
-            (self.knows_the_version(), "no majority has told it which version holds"),
+            (!self.handover.machine.is_retired(), NotReady::Retired),
+            (!self.handover.machine.is_heir(), NotReady::Standby),
+            (self.stop_at.is_none(), NotReady::Draining),
+            (self.connections.address().is_some(), NotReady::NotListening),
+            (backend_up, NotReady::KernelDown),
+            (self.engine.idempotency().is_ready(), NotReady::KeysMissing),
+            (self.knows_the_version(), NotReady::VersionUnknown),
         ];
         match conditions.into_iter().find(|(met, _)| !met) {
-            Some((_, why)) => Err(why),
+            Some((_, reason)) => Err(reason),
             None => Ok(()),
         }
     }
--- a/crates/node/src/event_loop/handover.rs
+++ b/crates/node/src/event_loop/handover.rs
@@ -289,7 +289,7 @@
         }
         // Both processes' descriptors count.
         self.connections.reserve_descriptors(
-            SECOND + admin::SOCKETS + store::max_connections_within(self.config.sockets),
+            SECOND + admin::RESERVED_DESCRIPTORS + store::max_connections_within(self.config.sockets),
         );
     }
 
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -355,7 +355,7 @@
 /// Descriptors that operators, the cluster and the idempotency store may take of the node's.
 fn reserved_descriptors(config: &Config, has_durable_store: bool) -> usize {
     let idempotency = if has_durable_store { idempotency_store::SOCKETS } else { 0 };
-    let admin = if config.admin.is_some() { admin::SOCKETS } else { 0 };
+    let admin = if config.admin.is_some() { admin::RESERVED_DESCRIPTORS } else { 0 };
     let cluster = if config.operators.fleet.is_some() { peers::SOCKETS } else { 0 };
     idempotency + admin + cluster
 }
