--- a/crates/node/src/event_loop/kernel_events.rs
+++ b/crates/node/src/event_loop/kernel_events.rs
@@ -5,7 +5,7 @@
 use super::Node;
 use crate::io::link::Change;
 use crate::io::{Ready, System};
-use crate::kernel::{Command, Fate, Kernel, Notice};
+use crate::kernel::{CommandKind, Kernel, Notice};
 use crate::store::EndedCall;
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::{EngineEvent, RunOutcome};
@@ -20,11 +20,11 @@
         while let Some(notice) = self.kernel.next(&mut self.counters) {
             match notice {
                 Notice::Booted { cold, age } => self.on_kernel_started(cold, age),
-                Notice::Info(_, figures) => {
-                    let gauges = self.kernel.gauges(&figures);
+                Notice::Gauges(_, values) => {
+                    let gauges = self.kernel.gauges(&values);
                     self.notify_engine(EngineEvent::GaugesRead(gauges));
                 }
-                Notice::Posted(ticket, passed) => {
+                Notice::DeepCheckEnded(ticket, passed) => {
                     let requests = self.health_checks.on_result(now, ticket, passed);
                     self.end_deep_checks(requests, passed);
                 }
@@ -48,7 +48,7 @@
         inherited.kernel.ready(now, event.readable, event.writable, &mut self.counters);
         while let Some(inherited) = self.handover.inherited.get_mut(index) {
             let Some(notice) = inherited.kernel.next(&mut self.counters) else { return };
-            if let Notice::Reap(id, _) | Notice::Invalid(Command::Sched, Some(id)) = &notice {
+            if let Notice::RunEnded(id, _) | Notice::CommandRejected(CommandKind::Run, Some(id)) = &notice {
                 inherited.runs.remove(id);
             }
             self.on_run_notice(notice);
@@ -57,18 +57,10 @@
 
     fn on_run_notice(&mut self, notice: Notice) {
         match notice {
-            Notice::Reap(id, fate) => {
-                let outcome = match fate {
-                    Fate::Good(result) => RunOutcome::Succeeded(result),
-                    Fate::Bad => RunOutcome::Failed,
-                    Fate::Cut => RunOutcome::Cancelled,
-                    Fate::Gone => RunOutcome::NeverRan,
-                };
-                self.notify_engine(EngineEvent::RunEnded(id, outcome));
-            }
-            Notice::IoReq(id, cursor, body) => self.on_call_requested(id, cursor, body),
-            Notice::Invalid(Command::Sched, Some(id)) => self.on_run_rejected(id),
-            Notice::Invalid(Command::NoIo, Some(id)) => {
+            Notice::RunEnded(id, outcome) => self.notify_engine(EngineEvent::RunEnded(id, outcome)),
+            Notice::CallRequested { id, cursor, body } => self.on_call_requested(id, cursor, body),
+            Notice::CommandRejected(CommandKind::Run, Some(id)) => self.on_run_rejected(id),
+            Notice::CommandRejected(CommandKind::SkipCall, Some(id)) => {
                 self.notify_engine(EngineEvent::CallNotSkippable(id));
             }
             _ => {}
--- a/crates/node/src/parser_tests.rs
+++ b/crates/node/src/parser_tests.rs
@@ -176,10 +176,10 @@
             "figures": [0.5, u8::arbitrary(g)], "novel": String::arbitrary(g)});
         format!("{line}\n").into_bytes()
     };
-    let parse = |buffer: &[u8]| match kernel::line(buffer) {
-        kernel::Line::Part => Parsed::Incomplete,
+    let parse = |buffer: &[u8]| match kernel::parse_line(buffer) {
+        kernel::Line::Incomplete => Parsed::Incomplete,
         kernel::Line::TooLong => Parsed::FramingLost,
-        kernel::Line::Whole(len, cursor, notice) => Parsed::Complete(len, (cursor, notice)),
+        kernel::Line::Complete(len, cursor, notice) => Parsed::Complete(len, (cursor, notice)),
     };
     check_parser(make, parse, |(cursor, notice)| cursor.is_some() && notice.is_ok());
 }
@@ -213,7 +213,7 @@
     assert_eq!(store::reply(b"9b1f03aa5c7e2d41 OK 99999999999999999999\r\n"), store::Reply::Bad);
     assert_eq!(store::reply(b"9b1f03aa5c7e2d41 OK 65537\r\n"), store::Reply::Bad);
     assert_eq!(store::reply(b"9b1f03aa5c7e2d41 OK 3\r\nabcd"), store::Reply::Bad);
-    assert_eq!(kernel::line(&[b'{'; kernel::MOST_LINE]), kernel::Line::TooLong);
+    assert_eq!(kernel::parse_line(&[b'{'; kernel::MAX_LINE_BYTES]), kernel::Line::TooLong);
     assert_eq!(fastcgi::parse_pair(&[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1]), None);
 }
 
