--- a/crates/node/src/parser_tests.rs
+++ b/crates/node/src/parser_tests.rs
@@ -199,20 +199,24 @@
             word => format!("{id} {word}\r\n").into_bytes(),
         }
     };
-    let parse = |buffer: &[u8]| match store::reply(buffer) {
-        store::Reply::Part => Parsed::Incomplete,
-        store::Reply::Bad => Parsed::FramingLost,
-        store::Reply::Whole(len, id, word) => Parsed::Complete(len, (id, word)),
+    let parse = |buffer: &[u8]| match store::parse_reply(buffer) {
+        store::Reply::Incomplete => Parsed::Incomplete,
+        store::Reply::Invalid => Parsed::FramingLost,
+        store::Reply::Complete(len, id, status) => Parsed::Complete(len, (id, status)),
     };
-    check_parser(make, parse, |(_, word)| !matches!(word, store::Word::Ok(body) if body.len() > 4096));
+    check_parser(
+        make,
+        parse,
+        |(_, status)| !matches!(status, store::ReplyStatus::Succeeded(body) if body.len() > 4096),
+    );
 }
 
 #[test]
 fn a_length_out_of_bounds_is_not_taken_for_an_incomplete_message() {
-    assert_eq!(store::reply(&[b'0'; store::MOST_LINE]), store::Reply::Bad);
-    assert_eq!(store::reply(b"9b1f03aa5c7e2d41 OK 99999999999999999999\r\n"), store::Reply::Bad);
-    assert_eq!(store::reply(b"9b1f03aa5c7e2d41 OK 65537\r\n"), store::Reply::Bad);
-    assert_eq!(store::reply(b"9b1f03aa5c7e2d41 OK 3\r\nabcd"), store::Reply::Bad);
+    assert_eq!(store::parse_reply(&[b'0'; store::MAX_LINE_BYTES]), store::Reply::Invalid);
+    assert_eq!(store::parse_reply(b"9b1f03aa5c7e2d41 OK 99999999999999999999\r\n"), store::Reply::Invalid);
+    assert_eq!(store::parse_reply(b"9b1f03aa5c7e2d41 OK 65537\r\n"), store::Reply::Invalid);
+    assert_eq!(store::parse_reply(b"9b1f03aa5c7e2d41 OK 3\r\nabcd"), store::Reply::Invalid);
     assert_eq!(kernel::parse_line(&[b'{'; kernel::MAX_LINE_BYTES]), kernel::Line::TooLong);
     assert_eq!(fastcgi::parse_pair(&[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1]), None);
 }
