--- a/crates/node/src/event_loop/cluster.rs
+++ b/crates/node/src/event_loop/cluster.rs
@@ -138,7 +138,7 @@
         }
         let new = config::with_settings(&self.config, &self.local_settings, &content.settings);
         let new = new.map_err(|e| e.to_string())?;
-        config::follows(&self.config, &new).map_err(|e| e.to_string())?;
+        config::validate_change(&self.config, &new).map_err(|e| e.to_string())?;
         let load =
             self.class_load.load(self.clock.now(), &counts(&self.request_metrics, &self.config.classes));
         let s = &self.config.settings;
--- a/crates/node/src/event_loop/drain.rs
+++ b/crates/node/src/event_loop/drain.rs
@@ -36,8 +36,8 @@
             return;
         }
         // The notice may have come a while ago, if another process was to take over and did not.
-        let stop_at = *self.stop_at.get_or_insert(self.clock.now().plus(self.config.stop));
-        let notice = Micros(stop_at.0.saturating_sub(self.config.stop.0));
+        let stop_at = *self.stop_at.get_or_insert(self.clock.now().plus(self.config.stop_timeout));
+        let notice = Micros(stop_at.0.saturating_sub(self.config.stop_timeout.0));
         let answered_by = Micros(stop_at.0.saturating_sub(LISTENER_CLOSE_MARGIN.0));
         if let Some(peers) = &mut self.peers {
             peers.leave(self.clock.now());
--- a/crates/node/src/event_loop/handover.rs
+++ b/crates/node/src/event_loop/handover.rs
@@ -289,7 +289,7 @@
         }
         // Both processes' descriptors count.
         self.connections.reserve_descriptors(
-            SECOND + admin::RESERVED_DESCRIPTORS + store::max_connections_within(self.config.sockets),
+            SECOND + admin::RESERVED_DESCRIPTORS + store::max_connections_within(self.config.max_descriptors),
         );
     }
 
@@ -390,7 +390,7 @@
     fn part(&mut self) {
         let now = self.clock.now();
         tracing::info!(open = self.open_attempts(), "handing over to the new process");
-        self.stop_at = Some(now.plus(self.config.stop));
+        self.stop_at = Some(now.plus(self.config.stop_timeout));
         self.connections.pause(true);
         let running = self.engine.running();
         let inherited: BTreeSet<RequestId> =
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -138,19 +138,25 @@
         let store_settings = config.operators.record.as_ref();
         let (idempotency_store, mut key_table) =
             Keeper::start(store_settings, owner, IDEMPOTENCY_STORE, &system, clock.moment())
-                .map_err(NodeError::IdempotencyStore)?;
-        key_table.set_most(config.most_kept);
+                .map_err(|error| NodeError::IdempotencyStore(error.to_string()))?;
+        key_table.set_most(config.max_volatile_bytes);
         let peer_keys = (PEER_LISTENER, CONSENSUS_LOG, FIRST_PEER);
         let join =
             |cluster| Peers::start(&system, cluster, &config.name, config.seed, peer_keys).map(Box::new);
-        let peers = config.operators.fleet.as_ref().map(join).transpose().map_err(NodeError::Cluster)?;
+        let peers = config
+            .operators
+            .fleet
+            .as_ref()
+            .map(join)
+            .transpose()
+            .map_err(|error| NodeError::Cluster(error.to_string()))?;
         let admin = Admin::listen(&system, config.admin, ADMIN_LISTENER, FIRST_ADMIN_CALLER, peers.is_some())
             .map_err(io_error("listening at the second address"))?;
         let mut request_metrics = RequestMetrics::default();
         request_metrics.register_classes(&config.classes);
-        let store_connections = store::max_connections_within(config.sockets);
+        let store_connections = store::max_connections_within(config.max_descriptors);
         let reserved = store_connections + reserved_descriptors(&config, key_table.is_durable());
-        let mut connections = ConnectionTable::new(FIRST_CONNECTION, config.sockets - reserved);
+        let mut connections = ConnectionTable::new(FIRST_CONNECTION, config.max_descriptors - reserved);
         let (handover, listener) = Kindred::find(&system, &config)?;
         match listener {
             Some(listener) => connections.listen(listener),
@@ -163,9 +169,10 @@
             clock,
             idempotency_store,
             logs,
-            kernel: Kernel::new(config.kernel, KERNEL, &system, &config.gauges),
+            kernel: Kernel::new(config.kernel, KERNEL, &system, &config.gauge_names),
             store: Store::new(config.store, FIRST_STORE_CONNECTION, store_connections, &system),
-            membership: Members::new(&system, config.members, &config.name).map_err(io_error("members"))?,
+            membership: Members::new(&system, config.membership, &config.name)
+                .map_err(io_error("members"))?,
             counters: Counters::default(),
             admin,
             request_metrics,
--- a/crates/node/src/event_loop/reload.rs
+++ b/crates/node/src/event_loop/reload.rs
@@ -46,9 +46,10 @@
 
     /// The steps that can fail. They come first, and the last of them is the first to take effect.
     fn prepare_reload(&mut self) -> Result<Config, ReloadError> {
-        let config = self.read_configuration().map_err(ReloadError::Configuration)?;
+        let config =
+            self.read_configuration().map_err(|error| ReloadError::Configuration(error.to_string()))?;
         let admin = self.admin.prepare(config.admin).map_err(ReloadError::AdminAddress)?;
-        self.membership.move_to(config.members).map_err(ReloadError::Membership)?;
+        self.membership.move_to(config.membership).map_err(ReloadError::Membership)?;
         self.admin.move_to(admin);
         Ok(config)
     }
@@ -75,7 +76,7 @@
         let plan = self.class_slots.plan(self.engine.classes(), names, &settings.classes, &used);
         self.engine.update_settings(settings.clone(), &plan);
         self.request_metrics.register_classes(names);
-        self.kernel.set_gauges(&self.config.gauges);
+        self.kernel.set_gauges(&self.config.gauge_names);
         self.class_slots = plan.slots;
         self.keyed_classes = self.engine.keyed();
     }
@@ -83,7 +84,7 @@
     /// Those of the operators' own settings that can change while the node serves. None of this can fail: a password file
     /// that cannot be read leaves the password as it was.
     fn apply_operator_settings(&mut self, config: &Config) {
-        self.engine.idempotency().set_most(config.most_kept);
+        self.engine.idempotency().set_most(config.max_volatile_bytes);
         let Some(stored) = &config.operators.record else { return };
         if let Backend::Postgres { password_file, .. } = &stored.backend
             && let Ok(password) = idempotency_store::password(password_file)
--- a/crates/node/src/event_loop/requests.rs
+++ b/crates/node/src/event_loop/requests.rs
@@ -158,7 +158,7 @@
             is_retry: params.is_retry,
             resource_key: params.resource_key,
         };
-        let lacks_timeout = self.config.tells_patience && params.caller_timeout.is_none();
+        let lacks_timeout = self.config.gateways_send_timeout && params.caller_timeout.is_none();
         let mut commands = Vec::new();
         if let Err(error) = self.engine.admit(self.clock.moment(), arrival, &mut commands) {
             self.request_metrics.record_reply(self.class_slots.name(params.class), ReplyOutcome::Error);
--- a/src/main.rs
+++ b/src/main.rs
@@ -46,11 +46,9 @@
 }
 
 impl From<ConfigError> for Failure {
-    fn from(e: ConfigError) -> Self {
-        match e {
-            ConfigError::Told(_) => Failure::Start(e.to_string()),
-            ConfigError::Script(_) => Failure::Script(e.to_string()),
-        }
+    fn from(error: ConfigError) -> Self {
+        let problem = error.to_string();
+        if error.is_in_script() { Failure::Script(problem) } else { Failure::Start(problem) }
     }
 }
 
@@ -183,7 +181,9 @@
 fn check(settings: Option<PathBuf>, json: bool) -> Result<(), Failure> {
     let config = node::config::load(settings.as_deref())?;
     let operators = serde_json::to_value(&config.operators).map_err(|e| Failure::Start(e.to_string()))?;
-    let (name, classes, sockets) = (&config.name, config.classes.len(), config.sockets);
+    let name = &config.name;
+    let classes = config.classes.len();
+    let sockets = config.max_descriptors;
     if json {
         let all = serde_json::json!({"name": name, "classes": config.classes, "sockets": sockets,
             "settings": operators});
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -2,7 +2,7 @@
 
 mod peers;
 
-use gaugestand_node::config::{follows, parse};
+use gaugestand_node::config::{parse, validate_change};
 use peers::*;
 use serde_json::{Value, json};
 use std::io::Write;
@@ -103,7 +103,7 @@
 fn turned_down(old: &Value, text: &str) -> Option<String> {
     let old = parse(&old.to_string(), None, None, None).expect("sound");
     let new = parse(text, None, None, None);
-    new.and_then(|new| follows(&old, &new)).err().map(|e| e.to_string())
+    new.and_then(|new| validate_change(&old, &new)).err().map(|e| e.to_string())
 }
 
 // Guards against half a file, or an absurd one, that takes effect.
