--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -31,7 +31,7 @@
 use super::io::{Ready, System};
 use super::kernel::Kernel;
 use super::log::Logs;
-use super::membership_reports::Members;
+use super::membership_reports::MembershipReports;
 use super::peers::{self, Peers};
 use super::request::RequestError;
 use super::request_metrics::RequestMetrics;
@@ -83,7 +83,7 @@
     read_buffer: Vec<u8>,
     kernel: Kernel<S>,
     store: Store<S>,
-    membership: Members<S>,
+    membership: MembershipReports<S>,
     engine: Engine<KeyTable>,
     idempotency_store: Keeper<S>,
     logs: Logs,
@@ -171,7 +171,7 @@
             logs,
             kernel: Kernel::new(config.kernel, KERNEL, &system, &config.gauge_names),
             store: Store::new(config.store, FIRST_STORE_CONNECTION, store_connections, &system),
-            membership: Members::new(&system, config.membership, &config.name)
+            membership: MembershipReports::new(&system, config.membership, &config.name)
                 .map_err(io_error("members"))?,
             counters: Counters::default(),
             admin,
--- a/crates/node/src/health_checks.rs
+++ b/crates/node/src/health_checks.rs
@@ -2,7 +2,7 @@
 //!
 //! The work of one check costs the cores as much as a request does, and each gateway asks on its own: with many of them the
 //! checks alone would fill the cores. So one check is out at a time, everyone who asks meanwhile waits for it, and its result
-//! holds for [`RESULT_LIFETIME`]. A check that the kernel does not answer within [`CHECK_TIMEOUT`] has failed.
+//! holds for [`RESULT_LIFETIME`]. A check that the kernel does not answer within `CHECK_TIMEOUT` has failed.
 
 use super::connections::RequestRef;
 use super::counters::Counters;
--- a/crates/node/src/io/clock.rs
+++ b/crates/node/src/io/clock.rs
@@ -1,14 +1,15 @@
-//! Monotonic and Unix time, read together once a turn.
+//! Monotonic and Unix time, read together once an iteration of the loop.
+//!
+//! All that happens in one iteration happens at one time. The monotonic clock never goes back; Unix time may, when it is set.
 
 use super::System;
-use gaugestand_admission::time::Micros;
-use gaugestand_admission::time::Moment;
+use gaugestand_admission::time::{Micros, Moment};
 
-/// Where the monotonic clock starts: later than any age that a request may have, so that the time at which it
-/// reached the machine is never before the origin.
-pub const START: Micros = Micros::millis(3_600_000);
+/// What the monotonic clock shows at its start: more than any age that a request may have, so that the time at which it
+/// reached the machine is never before zero.
+pub const ORIGIN: Micros = Micros::millis(3_600_000);
 
-/// The time of this turn.
+/// The time of this iteration.
 #[derive(Debug)]
 pub struct Clock {
     now: Moment,
@@ -25,19 +26,19 @@
         self.now = system.moment();
     }
 
-    /// Monotonic time of this turn.
+    /// Monotonic time of this iteration.
     pub fn now(&self) -> Micros {
         self.now.mono
     }
 
-    /// The time of this turn on both clocks.
+    /// The time of this iteration on both clocks.
     pub fn moment(&self) -> Moment {
         self.now
     }
 
     /// How long ago this moment of Unix time was; zero if it is still to come.
     pub fn age(&self, unix: Micros) -> Micros {
-        // An age beyond the origin says nothing more than one at it: both are long past every due time.
-        Micros(self.now.wall.since(unix).0.min(START.0))
+        // A greater age says nothing more: both are long past every deadline.
+        self.now.wall.since(unix).min(ORIGIN)
     }
 }
--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -1,4 +1,9 @@
-//! A connection of ours to a peer that may be absent, late or drop: used for the kernel and the store.
+//! A connection that this node makes to a peer which may be absent, late or drop: the kernel, the store, a database, other
+//! nodes.
+//!
+//! It connects again after a failure, with exponential backoff, and parts a peer that could not be reached, to which nothing was
+//! sent, from a connection that broke, which proves nothing of what was sent. It knows no protocol and keeps nothing over a
+//! reconnect: what has to be sent again is its owner's to know. Both buffers are bounded.
 
 use super::{Stream, System};
 use crate::write_queue::WriteQueue;
@@ -6,26 +11,29 @@
 use std::io::{self, Read};
 use std::net::SocketAddr;
 
-/// Time from a failure to the next try to connect: first, and at most.
-const RETRY: (Micros, Micros) = (Micros::millis(20), Micros::millis(500));
+/// Time from a failure to the next attempt to connect, which doubles with each: a peer that restarts is back within tens of
+/// milliseconds.
+const MIN_RETRY_DELAY: Micros = Micros::millis(20);
+/// Longest such time: a peer that was away for long is found within this.
+const MAX_RETRY_DELAY: Micros = Micros::millis(500);
 /// A connection that is not made by then has failed.
-pub const CONNECT: Micros = Micros::millis(2000);
-/// Most bytes read in one go.
-const CHUNK: usize = 16 * 1024;
-/// Most bytes that may wait to be taken before more are read.
-const MOST_IN: usize = 1 << 20;
-/// Most bytes that may wait to be written.
-const MOST_OUT: usize = 4 << 20;
+pub const CONNECT_TIMEOUT: Micros = Micros::millis(2000);
+/// Most bytes read by one system call.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Bytes of input that end the reading of one iteration, so that a peer that sends without end does not hold up the loop.
+const MAX_INPUT_BYTES: usize = 1 << 20;
+/// Most bytes that may wait to be written. Beyond it the link breaks, as its peer does not read.
+const MAX_UNWRITTEN_BYTES: usize = 4 << 20;
 
 #[derive(Debug)]
 enum State<T> {
     Down,
-    /// Since when.
+    /// Being made, since then.
     Connecting(T, Micros),
     Up(T),
 }
 
-/// What became of a link.
+/// How a link has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// It is up.
@@ -39,30 +47,40 @@
 /// One link, with its buffers.
 #[derive(Debug)]
 pub struct Link<S: System> {
-    to: SocketAddr,
+    address: SocketAddr,
     key: usize,
     system: S,
     state: State<S::Stream>,
+    /// No attempt to connect before.
     retry_at: Micros,
-    retry_in: Micros,
+    /// The delay after the next failure.
+    retry_delay: Micros,
     input: Vec<u8>,
     output: WriteQueue,
     /// Bytes queued since the link is up.
-    queued: u64,
-    /// How much of that was written when it last went down.
-    sent: u64,
+    queued_bytes: u64,
+    /// How many of those were written when it last went down.
+    written_before_down: u64,
     /// The peer has closed; what it sent before is still to be taken.
-    ended: bool,
+    peer_closed: bool,
 }
 
 impl<S: System> Link<S> {
     /// A link that is down.
-    pub fn new(to: SocketAddr, key: usize, system: &S) -> Self {
-        let (retry_at, retry_in) = (Micros(0), RETRY.0);
-        let (input, output) = (Vec::new(), WriteQueue::default());
-        let (system, state) = (system.clone(), State::Down);
-        let (queued, sent, ended) = (0, 0, false);
-        Link { to, key, system, state, retry_at, retry_in, input, output, queued, sent, ended }
+    pub fn new(address: SocketAddr, key: usize, system: &S) -> Self {
+        Link {
+            address,
+            key,
+            system: system.clone(),
+            state: State::Down,
+            retry_at: Micros(0),
+            retry_delay: MIN_RETRY_DELAY,
+            input: Vec::new(),
+            output: WriteQueue::default(),
+            queued_bytes: 0,
+            written_before_down: 0,
+            peer_closed: false,
+        }
     }
 
     /// A link that the peer made: it is up, and once it is down it stays so.
@@ -75,9 +93,9 @@
         self.output.len()
     }
 
-    /// The address that it is to.
+    /// The peer's address.
     pub fn address(&self) -> SocketAddr {
-        self.to
+        self.address
     }
 
     /// Whether it is up.
@@ -95,7 +113,7 @@
         if !self.is_down() || now < self.retry_at {
             return None;
         }
-        match self.system.connect(self.to, self.key) {
+        match self.system.connect(self.address, self.key) {
             Ok(stream) => {
                 self.state = State::Connecting(stream, now);
                 None
@@ -106,31 +124,31 @@
 
     fn fail(&mut self, now: Micros) -> Change {
         let was_up = self.is_up();
-        self.sent = self.written();
+        self.written_before_down = self.written();
         self.state = State::Down;
-        self.ended = false;
+        self.peer_closed = false;
         self.input.clear();
         self.output = WriteQueue::default();
         if was_up {
-            self.retry_in = RETRY.0;
+            self.retry_delay = MIN_RETRY_DELAY;
             self.retry_at = now;
             return Change::Broken;
         }
-        self.retry_at = now.plus(self.retry_in);
-        self.retry_in = Micros((self.retry_in.0 * 2).min(RETRY.1.0));
+        self.retry_at = now.plus(self.retry_delay);
+        self.retry_delay = Micros(self.retry_delay.0 * 2).min(MAX_RETRY_DELAY);
         Change::Unreachable
     }
 
-    /// Breaks it off at the end of the turn, as if the peer had closed.
+    /// Breaks it off at the end of the iteration, as if the peer had closed.
     pub fn sever(&mut self) {
         self.input.clear();
-        self.ended = true;
+        self.peer_closed = true;
     }
 
-    /// When it wants to be looked at again although nothing came; `wanted` if it should be up.
+    /// When it needs attention although nothing comes; `wanted` if it should be up.
     pub fn next_wakeup(&self, wanted: bool) -> Option<Micros> {
         match &self.state {
-            State::Connecting(_, since) => Some(since.plus(CONNECT)),
+            State::Connecting(_, since) => Some(since.plus(CONNECT_TIMEOUT)),
             State::Down if wanted => Some(self.retry_at),
             _ => None,
         }
@@ -139,24 +157,24 @@
     /// Gives up a connection that is not made in time.
     pub fn on_timer(&mut self, now: Micros) -> Option<Change> {
         match &self.state {
-            State::Connecting(_, since) if now.since(*since) >= CONNECT => Some(self.fail(now)),
+            State::Connecting(_, since) if now.since(*since) >= CONNECT_TIMEOUT => Some(self.fail(now)),
             _ => None,
         }
     }
 
     /// Queues bytes, if it is up; returns the place in the stream at which they start, for [`Link::written`].
     pub fn send(&mut self, bytes: Vec<u8>) -> u64 {
-        let at = self.queued;
+        let position = self.queued_bytes;
         if self.is_up() {
-            self.queued += bytes.len() as u64;
+            self.queued_bytes += bytes.len() as u64;
             self.output.push(bytes);
         }
-        at
+        position
     }
 
     /// How much of the stream, of the last one if it is down, was handed to the system.
     pub fn written(&self) -> u64 {
-        if self.is_up() { self.queued - self.output.len() as u64 } else { self.sent }
+        if self.is_up() { self.queued_bytes - self.output.len() as u64 } else { self.written_before_down }
     }
 
     /// The poller has something for this link.
@@ -172,32 +190,32 @@
                 return None;
             };
             self.state = State::Up(stream);
-            self.queued = 0;
-            self.retry_in = RETRY.0;
+            self.queued_bytes = 0;
+            self.retry_delay = MIN_RETRY_DELAY;
             return Some(Change::Up);
         }
         // Guards against losing what a peer sent just before it closed: the owner takes the input first, and
-        // the link counts as broken with the flush at the end of the turn.
-        self.ended |= readable && self.read().is_err();
+        // the link counts as broken with the flush at the end of the iteration.
+        self.peer_closed |= readable && self.read().is_err();
         None
     }
 
     /// Reads what is there, up to a bound; an end of the stream is an error like others.
     fn read(&mut self) -> io::Result<()> {
         let State::Up(stream) = &mut self.state else { return Ok(()) };
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         loop {
             match stream.read(&mut chunk) {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(n) => {
-                    self.input.extend(&chunk[..n]);
-                    if n < CHUNK || self.input.len() >= MOST_IN {
+                Ok(length) => {
+                    self.input.extend(&chunk[..length]);
+                    if length < READ_CHUNK_BYTES || self.input.len() >= MAX_INPUT_BYTES {
                         return Ok(());
                     }
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(()),
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
             }
         }
     }
@@ -208,20 +226,20 @@
     }
 
     /// Takes bytes off the front of the input.
-    pub fn consume(&mut self, n: usize) {
-        self.input.drain(..n.min(self.input.len()));
+    pub fn consume(&mut self, bytes: usize) {
+        self.input.drain(..bytes.min(self.input.len()));
     }
 
-    /// Ends a turn: writes what can be written, and lets go of a link that the peer has closed.
+    /// Ends an iteration: writes what can be written, and gives up a link that the peer has closed.
     pub fn flush(&mut self, now: Micros) -> Option<Change> {
-        if self.ended {
+        if self.peer_closed {
             return Some(self.fail(now));
         }
         let State::Up(stream) = &mut self.state else { return None };
         let written = self.output.write(stream);
         let left = self.output.len();
         match written.and_then(|_| stream.watch(true, left > 0)) {
-            Ok(()) if left <= MOST_OUT => None,
+            Ok(()) if left <= MAX_UNWRITTEN_BYTES => None,
             _ => Some(self.fail(now)),
         }
     }
--- a/crates/node/src/io/poll.rs
+++ b/crates/node/src/io/poll.rs
@@ -1,4 +1,6 @@
 //! Registration of descriptors with the poller: the one place with unsafe code.
+//!
+//! A [`Watched`] descriptor is registered exactly as long as it is open, which is what the poller's safety asks for.
 
 use super::Ready;
 use gaugestand_admission::time::Micros;
@@ -17,8 +19,8 @@
     source: S,
     poller: Rc<Poller>,
     key: usize,
-    writing: bool,
     reading: bool,
+    writing: bool,
 }
 
 impl<S: AsSource + AsRawFd> Watched<S> {
@@ -39,7 +41,8 @@
         if (reading, writing) != (self.reading, self.writing) {
             let interest = Event::new(self.key, reading, writing);
             self.poller.modify_with_mode(&self.source, interest, PollMode::Level)?;
-            (self.reading, self.writing) = (reading, writing);
+            self.reading = reading;
+            self.writing = writing;
         }
         Ok(())
     }
@@ -65,11 +68,14 @@
     }
 }
 
-/// Most events taken in one turn; what is left comes with the next, in the order of the system's list.
+const MICROS_PER_SECOND: u64 = 1_000_000;
+const NANOS_PER_MICRO: u64 = 1_000;
+
+/// Most events taken in one iteration; what is left comes with the next, in the order of the system's list.
 const MOST_EVENTS: usize = 256;
 
 thread_local! {
-    /// Room for what the system tells of in one turn.
+    /// Room for the events of one iteration, so that no wait allocates.
     static EVENTS: RefCell<Vec<epoll::Event>> = RefCell::new(Vec::with_capacity(MOST_EVENTS));
 }
 
@@ -77,23 +83,26 @@
 ///
 /// The poller's own wait arms a timer descriptor, its interest, and that of a descriptor for notices to other threads,
 /// anew each time: four calls that this loop has no use for, which it does without.
-pub fn wait(poller: &Poller, most: Micros, ready: &mut Vec<Ready>) -> io::Result<()> {
+pub fn wait(poller: &Poller, timeout: Micros, ready: &mut Vec<Ready>) -> io::Result<()> {
     ready.clear();
-    let timeout = Timespec { tv_sec: (most.0 / 1_000_000) as _, tv_nsec: (most.0 % 1_000_000 * 1_000) as _ };
+    let timeout = Timespec {
+        tv_sec: (timeout.0 / MICROS_PER_SECOND) as _,
+        tv_nsec: (timeout.0 % MICROS_PER_SECOND * NANOS_PER_MICRO) as _,
+    };
     EVENTS.with_borrow_mut(|events| {
         events.clear();
         match epoll::wait(poller, rustix::buffer::spare_capacity(events), Some(&timeout)) {
             Ok(_) | Err(rustix::io::Errno::INTR) => {}
-            Err(e) => return Err(e.into()),
+            Err(error) => return Err(error.into()),
         }
-        ready.extend(events.iter().map(|e| {
-            let flags = e.flags;
-            // An error or the end of either direction shows in what comes of reading and of writing.
-            let over = EventFlags::HUP | EventFlags::ERR;
+        ready.extend(events.iter().map(|event| {
+            let flags = event.flags;
+            // An error, or the end of a direction, shows in the result of reading and of writing.
+            let ended = EventFlags::HUP | EventFlags::ERR;
             Ready {
-                key: e.data.u64() as usize,
-                readable: flags.intersects(EventFlags::IN | EventFlags::RDHUP | EventFlags::PRI | over),
-                writable: flags.intersects(EventFlags::OUT | over),
+                key: event.data.u64() as usize,
+                readable: flags.intersects(EventFlags::IN | EventFlags::RDHUP | EventFlags::PRI | ended),
+                writable: flags.intersects(EventFlags::OUT | ended),
             }
         }));
         Ok(())
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -35,7 +35,7 @@
 impl Real {
     /// The machine, with nothing watched yet.
     pub fn new() -> io::Result<Self> {
-        let base = Rc::new(Cell::new(super::clock::START));
+        let base = Rc::new(Cell::new(super::clock::ORIGIN));
         Ok(Real { poller: Rc::new(Poller::new()?), origin: Instant::now(), base })
     }
 
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,4 +1,6 @@
-//! Logs: lines with fields, written by a thread of their own so that a reader that stalls costs lines, not turns.
+//! Log lines to standard error, written by a thread of their own: a reader that stalls costs lines and not the loop's time.
+//!
+//! Lines that find no room are dropped and counted. At the end of the process what waits is written for a moment, no longer.
 
 use gaugestand_settings::{Form, Level, Log};
 use std::fmt;
@@ -11,16 +13,16 @@
 use tracing_subscriber::prelude::*;
 use tracing_subscriber::{Registry, reload};
 
-/// Most lines that wait for a reader.
-const MOST_LINES: usize = 256;
-/// Longest wait at the end for what is still to be written.
-const LAST_WAIT: Duration = Duration::from_millis(50);
+/// Most lines that wait for a reader: a burst of warnings, in little memory.
+const MAX_WAITING_LINES: usize = 256;
+/// Longest wait at the end of the process for lines that are still to be written. A drain must not wait for a reader.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The way to standard error, for as long as this lives; or nowhere.
+/// The writer to standard error, for as long as this lives. The default writes nowhere.
 #[derive(Default)]
-pub struct Logs(Option<Lines>);
+pub struct Logs(Option<LineWriter>);
 
-struct Lines {
+struct LineWriter {
     writer: NonBlocking,
     dropped: ErrorCounter,
     guard: Option<WorkerGuard>,
@@ -33,7 +35,7 @@
     }
 }
 
-fn filter(level: Level) -> LevelFilter {
+fn level_filter(level: Level) -> LevelFilter {
     match level {
         Level::Error => LevelFilter::ERROR,
         Level::Warn => LevelFilter::WARN,
@@ -45,38 +47,38 @@
 impl Logs {
     /// Starts the thread; all lines of this process go through it from now on.
     pub fn start(settings: Log) -> Self {
-        let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MOST_LINES);
+        let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_WAITING_LINES);
         let (writer, guard) = builder.finish(std::io::stderr());
         let dropped = writer.error_counter();
-        let (level, handle) = reload::Layer::new(filter(settings.level));
-        let lines = tracing_subscriber::fmt::layer().with_ansi(false).with_target(false);
-        let lines = lines.with_writer({
-            let writer = writer.clone();
-            move || writer.clone()
-        });
+        let (level, handle) = reload::Layer::new(level_filter(settings.level));
+        let line_writer = writer.clone();
+        let lines = tracing_subscriber::fmt::layer()
+            .with_ansi(false)
+            .with_target(false)
+            .with_writer(move || line_writer.clone());
         let registry = tracing_subscriber::registry().with(level);
-        // A second start in one process would keep the first one's lines; there is none.
+        // A second start in one process would keep the first one's subscriber; there is none.
         let _ = match settings.form {
             Form::Text => registry.with(lines).try_init(),
             Form::Json => registry.with(lines.json().flatten_event(true)).try_init(),
         };
-        Logs(Some(Lines { writer, dropped, guard: Some(guard), level: handle }))
+        Logs(Some(LineWriter { writer, dropped, guard: Some(guard), level: handle }))
     }
 
     /// From now on lines of this level and above are written.
     pub fn set_level(&self, level: Level) {
         if let Some(lines) = &self.0 {
             // It can only fail once the subscriber is gone, and then nothing is written anyway.
-            let _ = lines.level.reload(filter(level));
+            let _ = lines.level.reload(level_filter(level));
         }
     }
 
-    /// Lines that nobody read in time.
+    /// Lines that were dropped as nobody read them in time.
     pub fn dropped(&self) -> u64 {
         self.0.as_ref().map_or(0, |lines| lines.dropped.dropped_lines() as u64)
     }
 
-    /// Text that is no line of the log, such as the counters: it goes the same way.
+    /// Writes text that is no line of the log, such as the counters, the same way.
     pub fn print(&mut self, text: &str) {
         if let Some(lines) = &mut self.0 {
             let _ = lines.writer.write_all(text.as_bytes());
@@ -84,15 +86,16 @@
     }
 }
 
-impl Drop for Lines {
-    /// Writes what waits. Guards against a reader that stalls: the end of a drain does not wait for it.
+impl Drop for LineWriter {
+    /// Writes what waits, for [`FLUSH_TIMEOUT`] at most. The guard itself would wait for a reader that stalls, and with it the end
+    /// of the process.
     fn drop(&mut self) {
         let Some(guard) = self.guard.take() else { return };
-        let (done, wait) = mpsc::channel();
+        let (flushed, wait) = mpsc::channel();
         thread::spawn(move || {
             drop(guard);
-            let _ = done.send(());
+            let _ = flushed.send(());
         });
-        let _ = wait.recv_timeout(LAST_WAIT);
+        let _ = wait.recv_timeout(FLUSH_TIMEOUT);
     }
 }
--- a/crates/node/src/membership_reports.rs
+++ b/crates/node/src/membership_reports.rs
@@ -1,4 +1,7 @@
-//! Reports to the membership service: one datagram each, with no answer.
+//! Reports to the membership service: one datagram each, without an answer.
+//!
+//! The service lists this node as long as its reports come, and says to gateways what the last one said. A report that is lost
+//! is not repeated: the next one comes soon.
 
 use super::counters::Counters;
 use super::io::{Datagram, System};
@@ -6,49 +9,66 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Time between two reports; the entry lapses after 3 s. Guards against a network that loses a quarter of them:
-/// with four reports a second, eleven in a row have to be lost.
-const EVERY: Micros = Micros::millis(250);
+/// Time between two reports; the service drops the node 3 s after the last one. Guards against a network that loses a quarter
+/// of them: with four reports a second, eleven in a row have to be lost.
+const REPORT_INTERVAL: Micros = Micros::millis(250);
+
+/// A report that was sent.
+#[derive(Clone, Copy, Debug)]
+struct Report {
+    in_service: bool,
+    at: Micros,
+}
+
+#[derive(Debug)]
+struct Service<D> {
+    address: SocketAddr,
+    socket: D,
+}
 
 /// The reporter.
 #[derive(Debug)]
-pub struct Members<S: System> {
-    to: Option<(SocketAddr, S::Datagram)>,
+pub struct MembershipReports<S: System> {
+    service: Option<Service<S::Datagram>>,
     system: S,
-    name: String,
-    last: Option<(bool, Micros)>,
+    node_name: String,
+    last: Option<Report>,
 }
 
-impl<S: System> Members<S> {
-    /// A reporter to this address, where there is one.
-    pub fn new(system: &S, to: Option<SocketAddr>, name: &str) -> io::Result<Self> {
-        let open = |to: SocketAddr| Ok::<_, io::Error>((to, system.datagram(to)?));
-        let (system, name) = (system.clone(), name.to_string());
-        Ok(Members { to: to.map(open).transpose()?, system, name, last: None })
+impl<S: System> MembershipReports<S> {
+    /// A reporter to the service at this address, if there is one.
+    pub fn new(system: &S, address: Option<SocketAddr>, node_name: &str) -> io::Result<Self> {
+        let service = match address {
+            Some(address) => Some(Service { address, socket: system.datagram(address)? }),
+            None => None,
+        };
+        let system = system.clone();
+        Ok(MembershipReports { service, system, node_name: node_name.to_string(), last: None })
     }
 
-    /// From now on the service is at this address, and hears from this node at once; if that cannot be, nothing
-    /// has changed.
-    pub fn move_to(&mut self, to: Option<SocketAddr>) -> io::Result<()> {
-        if self.to.as_ref().map(|(to, _)| *to) != to {
-            *self = Members::new(&self.system, to, &self.name)?;
+    /// From now on the service is at this address, and hears from this node at once; if no socket can be opened, nothing has
+    /// changed.
+    pub fn move_to(&mut self, address: Option<SocketAddr>) -> io::Result<()> {
+        if self.service.as_ref().map(|service| service.address) != address {
+            *self = MembershipReports::new(&self.system, address, &self.node_name)?;
         }
         Ok(())
     }
 
-    /// Reports if it is time to, or if the state changed; returns when to call again.
-    pub fn on_timer(&mut self, now: Micros, up: bool, counters: &mut Counters) -> Option<Micros> {
-        let (_, socket) = self.to.as_ref()?;
-        let due = self.last.map_or(now, |(_, t)| t.plus(EVERY));
-        if now < due && self.last.is_none_or(|(was, _)| was == up) {
-            return Some(due);
+    /// Reports if it is time to, or if the state has changed; returns when to call again.
+    pub fn on_timer(&mut self, now: Micros, in_service: bool, counters: &mut Counters) -> Option<Micros> {
+        let service = self.service.as_ref()?;
+        if let Some(last) = self.last {
+            let due = last.at.plus(REPORT_INTERVAL);
+            if now < due && last.in_service == in_service {
+                return Some(due);
+            }
         }
-        let line = format!("HB {} {}", self.name, if up { "UP" } else { "OUT" });
-        // The service may be down; the next report comes soon either way.
-        if socket.send(line.as_bytes()).is_ok() {
+        let report = format!("HB {} {}", self.node_name, if in_service { "UP" } else { "OUT" });
+        if service.socket.send(report.as_bytes()).is_ok() {
             counters.reports_sent += 1;
         }
-        self.last = Some((up, now));
-        Some(now.plus(EVERY))
+        self.last = Some(Report { in_service, at: now });
+        Some(now.plus(REPORT_INTERVAL))
     }
 }
--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -11,7 +11,7 @@
 mod protocol;
 
 use super::counters::Counters;
-use super::io::link::{CONNECT, Change, Link};
+use super::io::link::{CONNECT_TIMEOUT, Change, Link};
 use super::io::{Ready, System};
 use connection::{Call, StoreConnection};
 use gaugestand_admission::RequestId;
@@ -116,7 +116,7 @@
     ) {
         self.drop_call(id, counters);
         let call = Call::new(now, timeout, body);
-        self.next_check = self.next_check.min(call.expires_at()).min(now.plus(CONNECT));
+        self.next_check = self.next_check.min(call.expires_at()).min(now.plus(CONNECT_TIMEOUT));
         let slot = self.choose_connection(now, id);
         let chosen = slot.and_then(|slot| Some((slot, self.slots.get_mut(slot)?.as_mut()?)));
         let Some((slot, connection)) = chosen else {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,6 @@
-//! The command line of the booking node.
+//! The command line of the booking node: what to do, and the exit status.
+//!
+//! Status 0 is success, 1 a fault of the configuration or the system, 2 a fault of the operators' script.
 #![deny(unsafe_code)]
 
 mod fleet;
@@ -14,34 +16,34 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// What the program is asked to do.
+/// What the program is to do.
 #[derive(Clone, Debug)]
 enum Command {
-    /// Serve until told to stop.
+    /// Serve until SIGTERM and the end of the drain.
     Serve {
         /// The operators' script.
         settings: Option<PathBuf>,
     },
-    /// Say whether the configuration is sound.
+    /// Check the configuration.
     CheckConfig {
         /// The operators' script.
         settings: Option<PathBuf>,
-        /// For programs.
+        /// Whether to print JSON.
         json: bool,
     },
-    /// Look after a store of record.
+    /// Inspect or prune an idempotency store.
     Record(Task, Which),
-    /// What the fleet agrees on.
+    /// Ask or change what the cluster agrees on.
     Fleet(fleet::Task, fleet::Whom),
     /// Print the version.
     Version,
 }
 
-/// Why the program ends at once, and with which status.
+/// Why the program ends, and with which status.
 enum Failure {
-    /// 1: the configuration or the system.
+    /// Status 1: the configuration or the system.
     Start(String),
-    /// 2: the operators' script.
+    /// Status 2: the operators' script.
     Script(String),
 }
 
@@ -162,25 +164,26 @@
 fn serve(settings: Option<PathBuf>) -> Result<(), Failure> {
     let config = node::config::load(settings.as_deref())?;
     let name = config.name.clone();
-    let system = Real::new().map_err(|e| Failure::Start(format!("poller: {e}")))?;
+    let system = Real::new().map_err(|error| Failure::Start(format!("poller: {error}")))?;
     let logs = Logs::start(config.operators.log);
-    let mut node =
-        node::event_loop::Node::start(system, config, logs).map_err(|e| Failure::Start(e.to_string()))?;
-    if let Some(admin) = node.admin_address() {
-        tracing::info!(node = name, %admin, "answering operators");
+    let mut node = node::event_loop::Node::start(system, config, logs)
+        .map_err(|error| Failure::Start(error.to_string()))?;
+    if let Some(address) = node.admin_address() {
+        tracing::info!(node = name, admin = %address, "answering operators");
     }
-    if let Some(fellows) = node.peers_address() {
-        tracing::info!(node = name, %fellows, "listening for its fellows");
+    if let Some(address) = node.peers_address() {
+        tracing::info!(node = name, fellows = %address, "listening for its fellows");
     }
     if let Some(address) = node.address() {
         tracing::info!(node = name, %address, "listening");
     }
-    node.run().map_err(|e| Failure::Start(e.to_string()))
+    node.run().map_err(|error| Failure::Start(error.to_string()))
 }
 
 fn check(settings: Option<PathBuf>, json: bool) -> Result<(), Failure> {
     let config = node::config::load(settings.as_deref())?;
-    let operators = serde_json::to_value(&config.operators).map_err(|e| Failure::Start(e.to_string()))?;
+    let operators =
+        serde_json::to_value(&config.operators).map_err(|error| Failure::Start(error.to_string()))?;
     let name = &config.name;
     let classes = config.classes.len();
     let sockets = config.max_descriptors;
@@ -195,7 +198,8 @@
         match fields.as_object() {
             None => println!("{setting}: off"),
             Some(fields) => {
-                let fields: Vec<String> = fields.iter().map(|(k, v)| format!("{k} = {v}")).collect();
+                let fields: Vec<String> =
+                    fields.iter().map(|(name, value)| format!("{name} = {value}")).collect();
                 println!("{setting}({})", fields.join(", "));
             }
         }
@@ -219,7 +223,7 @@
         Err(Failure::Start(problem)) => (problem, 1),
         Err(Failure::Script(problem)) => (problem, 2),
     };
-    // Guards against a reader that has gone, where `eprintln` would panic.
+    // `eprintln` would panic if standard error was closed.
     let _ = writeln!(std::io::stderr(), "gaugestand: {problem}");
     ExitCode::from(status)
 }
