--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -2,7 +2,7 @@
 //!
 //! Its descriptors are reserved, so that it answers while the table of gateways' connections is full. Callers, their lines and
 //! their time are bounded; at the bound the one that has been quiet for longest makes room. It knows nothing of requests: the
-//! event loop says what a call is answered.
+//! event loop makes the answers.
 
 use super::io::{Listener, Ready, Stream, System};
 use super::write_queue::WriteQueue;
--- a/crates/node/src/config/error.rs
+++ b/crates/node/src/config/error.rs
@@ -21,7 +21,7 @@
     /// The operators' script.
     #[error("{0}")]
     Script(#[from] gaugestand_settings::SettingsError),
-    /// The password file that the script names; the text says what is wrong with it.
+    /// The password file that the script names; with what is wrong with it.
     #[error("{0}")]
     PasswordFile(String),
     /// A setting of the script that cannot change without a restart.
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -32,7 +32,7 @@
 /// Fewest descriptors with which anything can be served: the node's own and a few connections.
 const MIN_DESCRIPTORS: usize = 32;
 
-/// All that a node is told at its start.
+/// The configuration of a node, checked.
 #[derive(Debug)]
 pub struct Config {
     /// The node's name, one word.
--- a/crates/node/src/connections/idle.rs
+++ b/crates/node/src/connections/idle.rs
@@ -19,8 +19,8 @@
 /// A connection whose other side takes nothing of what waits to be written for this long is cut off: its answers would fill
 /// memory. A gateway that is alive reads within milliseconds.
 pub(super) const WRITE_STALL_TIMEOUT: Micros = Micros::millis(10_000);
-/// What has been begun (a connection, a record, a request) and is incomplete by then is ended: whoever sends such is owed an
-/// end within 3 s, and this leaves half of that for a check that comes late.
+/// What has been begun (a connection, a record, a request) and is incomplete by then is ended: the
+/// sender is owed an end within 3 s, and this leaves half of that for a check that comes late.
 pub(super) const INCOMPLETE_TIMEOUT: Micros = Micros::millis(1_500);
 /// Time between two checks of all connections: short against the timeouts, and a walk of the table costs little at this rate.
 pub(super) const TIMEOUT_CHECK_INTERVAL: Micros = Micros::millis(50);
--- a/crates/node/src/connections/listener.rs
+++ b/crates/node/src/connections/listener.rs
@@ -43,7 +43,7 @@
         self.reserved = descriptors.min(self.max_connections / 2);
     }
 
-    /// Accepts and reads nothing while paused.
+    /// Pauses or resumes: while paused nothing is accepted, read or written.
     pub fn pause(&mut self, paused: bool) {
         self.paused = paused;
         self.watch_listener(!paused);
--- a/crates/node/src/connections/mod.rs
+++ b/crates/node/src/connections/mod.rs
@@ -7,7 +7,7 @@
 //! - `lingering_close`: how a connection ends without losing its last answer
 //! - `snapshot`: passing connections to another process
 //!
-//! Guarantees: an answer that was queued is written, or its connection is known to be gone; a connection is never closed on a
+//! Guarantees: an answer that was queued is written, or its connection is closed; a connection is never closed on a
 //! request that has been sent but not read, unless its descriptor is needed or the other side breaks a bound; every buffer and
 //! every wait has a bound. It knows FastCGI's framing only as far as it counts bytes: requests are the event loop's.
 
@@ -32,7 +32,7 @@
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// Room for a chunk behind the part of a record that was left of the chunk before.
 const READ_BUFFER_BYTES: usize = READ_CHUNK_BYTES + fastcgi::MAX_RECORD_BYTES;
-/// Most open requests on a connection, as gateways are told in FCGI_MAX_REQS. Bounds what one gateway can hold in memory.
+/// Most open requests on a connection, as FCGI_MAX_REQS announces. Bounds what one gateway can hold in memory.
 pub const MAX_OPEN_REQUESTS: usize = 32;
 
 /// Names a connection. Poller keys are used again: a later connection under the same key has another serial number.
@@ -45,7 +45,7 @@
 }
 
 impl ConnectionId {
-    /// A connection that is gone.
+    /// A connection that was closed.
     pub const GONE: ConnectionId = ConnectionId { index: usize::MAX, serial: 0 };
 }
 
--- a/crates/node/src/connections/snapshot.rs
+++ b/crates/node/src/connections/snapshot.rs
@@ -20,7 +20,7 @@
     pub fn restore(&mut self, stream: S::Stream, state: ConnectionState) -> ConnectionId {
         let id = self.next_id();
         let mut connection = Connection { stream, state: ConnectionState { id, ..state } };
-        // Nothing is read from it before the table is told to go on.
+        // Nothing is read from it before the table is resumed.
         let _ = connection.stream.watch(false, false);
         self.place(connection);
         // What is to be closed is found with the first flush.
--- a/crates/node/src/connections/table.rs
+++ b/crates/node/src/connections/table.rs
@@ -76,7 +76,7 @@
         self.place(Connection { stream, state: ConnectionState::new(id, now) });
     }
 
-    /// Puts a connection into the slot that its name says: the next one.
+    /// Puts a connection into the next slot, which is the one in its id.
     pub(super) fn place(&mut self, connection: Connection<S::Stream>) {
         match self.free.pop() {
             Some(index) => self.slots[index] = Some(connection),
--- a/crates/node/src/connections/tests.rs
+++ b/crates/node/src/connections/tests.rs
@@ -40,8 +40,8 @@
         let mut counters = Counters::default();
         table.get(id).expect("it is there").queue(b"answer".to_vec());
         table.touch(id);
-        let look = table.on_timer(now, &mut counters);
-        assert!(look.gone.is_empty(), "cut off with its answer unwritten after {wait:?}");
+        let expired = table.on_timer(now, &mut counters);
+        assert!(expired.gone.is_empty(), "cut off with its answer unwritten after {wait:?}");
         assert!(table.flush(now, &mut counters).is_empty());
         let mut read = [0; 6];
         client.read_exact(&mut read).expect("the answer");
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -58,11 +58,11 @@
     connections_idle_closed,
     /// Connections cut off because the other side did not read, or sent what has no framing.
     connections_cut,
-    /// Connections ended as nothing whole came on them in time, or too many bad requests.
+    /// Connections ended as nothing complete came on them in time, or too many bad requests.
     connections_ended,
     /// Times that connections had to wait unaccepted for want of descriptors.
     accept_pauses,
-    /// Requests read whole.
+    /// Requests read completely.
     requests_read,
     /// Health checks read.
     checks_read,
--- a/crates/node/src/event_loop/drain.rs
+++ b/crates/node/src/event_loop/drain.rs
@@ -2,7 +2,7 @@
 //!
 //! Counted back from the end of the process, `stop_ms` after the notice:
 //!
-//! 1. At the notice, health checks and the membership service hear OUT, and the engine is told. What arrives within the
+//! 1. At the notice, health checks and the membership service hear OUT, and the engine is notified. What arrives within the
 //!    drain's grace may still run.
 //! 2. [`LISTENER_CLOSE_MARGIN`] before the end, every attempt has been answered and the listener closes, after all that the
 //!    system has accepted was taken in.
@@ -65,8 +65,8 @@
         None
     }
 
-    /// Whether what gateways sent before now has surely been read. A wait that timed out or was interrupted by a signal says
-    /// nothing of what has come since: the poller is asked again first.
+    /// Whether what gateways sent before now has surely been read. A wait that timed out or was interrupted by a signal
+    /// proves nothing about what has come since: the poller is asked again first.
     fn has_polled_enough(&mut self, now: Micros, stop_at: Micros, nothing_ready: bool) -> bool {
         self.final_polls = self.final_polls.saturating_add(1);
         let forced = now.plus(FORCED_CLOSE_MARGIN) >= stop_at;
--- a/crates/node/src/event_loop/health.rs
+++ b/crates/node/src/event_loop/health.rs
@@ -1,4 +1,4 @@
-//! Health checks of gateways: a shallow one says whether the node is in service, a deep one also that work gets done.
+//! Health checks of gateways: a shallow one reports whether the node is in service, a deep one also that work gets done.
 
 use super::Node;
 use crate::connections::{OpenRequest, RequestRef};
--- a/crates/node/src/event_loop/kernel_events.rs
+++ b/crates/node/src/event_loop/kernel_events.rs
@@ -1,4 +1,4 @@
-//! What the kernel says of its state and of runs, and how outbound calls end, handed on to the engine.
+//! Notices of the kernel about its state and its runs, and the ends of outbound calls, passed on to the engine.
 //!
 //! Runs taken over from an earlier process are reported by the kernels of that process, on links of their own.
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A kernel of an earlier process has something to read; only what it says of runs still matters.
+    /// A kernel of an earlier process has something to read; only its notices about runs still matter.
     pub(super) fn on_inherited_kernel_ready(&mut self, event: Ready) {
         let now = self.clock.now();
         let Some(index) = self.handover.inherited.iter().position(|one| one.key == event.key) else { return };
--- a/crates/node/src/event_loop/keys.rs
+++ b/crates/node/src/event_loop/keys.rs
@@ -1,6 +1,6 @@
 //! Keys under which the loop's sources are registered with the poller.
 //!
-//! A key says which component a readiness event belongs to. Single sources have a key each; components with several
+//! A key identifies the component that a readiness event belongs to. Single sources have a key each; components with several
 //! sources have a range, whose size is bounded by that component. Gateways' connections come last and have no bound here.
 
 use crate::{admin, peers, store};
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -8,7 +8,7 @@
 //! - `dispatch`: from a readiness event to its handler
 //! - `requests`: gateways' connections, from bytes to admitted attempts and from answers to bytes
 //! - `commands`: carries out what the engine decides
-//! - `kernel_events`: what the kernel says of itself and of runs; ends of outbound calls
+//! - `kernel_events`: notices of the kernel, ends of outbound calls
 //! - `health`: gateways' health checks
 //! - `drain`: from SIGTERM to the exit
 //! - `reload`: SIGHUP
@@ -355,7 +355,7 @@
         let circuit_open = key_table.breaker() != Breaker::Closed;
         self.counters.read_idempotency(key_table.figures(), circuit_open);
         self.counters.log_lines_dropped = self.logs.dropped();
-        self.logs.print(&self.counters.to_string());
+        self.logs.write(&self.counters.to_string());
     }
 }
 
--- a/crates/node/src/event_loop/requests.rs
+++ b/crates/node/src/event_loop/requests.rs
@@ -1,7 +1,7 @@
 //! From bytes on a gateway's connection to admitted attempts, and from answers back to queued bytes.
 //!
 //! Every request gets exactly one answer while its connection lives: whoever takes it off its connection's list of open
-//! requests answers it. Bad input fails its request with a 4xx status; where records cannot be told apart any more, reading
+//! requests answers it. Bad input fails its request with a 4xx status; where the framing of records is lost, reading
 //! stops and what was admitted before is still answered.
 
 use super::Node;
@@ -163,7 +163,7 @@
         if let Err(error) = self.engine.admit(self.clock.moment(), arrival, &mut commands) {
             self.request_metrics.record_reply(self.class_slots.name(params.class), ReplyOutcome::Error);
             let error = match error {
-                // Whatever became of the other attempt, this one cannot be told apart from it.
+                // The engine, the kernel and the store know attempts by their id alone: a second one cannot be served.
                 AdmitError::DuplicateId => RequestError::Malformed("X-Txn"),
                 AdmitError::KeyConflict => RequestError::KeyConflict,
             };
@@ -220,7 +220,7 @@
         }
     }
 
-    /// These attempts' connections are gone: nobody waits for their answers.
+    /// These attempts' connections are closed: nobody waits for their answers.
     pub(super) fn on_callers_gone(&mut self, ids: Vec<RequestId>) {
         for id in ids {
             self.on_caller_gone(id);
--- a/crates/node/src/io/poll.rs
+++ b/crates/node/src/io/poll.rs
@@ -72,11 +72,11 @@
 const NANOS_PER_MICRO: u64 = 1_000;
 
 /// Most events taken in one iteration; what is left comes with the next, in the order of the system's list.
-const MOST_EVENTS: usize = 256;
+const MAX_EVENTS: usize = 256;
 
 thread_local! {
     /// Room for the events of one iteration, so that no wait allocates.
-    static EVENTS: RefCell<Vec<epoll::Event>> = RefCell::new(Vec::with_capacity(MOST_EVENTS));
+    static EVENTS: RefCell<Vec<epoll::Event>> = RefCell::new(Vec::with_capacity(MAX_EVENTS));
 }
 
 /// Waits until something is ready, for this long at most; an interruption by a signal ends the wait with nothing.
--- a/crates/node/src/kernel/mod.rs
+++ b/crates/node/src/kernel/mod.rs
@@ -65,7 +65,7 @@
     gauge_names: Vec<String>,
     /// After a reconnect: the question whose answer shows that all repeated notices are in.
     barrier_ticket: Option<u64>,
-    /// It has said on the present link that it is up.
+    /// It has reported on the present link that it is up.
     booted: bool,
 }
 
@@ -142,7 +142,7 @@
         self.link_number
     }
 
-    /// Whether it has said on the present link that it is up.
+    /// Whether it has reported on the present link that it is up.
     pub fn is_booted(&self) -> bool {
         self.link.is_up() && self.booted
     }
@@ -189,7 +189,7 @@
     }
 
     /// Has a run go on without the call that the notice of this number asked for. Sent twice it does no more than once: the
-    /// kernel tells calls of one run apart by that number.
+    /// kernel distinguishes the calls of one run by that number.
     pub fn skip_call(&mut self, id: RequestId, cursor: u64) {
         self.command(id, protocol::skip_call(id, cursor));
     }
--- a/crates/node/src/kernel/protocol.rs
+++ b/crates/node/src/kernel/protocol.rs
@@ -15,7 +15,7 @@
 /// Most bytes of a line, with its end. The result of a run has at most 4 KiB, which take under 6 KiB in base64.
 pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// Something that the kernel has told.
+/// A notice of the kernel.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
     /// BOOTED: it is up since so long ago.
@@ -31,7 +31,7 @@
     CallRequested {
         /// The run's request.
         id: RequestId,
-        /// The number of this notice, which tells the calls of one run apart.
+        /// The number of this notice, which distinguishes the calls of one run.
         cursor: u64,
         /// The body of the call.
         body: Vec<u8>,
@@ -69,7 +69,7 @@
     Incomplete,
     /// More than a line may have, without its end: the framing is lost.
     TooLong,
-    /// A line of that many bytes, its number if it has one, and what it says.
+    /// A line of that many bytes, its number if it has one, and its notice.
     Complete(usize, Option<u64>, Result<Notice, BadLine>),
 }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,8 @@
-//! The booking node on real sockets: a module for each stage of a request, and the loop that turns them.
+//! The booking node: sockets, protocols and the event loop around the engine.
 //!
-//! It carries out what `gaugestand_admission`'s engine and the ledger decide, bounds its buffers and reports. Nothing here
-//! decides anything about requests.
+//! A request passes through `connections`, `fastcgi`, `request`, the engine in `gaugestand_admission`, `kernel` or `store`, and
+//! `response`; `event_loop` moves it from one to the next. Nothing here decides anything about requests: this crate carries out
+//! what the engine and the idempotency table decide, bounds every buffer and counts.
 #![deny(unsafe_code)]
 
 pub mod admin;
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -79,7 +79,7 @@
     }
 
     /// Writes text that is no line of the log, such as the counters, the same way.
-    pub fn print(&mut self, text: &str) {
+    pub fn write(&mut self, text: &str) {
         if let Some(lines) = &mut self.0 {
             let _ = lines.writer.write_all(text.as_bytes());
         }
--- a/crates/node/src/membership_reports.rs
+++ b/crates/node/src/membership_reports.rs
@@ -1,6 +1,6 @@
 //! Reports to the membership service: one datagram each, without an answer.
 //!
-//! The service lists this node as long as its reports come, and says to gateways what the last one said. A report that is lost
+//! The service lists this node as long as its reports come, and passes the state in the last one on to gateways. A report that is lost
 //! is not repeated: the next one comes soon.
 
 use super::counters::Counters;
--- a/crates/node/src/parser_tests.rs
+++ b/crates/node/src/parser_tests.rs
@@ -42,7 +42,7 @@
 fn check_parser<T: PartialEq + std::fmt::Debug>(
     make: impl Fn(&mut Gen) -> Vec<u8>,
     parse: impl Fn(&[u8]) -> Parsed<T>,
-    sound: impl Fn(&T) -> bool,
+    is_valid: impl Fn(&T) -> bool,
 ) {
     for seed in 0..400 {
         let g = &mut Gen::from_size_and_seed(64, seed);
@@ -50,7 +50,7 @@
         let mut bytes = made.concat();
         let whole = parse_in_pieces(&bytes, &[], &parse);
         assert_eq!((whole.0.len(), whole.1), (made.len(), false), "seed {seed}");
-        assert!(whole.0.iter().all(&sound), "seed {seed}: {:?}", whole.0);
+        assert!(whole.0.iter().all(&is_valid), "seed {seed}: {:?}", whole.0);
         assert_eq!(parse_in_pieces(&bytes, &cuts(g, bytes.len()), &parse), whole, "seed {seed}");
         // Each place to cut there is, and a byte at a time.
         for cut in (0..=bytes.len()).filter(|_| seed < 40) {
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -70,7 +70,7 @@
 }
 
 impl RequestError {
-    /// The CGI status that tells the gateway of it. None of them says 'overloaded': nothing was rejected.
+    /// The CGI status of the answer. None of them is that of a rejection, which would promise that the request never ran.
     pub fn status(self) -> &'static str {
         match self {
             RequestError::Malformed(_) => "400 Bad Request",
--- a/crates/node/src/store/protocol.rs
+++ b/crates/node/src/store/protocol.rs
@@ -12,7 +12,7 @@
 /// Most bytes of the body of a reply.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// How a call ended, as the store says.
+/// How a call ended, as the store reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplyStatus {
     /// OK: it went well, with this body.
--- a/crates/node/src/store/tests.rs
+++ b/crates/node/src/store/tests.rs
@@ -24,7 +24,7 @@
     panic!("its queue has no end");
 }
 
-// The store's host is gone without a word: connecting takes all the time of a call. It was never sent, and must not count as one
+// The store's host does not answer at all: connecting takes all the time of a call. It was never sent, and must not count as one
 // that may have had its effect.
 #[test]
 fn a_call_that_timed_out_while_connecting_counts_as_never_run() {
--- a/crates/node/src/write_queue.rs
+++ b/crates/node/src/write_queue.rs
@@ -1,7 +1,7 @@
 //! Bytes that wait to be written to one socket, and gathered writes of them.
 //!
-//! It copies nothing that is shared: results of runs are queued by reference. It has no bound of its own; whoever owns it
-//! looks at [`WriteQueue::len`].
+//! It copies nothing that is shared: results of runs are queued by reference. It has no bound of its own: its owner
+//! checks [`WriteQueue::len`].
 
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, Write};
