--- a/crates/node/src/event_loop/handover/discovery.rs
+++ b/crates/node/src/event_loop/handover/discovery.rs
@@ -105,7 +105,7 @@
     /// Whoever answers at the socket is the active process; otherwise whoever holds the lock is, or is about to be. Nothing
     /// if another process holds the lock and does not answer.
     fn find(system: &S, paths: &HandoverPaths) -> Result<Option<Found<S>>, Unavailable> {
-        if let Ok(link) = system.connect_for_handover(&paths.socket, PREDECESSOR_LINK) {
+        if let Ok(link) = system.connect_for_handover(&paths.socket, PREDECESSOR) {
             return Ok(Some(Found::Predecessor(link)));
         }
         match system.try_service_lock(&paths.lock) {
@@ -120,7 +120,7 @@
         reason: &Unavailable,
     ) -> Result<(Self, Option<S::Listener>), NodeError> {
         reason.log();
-        let listener = system.listen(config.listen, LISTENER).map_err(io_error("listening"))?;
+        let listener = system.listen(config.listen, GATEWAY_LISTENER).map_err(io_error("listening"))?;
         Ok((HandoverState::new(Handover::active(), None), Some(listener)))
     }
 
@@ -147,7 +147,7 @@
 ) -> Result<S::Listener, NodeError> {
     loop {
         let late = is_late();
-        match system.listen(config.listen, LISTENER) {
+        match system.listen(config.listen, GATEWAY_LISTENER) {
             Ok(listener) => return Ok(listener),
             Err(problem) if late || problem.kind() != io::ErrorKind::AddrInUse => {
                 return Err(NodeError::Io("listening", problem));
@@ -170,7 +170,7 @@
         }
         let Some(paths) = &self.handover.paths else { return };
         self.handover.next_search = now.plus(SEARCH_INTERVAL);
-        match self.system.connect_for_handover(&paths.socket, PREDECESSOR_LINK) {
+        match self.system.connect_for_handover(&paths.socket, PREDECESSOR) {
             Ok(link) => self.handover.predecessor_link = Some(FramedLink::new(link)),
             // Nobody answers: it may have ended since, with keys that were never replicated.
             Err(_) => self.on_handover_event(Event::Unlinked),
--- a/crates/node/src/event_loop/handover/inherited_kernels.rs
+++ b/crates/node/src/event_loop/handover/inherited_kernels.rs
@@ -26,7 +26,7 @@
 
 impl<S: System> Node<S> {
     /// The kernel links whose runs are to continue in a successor, this process's own first.
-    pub(super) fn kernel_snapshots(&self) -> Vec<kernel::Snapshot> {
+    pub(super) fn kernel_snapshots(&self) -> Vec<kernel::KernelSnapshot> {
         let inherited = &self.handover.inherited_kernels;
         let inherited_runs: BTreeSet<RequestId> =
             inherited.iter().flat_map(|kernel| kernel.runs.iter().copied()).collect();
@@ -38,12 +38,12 @@
     }
 
     /// Opens links to the kernels of earlier processes.
-    pub(super) fn inherit_kernels(&mut self, snapshots: &[kernel::Snapshot]) {
+    pub(super) fn inherit_kernels(&mut self, snapshots: &[kernel::KernelSnapshot]) {
         let expires_at = self.clock.now().plus(self.engine.longest_deadline()).plus(EXPIRY_GRACE);
         let busy = snapshots.iter().filter(|snapshot| !snapshot.runs.is_empty());
         self.handover.inherited_kernels = busy
             .take(MAX_INHERITED_KERNELS)
-            .zip(INHERITED..)
+            .zip(FIRST_INHERITED_KERNEL..)
             .map(|(snapshot, key)| InheritedKernel {
                 kernel: Kernel::restore(snapshot, key, &self.system),
                 runs: snapshot.runs.iter().copied().collect(),
@@ -62,7 +62,7 @@
             {
                 let runs = mem::take(&mut inherited.runs);
                 for id in runs {
-                    self.report(EngineEvent::RunEnded(id, RunOutcome::Failed));
+                    self.notify_engine(EngineEvent::RunEnded(id, RunOutcome::Failed));
                 }
                 self.handover.inherited_kernels.remove(index);
             }
--- a/crates/node/src/event_loop/handover/mod.rs
+++ b/crates/node/src/event_loop/handover/mod.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 struct ReceivedState {
     /// The predecessor's connections, by their ids there, with their ids here.
-    connections: BTreeMap<ConnId, ConnId>,
+    connections: BTreeMap<ConnectionId, ConnectionId>,
     attempts: Vec<FrontAttempt>,
     final_state: Option<Box<FinalState>>,
 }
@@ -68,7 +68,7 @@
     /// Outbound calls that an earlier process has made and still waits for.
     remote_calls: BTreeSet<RequestId>,
     /// Outcomes of outbound calls that no active process can be told of yet.
-    deferred_outcomes: Vec<Ended>,
+    deferred_outcomes: Vec<EndedCall>,
     pub(super) inherited_kernels: Vec<InheritedKernel<S>>,
     backend_start: Option<BackendStart>,
     next_search: Micros,
@@ -124,7 +124,8 @@
         let search = Some(self.next_search).filter(|_| self.is_searching());
         let stalled = self.replication.stalled_since.map(|since| since.plus(predecessor::STALL_TIMEOUT));
         let expiry = self.inherited_kernels.iter().map(|inherited| inherited.expires_at).min();
-        let kernels = self.inherited_kernels.iter().filter_map(|inherited| inherited.kernel.wake()).min();
+        let kernels =
+            self.inherited_kernels.iter().filter_map(|inherited| inherited.kernel.next_wakeup()).min();
         [search, stalled, expiry, kernels, self.machine.next_wakeup()].into_iter().flatten().min()
     }
 
@@ -181,7 +182,7 @@
         if self.handover.machine.is_active() {
             let now = self.clock.now();
             for inherited in &mut self.handover.inherited_kernels {
-                inherited.kernel.tick(now);
+                inherited.kernel.on_timer(now);
             }
             self.release_predecessor();
         }
@@ -200,17 +201,20 @@
         let now = self.clock.now();
         let mut kernel = None;
         if self.handover.machine.is_standby() {
-            self.kernel.tick(now);
+            self.kernel.on_timer(now);
             self.kernel.flush(now);
-            kernel = self.kernel.wake();
+            kernel = self.kernel.next_wakeup();
         }
-        self.admin.tick(now);
-        let mut ended = self.store.tick(now, &mut self.counters);
+        self.admin.on_timer(now);
+        let mut ended = self.store.on_timer(now, &mut self.counters);
         ended.extend(self.store.flush(now));
-        self.calls_ended(ended);
+        self.on_calls_ended(ended);
         self.tick_handover();
         self.flush_handover();
         let handover = self.handover.next_wakeup();
-        next_turn(now, [kernel, self.store.wake(), self.admin.wake(), handover, self.stop])
+        earliest_wakeup(
+            now,
+            [kernel, self.store.next_wakeup(), self.admin.next_wakeup(), handover, self.stop_at],
+        )
     }
 }
--- a/crates/node/src/event_loop/handover/predecessor.rs
+++ b/crates/node/src/event_loop/handover/predecessor.rs
@@ -17,7 +17,7 @@
         loop {
             let Some(listener) = &self.handover.listener else { return };
             let is_free = self.handover.successor_link.is_none();
-            let key = if is_free { SUCCESSOR_LINK } else { REFUSED_LINK };
+            let key = if is_free { SUCCESSOR } else { EXCESS_SUCCESSOR };
             let Ok(link) = listener.accept(key) else { return };
             if is_free && self.handover.machine.role() == Role::Alone {
                 self.handover.successor_link = Some(FramedLink::new(link));
@@ -32,19 +32,20 @@
         let idempotency = self.engine.idempotency();
         idempotency.mirror(true);
         let fingerprint_secret = idempotency.secret();
-        let hello = Frame::Hello { moment, fingerprint_secret, draining: self.leaving };
+        let hello = Frame::Hello { moment, fingerprint_secret, draining: self.draining };
         if let Some(link) = &mut self.handover.successor_link {
             link.queue(&hello, AttachedSocket::Listener);
         }
-        let store_connections = store::lanes_within(self.config.sockets);
-        self.table.lend(SUCCESSOR_DESCRIPTORS + admin::SOCKETS + store_connections);
+        let store_connections = store::max_connections_within(self.config.max_descriptors);
+        self.connections
+            .reserve_descriptors(SUCCESSOR_DESCRIPTORS + admin::RESERVED_DESCRIPTORS + store_connections);
     }
 
     pub(super) fn stop_replication(&mut self) {
         self.handover.successor_link = None;
         self.handover.replication = Replication::default();
         self.engine.idempotency().mirror(false);
-        self.table.lend(0);
+        self.connections.reserve_descriptors(0);
     }
 
     /// Replicates keys to the successor. Returns whether commands may be sent to the kernel: not before the successor has
@@ -112,7 +113,7 @@
 
     pub(super) fn flush_successor_link(&mut self) {
         let Some(link) = &mut self.handover.successor_link else { return };
-        let table = &self.table;
+        let table = &self.connections;
         let find_socket = |socket| match socket {
             AttachedSocket::None => Some(PassedSocket::None),
             AttachedSocket::Listener => table.listener().map(PassedSocket::Listener),
@@ -152,8 +153,8 @@
     /// Stops all work, sends the whole state and releases the lock.
     pub(super) fn hand_over(&mut self) {
         tracing::info!(open = self.open_attempts(), "handing over to the new process");
-        self.stop = Some(self.clock.now().plus(self.config.stop));
-        self.table.stop(true);
+        self.stop_at = Some(self.clock.now().plus(self.config.stop_timeout));
+        self.connections.pause(true);
         let state = self.final_state();
         self.kernel.unlink();
         self.handover.inherited_kernels.iter_mut().for_each(|inherited| inherited.kernel.unlink());
@@ -165,7 +166,7 @@
             }
             link.queue(&Frame::Keys(keys), AttachedSocket::None);
         }
-        for connection in self.table.snapshot() {
+        for connection in self.connections.snapshot() {
             let socket = AttachedSocket::Connection(connection.id);
             link.queue(&Frame::Connection(Box::new(connection)), socket);
         }
@@ -184,8 +185,8 @@
             engine: self.engine.snapshot(),
             kernels: self.kernel_snapshots(),
             outbound_calls: self.pending_calls(),
-            class_names: self.slots.names().to_vec(),
-            idle_timeout: self.table.idle(),
+            class_names: self.class_slots.names().to_vec(),
+            idle_timeout: self.connections.idle_timeout(),
         }
     }
 
@@ -208,19 +209,19 @@
 
     pub(super) fn resume_service(&mut self) {
         tracing::warn!("the new process did not take over");
-        self.table.stop(false);
+        self.connections.pause(false);
         let outcomes = mem::take(&mut self.handover.deferred_outcomes);
-        self.calls_ended(outcomes);
+        self.on_calls_ended(outcomes);
     }
 
     /// Drops all state but outbound calls: another process is active.
     pub(super) fn retire(&mut self) {
         tracing::info!("another process has taken over");
-        self.figures.handed_over(self.open_attempts());
+        self.request_metrics.record_handed_over(self.open_attempts());
         self.attempts.clear();
         self.engine.retire();
         self.engine.idempotency().mirror(false);
-        self.table.retire();
+        self.connections.release_all();
         self.handover.inherited_kernels.clear();
         self.handover.listener = None;
         self.handover.lock = None;
--- a/crates/node/src/event_loop/handover/successor.rs
+++ b/crates/node/src/event_loop/handover/successor.rs
@@ -51,7 +51,7 @@
         match frame {
             Frame::Hello { moment, fingerprint_secret, draining } if is_waiting => {
                 self.handover.predecessor_drains = draining;
-                self.handover.inherited_listener = Some(link.take_listener(LISTENER)?);
+                self.handover.inherited_listener = Some(link.take_listener(GATEWAY_LISTENER)?);
                 self.system.align_clock(moment);
                 self.clock.read(&self.system);
                 // The clock has advanced to the predecessor's: no operator has waited for that long.
@@ -63,9 +63,9 @@
             }
             Frame::KeysComplete if is_waiting => self.on_handover_event(Event::KeysComplete),
             Frame::Connection(connection) if is_waiting => {
-                let stream = link.take_stream(self.table.next_key())?;
+                let stream = link.take_stream(self.connections.next_key())?;
                 let id_there = connection.id;
-                let id_here = self.table.restore(stream, *connection);
+                let id_here = self.connections.restore(stream, *connection);
                 self.handover.received.connections.insert(id_there, id_here);
             }
             Frame::Attempt(attempt) if is_waiting => self.handover.received.attempts.push(*attempt),
@@ -74,7 +74,9 @@
                 self.handover.predecessor_marks = marks;
                 self.on_handover_event(Event::StateComplete);
             }
-            Frame::CallEnded(id, end, reply, lag) => self.remote_call_ended(Ended { id, end, reply, lag }),
+            Frame::CallEnded(id, outcome, reply, latency) => {
+                self.remote_call_ended(EndedCall { id, outcome, reply, latency })
+            }
             _ => return Err(LinkError::OutOfOrder),
         }
         Ok(())
@@ -90,28 +92,28 @@
         let ReceivedState { connections, attempts, final_state } = mem::take(&mut self.handover.received);
         let Some(state) = final_state else { return };
         for mut attempt in attempts {
-            attempt.conn = connections.get(&attempt.conn).copied().unwrap_or(ConnId::NOWHERE);
+            attempt.conn = connections.get(&attempt.conn).copied().unwrap_or(ConnectionId::GONE);
             if attempt.open {
-                self.figures.taken();
+                self.request_metrics.record_admitted();
             }
             self.attempts.insert(attempt.id, attempt);
         }
-        self.slots = ClassSlots::from_parts(state.class_names, state.engine.open_classes.clone());
-        self.figures.list(self.slots.names());
+        self.class_slots = ClassSlots::from_parts(state.class_names, state.engine.open_classes.clone());
+        self.request_metrics.register_classes(self.class_slots.names());
         self.engine.restore(state.engine);
         self.engine.set_backend_linked(self.kernel.is_booted());
         self.inherit_kernels(&state.kernels);
         self.handover.remote_calls = state.outbound_calls.into_iter().collect();
         if let Some(idle_timeout) = state.idle_timeout {
-            self.table.set_idle(idle_timeout);
+            self.connections.set_idle_timeout(idle_timeout);
         }
-        for (conn, fcgi) in self.table.checks() {
-            self.add_check(conn, fcgi);
+        for request in self.connections.pending_health_checks() {
+            self.start_deep_check(request);
         }
         self.enter_service();
         tracing::info!(open = self.open_attempts(), "took over");
         // This process may have been started with other settings than its predecessor.
-        self.take_settings();
+        self.apply_settings();
         self.release_predecessor();
     }
 
@@ -122,12 +124,12 @@
             "the process before this one is gone; serving with the keys that it told of"
         );
         let now = self.clock.moment();
-        let window = longest_window(&self.config);
+        let window = longest_dedup_window(&self.config);
         self.engine.idempotency().orphaned(now, keys_complete, window);
         self.drop_received_state();
         self.enter_service();
         if let Some(BackendStart { cold, age }) = self.handover.backend_start {
-            self.report(EngineEvent::BackendStarted { cold, age });
+            self.notify_engine(EngineEvent::BackendStarted { cold, age });
         }
     }
 
@@ -135,19 +137,19 @@
     fn enter_service(&mut self) {
         self.handover.listen_for_successor(&self.system);
         let inherited = self.handover.inherited_listener.take();
-        match inherited.map_or_else(|| self.system.listen(self.config.listen, LISTENER), Ok) {
-            Ok(listener) => self.table.listen(listener),
+        match inherited.map_or_else(|| self.system.listen(self.config.listen, GATEWAY_LISTENER), Ok) {
+            Ok(listener) => self.connections.listen(listener),
             Err(problem) => {
                 tracing::error!(%problem, "listening");
                 self.handover.exit = true;
             }
         }
-        self.table.stop(false);
+        self.connections.pause(false);
     }
 
     fn drop_received_state(&mut self) {
         self.handover.received = ReceivedState::default();
-        self.table.retire();
+        self.connections.release_all();
     }
 
     /// Drops everything that came from the predecessor, and searches for an active process.
--- a/crates/node/src/handover_link/frame.rs
+++ b/crates/node/src/handover_link/frame.rs
@@ -1,6 +1,6 @@
 //! The frames of the hand-over protocol, and their encoding.
 
-use crate::connections::{self, ConnId};
+use crate::connections::{self, ConnectionId};
 use crate::kernel;
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::{CallOutcome, EngineSnapshot};
@@ -35,7 +35,7 @@
     KeysComplete,
     /// A connection, with its socket.
     #[serde(rename = "Conn")]
-    Connection(Box<connections::Snapshot>),
+    Connection(Box<connections::ConnectionState>),
     /// An attempt that is open, or whose run continues.
     #[serde(rename = "Try")]
     Attempt(Box<FrontAttempt>),
@@ -61,7 +61,7 @@
     /// Its id.
     pub id: RequestId,
     /// The connection that it came on.
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     /// Its FastCGI request id on that connection.
     pub fcgi: u16,
     /// Index of its class.
@@ -83,7 +83,7 @@
     #[serde(rename = "facade")]
     pub engine: EngineSnapshot,
     /// Kernel links whose runs continue, the predecessor's own first.
-    pub kernels: Vec<kernel::Snapshot>,
+    pub kernels: Vec<kernel::KernelSnapshot>,
     /// Attempts whose outbound calls were made by the predecessor, or by one before it, and have not ended.
     #[serde(rename = "calls")]
     pub outbound_calls: Vec<RequestId>,
--- a/crates/node/src/handover_link/link.rs
+++ b/crates/node/src/handover_link/link.rs
@@ -1,7 +1,7 @@
 //! One link to another process: frames are queued, written as the system takes them, and read whole.
 
 use super::frame::{self, DecodedFrame, Frame, FrameError};
-use crate::connections::ConnId;
+use crate::connections::ConnectionId;
 use crate::io::{HandoverLink as _, PassedSocket, System};
 use std::collections::VecDeque;
 use std::io;
@@ -25,7 +25,7 @@
     /// The listening socket.
     Listener,
     /// That of a connection.
-    Connection(ConnId),
+    Connection(ConnectionId),
 }
 
 /// Why a link cannot go on.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,15 +1,14 @@
-//! The booking node on real sockets: a module for each stage of a request, and the loop that turns them.
+//! The booking node: sockets, protocols and the event loop around the engine.
 //!
-//! It carries out what `gaugestand_admission`'s engine and the ledger decide, bounds its buffers and reports. Nothing here
-//! decides anything about requests.
+//! A request passes through `connections`, `fastcgi`, `request`, the engine in `gaugestand_admission`, `kernel` or `store`, and
+//! `response`; `event_loop` moves it from one to the next. Nothing here decides anything about requests: this crate carries out
+//! what the engine and the idempotency table decide, bounds every buffer and counts.
 #![deny(unsafe_code)]
 
 pub mod admin;
 pub mod config;
 pub mod connections;
 pub mod counters;
-#[cfg(test)]
-mod cuts;
 pub mod event_loop;
 pub mod fastcgi;
 pub mod handover_link;
@@ -19,8 +18,11 @@
 pub mod kernel;
 pub mod log;
 pub mod membership_reports;
+#[cfg(test)]
+mod parser_tests;
 pub mod peers;
 pub mod request;
 pub mod request_metrics;
 pub mod response;
 pub mod store;
+pub mod write_queue;
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -289,10 +289,10 @@
         if self.iterations.count > MAX_ITERATIONS_AT_ONE_TIME {
             self.rules.report(t, "busy", format!("turns without end; ready: {ready:?}"));
         }
-        let next = node.turn(&ready);
+        let next = node.run_iteration(&ready);
         // A path on which a request ends uncounted, or twice, shows as metrics that do not add up.
-        if !node.figures().add_up(node.open_attempts()) {
-            let observed = node.figures().text(node.open_attempts(), &[]);
+        if !node.request_metrics().is_consistent(node.open_attempts()) {
+            let observed = node.request_metrics().render(node.open_attempts(), &[]);
             self.rules.report(t, "figures", observed);
         }
         match next {
