--- a/crates/idempotency/src/postgres.rs
+++ b/crates/idempotency/src/postgres.rs
@@ -34,32 +34,31 @@
 CREATE TABLE IF NOT EXISTS gaugestand_schema(version int NOT NULL);
 INSERT INTO gaugestand_schema SELECT 1 WHERE NOT EXISTS (SELECT 1 FROM gaugestand_schema);
 CREATE TABLE IF NOT EXISTS gaugestand_node(node text PRIMARY KEY, epoch bigint NOT NULL, beat bigint NOT NULL);
-CREATE TABLE IF NOT EXISTS gaugestand_idempotency(
+CREATE TABLE IF NOT EXISTS gaugestand_record(
     node text, key text, holder bytea NOT NULL, print bytea NOT NULL, ran bigint NOT NULL, until bigint NOT NULL,
     stamp bigint NOT NULL, state smallint NOT NULL, result bytea, PRIMARY KEY(node, key));";
     /// Takes the name: node.
     pub const ADOPT: &str = "INSERT INTO gaugestand_node VALUES($1, 1, 0) \
 ON CONFLICT (node) DO UPDATE SET epoch = gaugestand_node.epoch + 1 RETURNING epoch";
     /// One page of a node's rows: node, last key before them, how many.
-    pub const LOAD: &str = "SELECT key, holder, print, ran, until, stamp, state, result FROM gaugestand_idempotency \
+    pub const LOAD: &str = "SELECT key, holder, print, ran, until, stamp, state, result FROM gaugestand_record \
 WHERE node = $1 AND key > $2 ORDER BY key LIMIT $3";
     /// Fails, by a division by zero, unless the name is still held in this epoch: node, epoch.
     pub const GUARD: &str = "UPDATE gaugestand_node SET beat = beat + 1 / (CASE WHEN epoch = $2 THEN 1 ELSE 0 END) \
 WHERE node = $1";
     /// A row: node, key, holder, print, ran, until, stamp, state, result.
-    pub const PUT: &str = "INSERT INTO gaugestand_idempotency VALUES($1, $2, $3, $4, $5, $6, $7, $8, $9) \
+    pub const PUT: &str = "INSERT INTO gaugestand_record VALUES($1, $2, $3, $4, $5, $6, $7, $8, $9) \
 ON CONFLICT (node, key) DO UPDATE SET holder = excluded.holder, print = excluded.print, ran = excluded.ran, \
 until = excluded.until, stamp = excluded.stamp, state = excluded.state, result = excluded.result \
-WHERE excluded.stamp > gaugestand_idempotency.stamp \
-OR excluded.stamp = gaugestand_idempotency.stamp AND gaugestand_idempotency.state = 0";
+WHERE excluded.stamp > gaugestand_record.stamp \
+OR excluded.stamp = gaugestand_record.stamp AND gaugestand_record.state = 0";
     /// Removes a row: node, key, its latest stamp.
-    pub const REMOVE: &str =
-        "DELETE FROM gaugestand_idempotency WHERE node = $1 AND key = $2 AND stamp <= $3";
+    pub const REMOVE: &str = "DELETE FROM gaugestand_record WHERE node = $1 AND key = $2 AND stamp <= $3";
     /// The row of a key: node, key.
-    pub const ASK: &str = "SELECT key, holder, print, ran, until, stamp, state, result FROM gaugestand_idempotency \
+    pub const ASK: &str = "SELECT key, holder, print, ran, until, stamp, state, result FROM gaugestand_record \
 WHERE node = $1 AND key = $2";
     /// Removes rows past their window: node, now.
-    pub const PRUNE: &str = "DELETE FROM gaugestand_idempotency WHERE node = $1 AND until <= $2";
+    pub const PRUNE: &str = "DELETE FROM gaugestand_record WHERE node = $1 AND until <= $2";
     /// Names of the prepared statements, and their texts.
     pub const PREPARED: &[(&str, &str)] = &[
         ("adopt", ADOPT),
--- /dev/null
+++ b/crates/idempotency/tests/stored_forms.rs
@@ -0,0 +1,276 @@
+//! What is stored, or sent to a database, keeps its form, whatever names the code has.
+//!
+//! The fixtures were made by the library of the last build before the renames of issue 30 (commit d61e325):
+//! `store-of-record-1.db` by one process that wrote [`rows`] and one probe, `agreed-log-1.db` by one that wrote two log
+//! records, and `postgres-session-1.bin` holds what its session sent, as messages with their lengths before them.
+
+use gaugestand_admission::log_record::LogRecord;
+use gaugestand_idempotency::consensus_log::ConsensusLog;
+use gaugestand_idempotency::postgres::{Event, Login, Session};
+use gaugestand_idempotency::row::{Batch, Outcome, Row, State, Work, Write};
+use gaugestand_idempotency::sqlite::{Options, Sqlite, each_row, look};
+use rusqlite::Connection;
+use rusqlite::types::Value;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+
+const STORE_OF_RECORD: &[u8] = include_bytes!("fixtures/store-of-record-1.db");
+const AGREED_LOG: &[u8] = include_bytes!("fixtures/agreed-log-1.db");
+const POSTGRES_SESSION: &[u8] = include_bytes!("fixtures/postgres-session-1.bin");
+
+const LOG_OWNER: &str = "node n1 of fleet \"north\" (n1, n2, n3)";
+/// The end of a window that is over, in microseconds of Unix time.
+const PAST: u64 = 1_700_000_029_220_000;
+/// The end of a window that is not, for some decades.
+const FUTURE: u64 = 4_000_000_000_000_000;
+
+/// A folder of one test, removed with it.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("gaugestand-forms-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("a folder");
+        Folder(path)
+    }
+
+    fn with(&self, name: &str, bytes: &[u8]) -> PathBuf {
+        let path = self.0.join(name);
+        std::fs::write(&path, bytes).expect("a copy of the fixture");
+        path
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// The rows of the fixtures: open, done, failed, and two that are past their window.
+fn rows() -> Vec<Row> {
+    let row = |key: &str, n: u128, until: u64, state: State| Row {
+        key: key.into(),
+        holder: u128::MAX - n,
+        fingerprint: (n << 64) | 0x0102_0304,
+        ran: 1_700_000_000_000_000 + n as u64,
+        until,
+        stamp: (1 << 40) | n as u64,
+        state,
+    };
+    vec![
+        row("open", 1, FUTURE, State::Intent),
+        row("done", 2, FUTURE, State::Good(b"result \x00\xff of a booking".to_vec())),
+        row("done-empty", 3, FUTURE, State::Good(vec![])),
+        row("failed", 4, FUTURE, State::Failed),
+        row("expired-open", 5, PAST, State::Intent),
+        row("expired-done \u{e9}\u{4e2d}", 6, PAST, State::Good(b"late".to_vec())),
+    ]
+}
+
+fn sorted(mut rows: Vec<Row>) -> Vec<Row> {
+    rows.sort_by(|a, b| a.key.cmp(&b.key));
+    rows
+}
+
+/// All that a file holds: what kind it is, the text of its schema and every column of every row.
+fn contents(path: &Path) -> Vec<String> {
+    let connection = Connection::open(path).expect("a file of SQLite");
+    let pragma = |name: &str| {
+        let value: i64 = connection.pragma_query_value(None, name, |row| row.get(0)).expect(name);
+        format!("{name} {value}")
+    };
+    let mut all = vec![pragma("application_id"), pragma("user_version")];
+    let schema = read(&connection, "SELECT type, name, tbl_name, sql FROM sqlite_schema ORDER BY name");
+    all.extend(schema);
+    for table in names_of_tables(&connection) {
+        let rows = read(&connection, &format!("SELECT * FROM {table} ORDER BY 1"));
+        all.extend(rows.into_iter().map(|row| format!("{table}: {row}")));
+    }
+    all
+}
+
+fn names_of_tables(connection: &Connection) -> Vec<String> {
+    let mut names = connection
+        .prepare("SELECT name FROM sqlite_schema WHERE type = 'table' ORDER BY name")
+        .expect("sound SQL");
+    let names = names.query_map([], |row| row.get(0)).expect("a query");
+    names.collect::<Result<_, _>>().expect("names")
+}
+
+fn read(connection: &Connection, sql: &str) -> Vec<String> {
+    let mut statement = connection.prepare(sql).expect("sound SQL");
+    let columns = statement.column_count();
+    let rows = statement.query_map([], |row| {
+        let values: Vec<Value> = (0..columns).map(|i| row.get(i)).collect::<Result<_, _>>()?;
+        Ok(format!("{values:?}"))
+    });
+    rows.expect("a query").collect::<Result<_, _>>().expect("rows")
+}
+
+// An operator puts the new program in place of the old one. If it could not read the rows, or read other ones, repeats
+// of bookings that ran under the old program would run a second time.
+#[test]
+fn the_sqlite_store_of_the_build_before_the_renames_is_read() {
+    let folder = Folder::new("sqlite-read");
+    let path = folder.with("record.db", STORE_OF_RECORD);
+    let mut seen = Vec::new();
+    each_row(&look(&path).expect("opened beside a node"), |row| seen.push(row)).expect("read");
+    assert_eq!(sorted(seen), sorted(rows()));
+    let mut store = Sqlite::open(&path, &Options::default()).expect("opened");
+    let recovery = store.recover(&path, 100).expect("read");
+    assert_eq!((sorted(recovery.rows), recovery.found, recovery.epoch), (sorted(rows()), 6, 2));
+    let asked = store.work(&Work::Ask(vec!["done".into(), "open".into(), "unknown".into()]));
+    assert_eq!(asked, Outcome::Rows(vec![rows()[1].clone(), rows()[0].clone()]));
+    assert_eq!(store.prune(PAST).expect("removed"), 2);
+    let left = store.recover(&path, 100).expect("read");
+    assert_eq!(sorted(left.rows), sorted(rows()[..4].to_vec()));
+}
+
+// An operator goes back to the old program after a day with the new one: what the new one wrote must be what the old
+// one would have written.
+#[test]
+fn the_sqlite_store_is_written_as_by_the_build_before_the_renames() {
+    let folder = Folder::new("sqlite-write");
+    let before = contents(&folder.with("before.db", STORE_OF_RECORD));
+    let path = folder.0.join("now.db");
+    let mut store = Sqlite::open(&path, &Options::default()).expect("made");
+    let writes = rows().into_iter().map(Write::Put).collect();
+    assert_eq!(store.work(&Work::Commit(writes)), Outcome::Done);
+    assert_eq!(store.work(&Work::Commit(vec![Write::Probe])), Outcome::Done);
+    drop(store);
+    assert_eq!(contents(&path), before);
+    // Two for the kind of file, the schema (two tables and an index by SQLite itself), a row for the node and six for keys.
+    assert_eq!(before.len(), 2 + 3 + 1 + 6, "{before:#?}");
+}
+
+// A node of a fleet comes back with the new program. If it lost its vote or an entry that it had acknowledged, two
+// leaders could be elected, or an agreed decision be lost.
+#[test]
+fn the_agreed_log_of_the_build_before_the_renames_is_read() {
+    let folder = Folder::new("log-read");
+    let path = folder.with("fleet.db", AGREED_LOG);
+    let (_log, found) = ConsensusLog::open(&path, LOG_OWNER, &Options::default()).expect("opened");
+    assert_eq!(found.life, 2);
+    assert_eq!(found.state, Some(b"state \x00\xff 2".to_vec()));
+    assert_eq!(found.base, Some(b"base up to 2".to_vec()));
+    let entries = [(3, b"entry 3".to_vec()), (4, b"entry 4 again".to_vec()), (5, vec![])];
+    assert_eq!(found.entries, entries);
+}
+
+// As for the store of record: the old program must find its log again after the new one has served.
+#[test]
+fn the_agreed_log_is_written_as_by_the_build_before_the_renames() {
+    let folder = Folder::new("log-write");
+    let before = contents(&folder.with("before.db", AGREED_LOG));
+    let path = folder.0.join("now.db");
+    let (mut log, _) = ConsensusLog::open(&path, LOG_OWNER, &Options::default()).expect("made");
+    let first = LogRecord {
+        state: Some(b"state \x00\xff 1".to_vec()),
+        put: (1..=5).map(|n| (n, format!("entry {n}").into_bytes())).collect(),
+        ..LogRecord::default()
+    };
+    let second = LogRecord {
+        state: Some(b"state \x00\xff 2".to_vec()),
+        base: Some(b"base up to 2".to_vec()),
+        cut: Some(4),
+        put: vec![(4, b"entry 4 again".to_vec()), (5, vec![])],
+        forget: Some(2),
+    };
+    assert_eq!(log.write(&first), Outcome::Done);
+    assert_eq!(log.write(&second), Outcome::Done);
+    drop(log);
+    assert_eq!(contents(&path), before);
+    assert!(before.iter().any(|row| row.starts_with("entry: ")), "{before:#?}");
+}
+
+/// A message of the server.
+fn message(tag: u8, body: &[u8]) -> Vec<u8> {
+    let mut message = vec![tag];
+    message.extend((body.len() as u32 + 4).to_be_bytes());
+    message.extend(body);
+    message
+}
+
+/// A row of one column.
+fn data_row(column: &[u8]) -> Vec<u8> {
+    let mut body = 1u16.to_be_bytes().to_vec();
+    body.extend((column.len() as u32).to_be_bytes());
+    body.extend(column);
+    message(b'D', &body)
+}
+
+/// What the session sent in the build before the renames, in the order of its turns.
+fn sent_before() -> Vec<Vec<u8>> {
+    let mut rest = POSTGRES_SESSION;
+    let mut turns = Vec::new();
+    while let Some((len, after)) = rest.split_first_chunk::<4>() {
+        let (turn, after) = after.split_at(u32::from_be_bytes(*len) as usize);
+        turns.push(turn.to_vec());
+        rest = after;
+    }
+    turns
+}
+
+/// Bytes as text that shows where two differ.
+fn shown(turns: &[Vec<u8>]) -> Vec<String> {
+    turns.iter().map(|turn| turn.escape_ascii().to_string()).collect()
+}
+
+/// A session and what it has sent, a turn at a time.
+struct Conversation {
+    session: Session,
+    sent: Vec<Vec<u8>>,
+}
+
+impl Conversation {
+    fn server_says(&mut self, messages: &[&[u8]]) -> Vec<Event> {
+        let events = self.session.take(&messages.concat()).expect("messages in turn");
+        self.sent.push(self.session.output());
+        events
+    }
+}
+
+// Nodes of both builds share one database, and an upgraded node must find the rows of the one before it. The text of
+// every statement counts as much as the bytes of the parameters: a renamed table would be a new and empty one.
+#[test]
+fn the_postgres_session_sends_what_the_build_before_the_renames_sent() {
+    let login = Login {
+        user: "booking".into(),
+        password: b"secret".to_vec(),
+        database: "bookings".into(),
+        node: "n3".into(),
+    };
+    let mut session = Session::new(Rc::new(login), None, 100).expect("a login that can be sent");
+    let sent = vec![session.output()];
+    let mut conversation = Conversation { session, sent };
+
+    let authenticated = message(b'R', &0u32.to_be_bytes());
+    let ready = message(b'Z', b"I");
+    let undefined_table = message(b'E', b"SERROR\0C42P01\0Mno such table\0\0");
+    conversation.server_says(&[&authenticated, &ready]);
+    conversation.server_says(&[&undefined_table, &ready]);
+    conversation.server_says(&[&ready]);
+    conversation.server_says(&[&data_row(b"1"), &ready]);
+    conversation.server_says(&[&ready]);
+    conversation.server_says(&[&data_row(&7i64.to_be_bytes()), &ready]);
+    let events = conversation.server_says(&[&ready]);
+    assert!(matches!(&events[..], [Event::Ready(Some(found))] if found.epoch == 7), "{events:?}");
+
+    let mut writes: Vec<Write> = rows().into_iter().map(Write::Put).collect();
+    writes.push(Write::Remove { key: "gone".into(), stamp: (1 << 40) | 9 });
+    writes.push(Write::Probe);
+    let commit = Batch { number: 1, work: Work::Commit(writes) };
+    assert!(conversation.session.submit(&commit).expect("sent"));
+    let guard_passed = message(b'C', b"UPDATE 1\0");
+    let events = conversation.server_says(&[&guard_passed, &ready]);
+    assert_eq!(events, [Event::Outcome(1, Outcome::Done)]);
+
+    let ask = Batch { number: 2, work: Work::Ask(vec!["open".into(), "done".into()]) };
+    assert!(conversation.session.submit(&ask).expect("sent"));
+    conversation.server_says(&[&ready]);
+    conversation.session.prune(3, PAST).expect("sent");
+    conversation.server_says(&[&ready]);
+
+    assert_eq!(shown(&conversation.sent), shown(&sent_before()));
+}
