--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -15,4 +15,4 @@
 pub mod table;
 pub mod worker;
 
-pub use table::{Breaker, Copy, Figures, KeyTable, Limits};
+pub use table::{BreakerState, KeyTable, Limits, ReplicatedEntry, TableMetrics};
--- /dev/null
+++ b/crates/idempotency/src/table/state.rs
@@ -0,0 +1,105 @@
+//! The state of one idempotency key: which attempt holds it, how far its run has come, and when it expires.
+
+use super::ENTRY_BYTES;
+use crate::row::{Row, State};
+use gaugestand_admission::RequestId;
+use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Moment;
+use std::rc::Rc;
+
+/// How far the run of a key has come.
+#[derive(Debug, PartialEq)]
+pub(super) enum Phase {
+    /// The first attempt is in the admission queue; nothing of it is in the store.
+    Queued,
+    /// The attempt was admitted, and its intent is being written.
+    IntentPending,
+    /// The run has begun and is not over.
+    Running,
+    /// The run is over, and this result is being written.
+    ResultPending(Rc<[u8]>),
+    /// This result may be shown.
+    Completed(Rc<[u8]>),
+    /// It ran, or may have run before a restart, and there is no result.
+    Failed,
+}
+
+impl Phase {
+    fn result_bytes(&self) -> usize {
+        match self {
+            Phase::ResultPending(result) | Phase::Completed(result) => result.len(),
+            Phase::Queued | Phase::IntentPending | Phase::Running | Phase::Failed => 0,
+        }
+    }
+}
+
+/// What is remembered of one key.
+#[derive(Debug)]
+pub(super) struct Entry {
+    /// The attempt that has the key.
+    pub(super) holder: RequestId,
+    /// Fingerprint of its body.
+    pub(super) fingerprint: u128,
+    /// Wall clock at which the attempt that ran reached the machine; zero before it is admitted.
+    pub(super) ingress: Micros,
+    /// End of the deduplication window, on both clocks; a repeat binds until both are past it.
+    pub(super) expires: Moment,
+    /// Sequence number of the intent, by which the store orders rows of one key; zero before there is one.
+    pub(super) sequence: u64,
+    pub(super) phase: Phase,
+    /// Repeats that wait for the result of the holder.
+    pub(super) waiting: Vec<RequestId>,
+}
+
+impl Entry {
+    /// An entry of an attempt that is still in the admission queue.
+    pub(super) fn queued(holder: RequestId, fingerprint: u128, expires: Moment) -> Self {
+        Entry {
+            holder,
+            fingerprint,
+            ingress: Micros(0),
+            expires,
+            sequence: 0,
+            phase: Phase::Queued,
+            waiting: Vec::new(),
+        }
+    }
+
+    /// Whether its run is still to come or not over, so that the entry must stay after its window.
+    pub(super) fn is_open(&self) -> bool {
+        !matches!(self.phase, Phase::Completed(_) | Phase::Failed)
+    }
+
+    /// Whether it binds an attempt that reached the machine at `ingress`.
+    pub(super) fn binds(&self, ingress: Moment) -> bool {
+        ingress.is_before(self.expires)
+    }
+
+    /// Whether the intent of this sequence number is still to become durable.
+    pub(super) fn awaits_intent(&self, sequence: u64) -> bool {
+        self.sequence == sequence && self.phase == Phase::IntentPending
+    }
+
+    /// Memory that the entry takes under this key, in bytes.
+    pub(super) fn bytes(&self, key: &str) -> usize {
+        entry_bytes(key, &self.phase)
+    }
+
+    /// The row that stands for it in the store.
+    pub(super) fn row(&self, key: &str, state: State) -> Row {
+        Row {
+            key: key.to_string(),
+            holder: self.holder.0,
+            fingerprint: self.fingerprint,
+            ran: self.ingress.0,
+            until: self.expires.wall.0,
+            stamp: self.sequence,
+            state,
+        }
+    }
+}
+
+/// Memory that an entry in this phase takes, in bytes.
+pub(super) fn entry_bytes(key: &str, phase: &Phase) -> usize {
+    key.len() + phase.result_bytes() + ENTRY_BYTES
+}
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -175,10 +175,10 @@
                 let unheard = matches!(step, Step::CommitUnheard | Step::Lost);
                 let outcome = if unheard { Outcome::Unknown(Cause::Link) } else { heard };
                 let idempotency = self.engine.idempotency();
-                idempotency.outcome(self.now.mono, batch.number, outcome);
+                idempotency.on_outcome(self.now.mono, batch.number, outcome);
                 if unheard {
-                    idempotency.link(self.now.mono, false);
-                    idempotency.link(self.now.mono, true);
+                    idempotency.on_link(self.now.mono, false);
+                    idempotency.on_link(self.now.mono, true);
                 }
             }
             Step::End => {
@@ -220,7 +220,7 @@
             self.engine.on_timer(self.now, &mut out);
             self.carry_out(out);
             if self.out.is_none() {
-                self.out = self.engine.idempotency().work(self.now.mono);
+                self.out = self.engine.idempotency().next_batch(self.now.mono);
             }
         }
     }
--- a/crates/idempotency/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -5,7 +5,7 @@
 use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
 use gaugestand_idempotency::row::{Cause, Outcome, Recovery, Row, State, Work, Write};
-use gaugestand_idempotency::{Breaker, KeyTable, Limits};
+use gaugestand_idempotency::{BreakerState, KeyTable, Limits};
 use std::rc::Rc;
 
 /// The window of the class: 29,220 ms, as the site has it.
@@ -61,8 +61,8 @@
 
     /// The store does what it is asked; returns the writes.
     fn commit(&mut self) -> Vec<Write> {
-        let Some(batch) = self.key_table.work(self.now.mono) else { return vec![] };
-        self.key_table.outcome(self.now.mono, batch.number, Outcome::Done);
+        let Some(batch) = self.key_table.next_batch(self.now.mono) else { return vec![] };
+        self.key_table.on_outcome(self.now.mono, batch.number, Outcome::Done);
         let Work::Commit(writes) = batch.work else { panic!("asked {:?}", batch.work) };
         writes
     }
@@ -78,8 +78,8 @@
     }
 
     fn fail(&mut self, cause: Cause) {
-        let batch = self.key_table.work(self.now.mono).expect("work");
-        self.key_table.outcome(self.now.mono, batch.number, Outcome::NotDone(cause));
+        let batch = self.key_table.next_batch(self.now.mono).expect("work");
+        self.key_table.on_outcome(self.now.mono, batch.number, Outcome::NotDone(cause));
     }
 }
 
@@ -131,7 +131,7 @@
             let mut book = Book { key_table: KeyTable::durable(limits(), 3), now: start() };
             book.now.wall = Micros(book.now.wall.0.saturating_add_signed(set * 1000));
             book.key_table.load(book.now, Recovery { rows, found: 2, epoch: 2 });
-            assert_eq!(book.key_table.figures().in_doubt, 1);
+            assert_eq!(book.key_table.metrics().in_doubt, 1);
             book.pass(ms);
             // A clock that was set back a day has the row's own end far ahead: longer, not shorter.
             let binds = binds || set < 0;
@@ -167,13 +167,13 @@
     }
     book.pass(29_220 + 10_001);
     assert_eq!(book.settled(), []);
-    assert_eq!((book.key_table.figures().entries, book.key_table.figures().removals), (0, 300));
+    assert_eq!((book.key_table.metrics().entries, book.key_table.metrics().removals), (0, 300));
     // One write takes few removals along; with none, they go by the batch.
     assert_eq!(book.begin("new", 1_000), Begin::Wait);
     let writes = book.commit();
     assert!(matches!(writes[0], Write::Put(_)) && writes.len() == 17, "{}", writes.len());
     assert_eq!(book.commit().len(), 284);
-    assert_eq!((book.key_table.figures().removals, book.key_table.figures().bytes > 0), (0, true));
+    assert_eq!((book.key_table.metrics().removals, book.key_table.metrics().bytes > 0), (0, true));
 }
 
 #[test]
@@ -201,13 +201,13 @@
     book.commit();
     book.settled();
     book.begin("out", 2);
-    let out = book.key_table.work(book.now.mono).expect("work");
+    let out = book.key_table.next_batch(book.now.mono).expect("work");
     book.pass(100);
     book.begin("waits", 3);
     assert_eq!(book.key_table.join("waits", id(4)), Join::Wait);
     assert_eq!(book.end("ran", 1, b"r"), Ended::Wait);
     book.pass(149);
-    assert_eq!((book.settled(), book.key_table.breaker()), (vec![], Breaker::Closed));
+    assert_eq!((book.settled(), book.key_table.breaker_state()), (vec![], BreakerState::Closed));
     assert_eq!(book.key_table.wake(), Some(book.now.mono.plus(Micros::millis(1))));
     book.pass(1);
     let settled = book.settled();
@@ -219,13 +219,16 @@
         })
         .collect();
     assert_eq!(unwritten, [(3, 1, true), (2, 0, true)]);
-    assert_eq!(book.key_table.breaker(), Breaker::Open(Cause::Stalled, book.now.mono));
+    assert_eq!(
+        book.key_table.breaker_state(),
+        BreakerState::Open { cause: Cause::Stalled, since: book.now.mono }
+    );
     assert!(matches!(book.find("new", book.now), Found::Closed(_)));
     // Nothing more is asked of a store that has not answered yet.
-    assert_eq!(book.key_table.work(book.now.mono), None);
+    assert_eq!(book.key_table.next_batch(book.now.mono), None);
     // It comes through after all: what was withdrawn never begins, and its row goes.
-    book.key_table.outcome(book.now.mono, out.number, Outcome::Done);
-    assert_eq!((book.settled(), book.key_table.breaker()), (vec![], Breaker::Closed));
+    book.key_table.on_outcome(book.now.mono, out.number, Outcome::Done);
+    assert_eq!((book.settled(), book.key_table.breaker_state()), (vec![], BreakerState::Closed));
     let writes = book.commit();
     assert!(matches!(&writes[0], Write::Put(r) if r.key == "ran" && r.state == State::Good(b"r".to_vec())));
     assert!(matches!(&writes[1], Write::Remove { key, .. } if key == "out"));
@@ -243,12 +246,12 @@
     book.settled();
     book.end("a", 1, b"r");
     book.fail(Cause::Full);
-    assert!(matches!(book.key_table.breaker(), Breaker::Open(Cause::Full, _)));
+    assert!(matches!(book.key_table.breaker_state(), BreakerState::Open { cause: Cause::Full, .. }));
     let mut waits = Vec::new();
     for _ in 0..7 {
         let at = book.key_table.wake().expect("a probe").max(book.now.mono);
         waits.push(at.since(book.now.mono).0 / 1000);
-        assert_eq!(book.key_table.work(Micros(at.0 - 1)), None);
+        assert_eq!(book.key_table.next_batch(Micros(at.0 - 1)), None);
         book.now = book.now.plus(at.since(book.now.mono));
         book.fail(Cause::Full);
     }
@@ -258,7 +261,7 @@
     }
     book.pass(10_000);
     assert_eq!(book.commit().len(), 1, "a probe is one write");
-    assert_eq!(book.key_table.breaker(), Breaker::Closed);
+    assert_eq!(book.key_table.breaker_state(), BreakerState::Closed);
     assert_eq!(book.settled().len(), 1);
 }
 
@@ -266,7 +269,7 @@
 fn a_busy_store_is_tried_again_soon_and_counts_as_stalled_only_by_age() {
     let mut book = Book::new(limits(), vec![]);
     book.begin("a", 1);
-    while book.key_table.breaker() == Breaker::Closed {
+    while book.key_table.breaker_state() == BreakerState::Closed {
         book.fail(Cause::Busy);
         let wait = book.key_table.wake().expect("another try").since(book.now.mono).0 / 1000;
         assert!((1..=100).contains(&wait), "{wait} ms");
@@ -285,20 +288,24 @@
     book.settled();
     book.end("a", 1, b"ra");
     book.end("b", 2, b"rb");
-    let out = book.key_table.work(book.now.mono).expect("work");
+    let out = book.key_table.next_batch(book.now.mono).expect("work");
     let Work::Commit(writes) = &out.work else { panic!("a commit") };
     let Write::Put(first) = writes[0].clone() else { panic!("a row") };
-    book.key_table.outcome(book.now.mono, out.number, Outcome::Unknown(Cause::Link));
-    book.key_table.link(book.now.mono, false);
-    assert_eq!(book.key_table.work(book.now.mono.plus(Micros::millis(60_000))), None, "there is no link");
-    book.key_table.link(book.now.mono, true);
-    let ask = book.key_table.work(book.now.mono).expect("work");
+    book.key_table.on_outcome(book.now.mono, out.number, Outcome::Unknown(Cause::Link));
+    book.key_table.on_link(book.now.mono, false);
+    assert_eq!(
+        book.key_table.next_batch(book.now.mono.plus(Micros::millis(60_000))),
+        None,
+        "there is no link"
+    );
+    book.key_table.on_link(book.now.mono, true);
+    let ask = book.key_table.next_batch(book.now.mono).expect("work");
     assert_eq!(ask.work, Work::Ask(vec!["a".into(), "b".into()]));
     // An answer to the batch before is none to this one.
-    book.key_table.outcome(book.now.mono, out.number, Outcome::Done);
+    book.key_table.on_outcome(book.now.mono, out.number, Outcome::Done);
     assert_eq!(book.settled(), []);
     // The first one is in, the second is not and is written again, alone, as a probe.
-    book.key_table.outcome(book.now.mono, ask.number, Outcome::Rows(vec![first]));
+    book.key_table.on_outcome(book.now.mono, ask.number, Outcome::Rows(vec![first]));
     assert_eq!(book.settled(), [Settled::Stored(id(1), vec![], Rc::from(*b"ra"))]);
     assert_eq!(book.commit(), writes[1..]);
     assert_eq!(book.settled(), [Settled::Stored(id(2), vec![], Rc::from(*b"rb"))]);
@@ -314,9 +321,9 @@
     // It was never out, so that nothing need be written at all.
     assert_eq!(book.commit(), []);
     book.begin("a", 3);
-    let out = book.key_table.work(book.now.mono).expect("work");
+    let out = book.key_table.next_batch(book.now.mono).expect("work");
     assert!(book.key_table.leave(book.now, &"a".into(), id(3)).withdrawn);
-    book.key_table.outcome(book.now.mono, out.number, Outcome::Done);
+    book.key_table.on_outcome(book.now.mono, out.number, Outcome::Done);
     assert_eq!(book.settled(), [], "it never begins");
     assert!(matches!(&book.commit()[..], [Write::Remove { .. }]));
 }
@@ -338,7 +345,7 @@
 #[test]
 fn without_a_store_results_are_kept_within_their_bytes_for_a_window_longer_than_the_room_lasts() {
     let mut book = Book { key_table: KeyTable::volatile(), now: start() };
-    book.key_table.set_most(64 << 10);
+    book.key_table.set_max_bytes(64 << 10);
     let book_one = |book: &mut Book, n: u128, len: usize| {
         let key = format!("k{n}");
         match book.find(&key, book.now) {
@@ -355,7 +362,7 @@
         book.pass(10);
     }
     assert!((8..16).contains(&long), "{long} results of 4 KiB in 64 KiB");
-    assert!(book.key_table.figures().bytes <= 64 << 10);
+    assert!(book.key_table.metrics().bytes <= 64 << 10);
     // What has run is still known, and the advice says when there is room again: with the end of the first window.
     assert_eq!(book.find("k0", book.now), Found::Prior(id(0)));
     let advice = book_one(&mut book, 500, 1).expect("no room");
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -1,6 +1,6 @@
 //! What the node took in, sent and answered.
 
-use gaugestand_idempotency::Figures;
+use gaugestand_idempotency::TableMetrics;
 use std::fmt;
 
 macro_rules! counters {
@@ -23,7 +23,7 @@
 
 impl Counters {
     /// Takes in how the store of record stands.
-    pub fn record(&mut self, f: Figures, open: bool) {
+    pub fn record(&mut self, f: TableMetrics, open: bool) {
         self.record_open = open.into();
         self.record_entries = f.entries as u64;
         self.record_bytes = f.bytes as u64;
@@ -33,7 +33,7 @@
         self.record_committed = f.committed;
         self.record_failures = f.failures;
         self.record_opened = f.opened;
-        self.record_turned_away = f.turned_away;
+        self.record_turned_away = f.rejected;
         self.record_in_doubt = f.in_doubt;
     }
 }
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -27,7 +27,7 @@
 use gaugestand_admission::idempotency::IdempotencyTable as _;
 use gaugestand_admission::time::Micros;
 use gaugestand_admission::{Effect, RequestId, SettingsError, handover::Event as HandoverEvent};
-use gaugestand_idempotency::{Breaker, KeyTable};
+use gaugestand_idempotency::{BreakerState, KeyTable};
 use gaugestand_settings::Backend;
 use handover::Kindred;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
@@ -163,7 +163,7 @@
         let stored = config.operators.record.as_ref();
         let (record, mut key_table) =
             Keeper::start(stored, who, RECORD, &system, clock.moment()).map_err(NodeError::Record)?;
-        key_table.set_most(config.most_kept);
+        key_table.set_max_bytes(config.most_kept);
         let others = lanes
             + if key_table.is_durable() { idempotency_store::SOCKETS } else { 0 }
             + if config.admin.is_some() { admin::SOCKETS } else { 0 }
@@ -305,8 +305,8 @@
 
     fn print_counters(&mut self) {
         let key_table = self.engine.idempotency();
-        let open = key_table.breaker() != Breaker::Closed;
-        self.counters.record(key_table.figures(), open);
+        let open = key_table.breaker_state() != BreakerState::Closed;
+        self.counters.record(key_table.metrics(), open);
         self.counters.log_lines_dropped = self.logs.dropped();
         self.logs.print(&self.counters.to_string());
     }
@@ -513,7 +513,7 @@
 
     /// What of the operators' settings can change while the node serves; none of it can fail.
     fn take_operators(&mut self, new: &Config) {
-        self.engine.idempotency().set_most(new.most_kept);
+        self.engine.idempotency().set_max_bytes(new.most_kept);
         let Some(stored) = &new.operators.record else { return };
         if let Backend::Postgres { password_file, .. } = &stored.backend
             && let Ok(password) = idempotency_store::password(password_file)
--- a/crates/node/src/event_loop/handover.rs
+++ b/crates/node/src/event_loop/handover.rs
@@ -214,7 +214,7 @@
                 Step::StopMirror => {
                     self.kin.down = None;
                     (self.kin.synced, self.kin.held_up) = (false, None);
-                    self.engine.idempotency().mirror(false);
+                    self.engine.idempotency().set_replicating(false);
                     self.table.lend(0);
                 }
                 // The link that has just come is dropped by whoever took it in.
@@ -277,7 +277,7 @@
         tracing::info!("a new process of this node has come");
         let moment = self.clock.moment();
         let idempotency = self.engine.idempotency();
-        idempotency.mirror(true);
+        idempotency.set_replicating(true);
         let secret = idempotency.secret();
         if let Some(wire) = &mut self.kin.down {
             wire.say(&Frame::Hello { moment, secret, leaving: self.leaving }, With::Listener);
@@ -292,7 +292,7 @@
         let Some(wire) = &mut self.kin.down else { return true };
         if self.kin.machine.role() == Role::Elder {
             while wire.has_room() {
-                let copies = self.engine.idempotency().copies(handover_link::KEYS);
+                let copies = self.engine.idempotency().take_replicated(handover_link::KEYS);
                 if copies.is_empty() {
                     break;
                 }
@@ -301,7 +301,7 @@
         }
         self.write_down();
         let Some(wire) = &mut self.kin.down else { return true };
-        let all = wire.is_written() && !self.engine.idempotency().is_behind();
+        let all = wire.is_written() && !self.engine.idempotency().is_replication_behind();
         if self.kin.machine.role() == Role::Elder && !self.kin.synced && all {
             // From here on what is said has to be written before the kernel hears of it.
             self.kin.synced = true;
@@ -309,7 +309,7 @@
             self.write_down();
         }
         let unwritten = self.kin.down.as_ref().is_some_and(|wire| !wire.is_written());
-        let behind = unwritten || self.engine.idempotency().is_behind();
+        let behind = unwritten || self.engine.idempotency().is_replication_behind();
         if !behind || !self.kin.synced || self.kin.machine.role() != Role::Elder {
             self.kin.held_up = None;
             return true;
@@ -404,7 +404,7 @@
         };
         let Some(wire) = &mut self.kin.down else { return };
         loop {
-            let copies = self.engine.idempotency().copies(handover_link::KEYS);
+            let copies = self.engine.idempotency().take_replicated(handover_link::KEYS);
             if copies.is_empty() {
                 break;
             }
@@ -430,7 +430,7 @@
         self.figures.handed_over(self.open_attempts());
         self.attempts.clear();
         self.engine.retire();
-        self.engine.idempotency().mirror(false);
+        self.engine.idempotency().set_replicating(false);
         self.table.retire();
         self.kin.inherited.clear();
         self.kin.door = None;
@@ -513,10 +513,10 @@
                 self.clock.read(&self.system);
                 // The clock has moved on by the elder's age: nobody has waited for that long.
                 self.admin.restart(self.clock.now());
-                self.engine.idempotency().begin_copy(secret);
+                self.engine.idempotency().begin_replica(secret);
             }
             Frame::Keys(copies) if waits => {
-                copies.into_iter().for_each(|copy| self.engine.idempotency().adopt(copy));
+                copies.into_iter().for_each(|copy| self.engine.idempotency().apply_replicated(copy));
             }
             Frame::Synced if waits => self.happen(Event::Synced),
             Frame::Conn(conn) if waits => {
@@ -611,7 +611,7 @@
     fn serve(&mut self, all: bool) {
         tracing::warn!(all, "the process before this one is gone; serving with the keys that it told of");
         let (now, window) = (self.clock.moment(), longest_window(&self.config));
-        self.engine.idempotency().orphaned(now, all, window);
+        self.engine.idempotency().on_predecessor_lost(now, all, window);
         self.forget_sent();
         self.go_into_service();
         if let Some((cold, age)) = self.kin.booted {
@@ -626,7 +626,7 @@
         self.forget_sent();
         let idempotency = self.engine.idempotency();
         let secret = idempotency.secret();
-        idempotency.begin_copy(secret);
+        idempotency.begin_replica(secret);
         self.kin.next_look = self.clock.now();
     }
 
--- a/crates/node/src/handover_link.rs
+++ b/crates/node/src/handover_link.rs
@@ -8,7 +8,7 @@
 use gaugestand_admission::engine::{self, CallOutcome};
 use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
-use gaugestand_idempotency::Copy;
+use gaugestand_idempotency::ReplicatedEntry;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::io;
@@ -38,7 +38,7 @@
         leaving: bool,
     },
     /// Keys as they are now.
-    Keys(Vec<Copy>),
+    Keys(Vec<ReplicatedEntry>),
     /// All keys were sent; from now on a change of one is sent before the command that it is about.
     Synced,
     /// A connection, with its socket.
--- a/crates/node/src/idempotency_store.rs
+++ b/crates/node/src/idempotency_store.rs
@@ -11,7 +11,7 @@
 use gaugestand_idempotency::postgres::{Event, Fault, Login, Session};
 use gaugestand_idempotency::row::{Batch, Cause, Outcome, Work};
 use gaugestand_idempotency::sqlite::Options;
-use gaugestand_idempotency::{Breaker, KeyTable, Limits};
+use gaugestand_idempotency::{BreakerState, KeyTable, Limits};
 use gaugestand_settings::{Backend, Record as Settings, Sync};
 use std::fs;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
 pub struct Keeper<S: System> {
     way: Way<S>,
     /// What was last said of it, and when.
-    said: Option<(Breaker, Micros)>,
+    said: Option<(BreakerState, Micros)>,
 }
 
 #[derive(Debug)]
@@ -111,7 +111,7 @@
                 let (rows, epoch) = (found.found, found.epoch);
                 key_table.load(now, found);
                 let took = system.moment().mono.since(began);
-                said_recovered(rows, epoch, key_table.figures().in_doubt, took.0);
+                said_recovered(rows, epoch, key_table.metrics().in_doubt, took.0);
                 Way::Sqlite(worker)
             }
             Backend::Postgres { address, database, user, password_file } => {
@@ -147,7 +147,7 @@
             Way::Sqlite(worker) => {
                 worker.woken();
                 while let Some((number, outcome)) = worker.outcome() {
-                    key_table.outcome(now.mono, number, outcome);
+                    key_table.on_outcome(now.mono, number, outcome);
                 }
             }
             Way::Postgres(remote) => remote.ready(now, readable, writable, key_table, counters),
@@ -159,24 +159,24 @@
         match &mut self.way {
             Way::None => return,
             Way::Sqlite(worker) => {
-                if let Some(batch) = key_table.work(now.mono) {
+                if let Some(batch) = key_table.next_batch(now.mono) {
                     // A thread that has ended proves nothing of what it had, and takes nothing more.
                     let dead = worker.is_dead();
                     if let Some(batch) = worker.submit(batch).err().filter(|_| !dead) {
-                        key_table.outcome(now.mono, batch.number, Outcome::NotDone(Cause::Other));
+                        key_table.on_outcome(now.mono, batch.number, Outcome::NotDone(Cause::Other));
                     }
                 }
             }
             Way::Postgres(remote) => remote.pump(now, key_table),
         }
-        self.say(now.mono, key_table.breaker());
+        self.say(now.mono, key_table.breaker_state());
     }
 
     /// Says when the store is given up and when it is back; never more than a line a while.
-    fn say(&mut self, now: Micros, breaker: Breaker) {
-        let open = matches!(breaker, Breaker::Open(..));
-        let (was, since) = self.said.unwrap_or((Breaker::Closed, Micros(0)));
-        if open == matches!(was, Breaker::Open(..)) {
+    fn say(&mut self, now: Micros, breaker: BreakerState) {
+        let open = matches!(breaker, BreakerState::Open { .. });
+        let (was, since) = self.said.unwrap_or((BreakerState::Closed, Micros(0)));
+        if open == matches!(was, BreakerState::Open { .. }) {
             return;
         }
         // A store that goes to and fro gets a line a second; the counters tell the rest.
@@ -184,13 +184,13 @@
             return;
         }
         match breaker {
-            Breaker::Open(cause, _) => {
+            BreakerState::Open { cause, .. } => {
                 tracing::error!(
                     cause = cause.word(),
                     "store of record given up for now, keyed requests refused"
                 )
             }
-            Breaker::Closed => tracing::info!("store of record takes writes again"),
+            BreakerState::Closed => tracing::info!("store of record takes writes again"),
         }
         self.said = Some((breaker, now));
     }
@@ -273,11 +273,11 @@
                 if let Some(found) = found {
                     let (rows, epoch) = (found.found, found.epoch);
                     key_table.load(now, found);
-                    said_recovered(rows, epoch, key_table.figures().in_doubt, now.mono.since(since).0);
+                    said_recovered(rows, epoch, key_table.metrics().in_doubt, now.mono.since(since).0);
                 }
-                key_table.link(now.mono, true);
+                key_table.on_link(now.mono, true);
             }
-            Event::Outcome(number, outcome) => key_table.outcome(now.mono, number, outcome),
+            Event::Outcome(number, outcome) => key_table.on_outcome(now.mono, number, outcome),
         }
     }
 
@@ -296,9 +296,9 @@
     fn down(&mut self, now: Micros, key_table: &mut KeyTable) {
         self.session = None;
         if let Some((_, Some(number))) = self.asked.take() {
-            key_table.outcome(now, number, Outcome::Unknown(Cause::Link));
+            key_table.on_outcome(now, number, Outcome::Unknown(Cause::Link));
         }
-        key_table.link(now, false);
+        key_table.on_link(now, false);
         self.retry_at = now.plus(Micros(self.retry_in.0 + self.rng.u64(..=self.retry_in.0 / 2)));
         self.retry_in = Micros((self.retry_in.0 * 2).min(RECONNECT.1.0));
     }
@@ -316,11 +316,11 @@
         }
         if let Some(session) = &mut self.session {
             if self.asked.is_none()
-                && let Some(batch) = key_table.work(now.mono)
+                && let Some(batch) = key_table.next_batch(now.mono)
             {
                 match submitted(session, &batch) {
                     Ok(()) => self.asked = Some((now.mono, Some(batch.number))),
-                    Err(outcome) => key_table.outcome(now.mono, batch.number, outcome),
+                    Err(outcome) => key_table.on_outcome(now.mono, batch.number, outcome),
                 }
             }
             let output = session.output();
