--- a/crates/idempotency/src/table/durability.rs
+++ b/crates/idempotency/src/table/durability.rs
@@ -12,7 +12,7 @@
 use super::{KeyTable, LATE_READ_GRACE, Limits, MIN_RETRY_AFTER};
 use crate::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
 use gaugestand_admission::RequestId;
-use gaugestand_admission::idempotency::Settled;
+use gaugestand_admission::idempotency::Settlement;
 use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
 use std::collections::{HashMap, VecDeque};
@@ -308,7 +308,7 @@
             expires: Moment { mono: whole_window.mono, wall },
             sequence: row.stamp,
             phase,
-            waiting: Vec::new(),
+            waiters: Vec::new(),
         };
         let key: Rc<str> = row.key.into();
         self.expiry.push_back((whole_window.mono.plus(LATE_READ_GRACE), key.clone()));
@@ -410,7 +410,7 @@
     /// Settles an attempt whose intent cannot be written as one that never ran, with the repeats that wait for it.
     pub(super) fn settle_unwritten(&mut self, entry: Entry, retry_after: Micros) {
         self.metrics.rejected += 1;
-        self.settled.push(Settled::Unwritten(entry.holder, entry.waiting, retry_after));
+        self.settled.push(Settlement::IntentFailed(entry.holder, entry.waiters, retry_after));
     }
 
     /// Takes back an intent that is not known to be durable: nothing of the key is remembered, and its row, if it may
@@ -437,13 +437,13 @@
         match (&row.state, &entry.phase) {
             (State::Intent, Phase::IntentPending) => {
                 entry.phase = Phase::Running;
-                self.settled.push(Settled::Begun(entry.holder));
+                self.settled.push(Settlement::IntentDurable(entry.holder));
             }
             (State::Good(_), Phase::ResultPending(result)) => {
                 let result = result.clone();
                 entry.phase = Phase::Completed(result.clone());
-                let waiting = mem::take(&mut entry.waiting);
-                self.settled.push(Settled::Stored(entry.holder, waiting, result));
+                let waiters = mem::take(&mut entry.waiters);
+                self.settled.push(Settlement::ResultDurable(entry.holder, waiters, result));
             }
             _ => {}
         }
--- a/crates/idempotency/src/table/mod.rs
+++ b/crates/idempotency/src/table/mod.rs
@@ -119,7 +119,7 @@
     replication: Option<ReplicationQueue>,
     /// No first attempt before this: keys may bind that a predecessor did not replicate.
     missing_keys_bind_until: Option<Micros>,
-    settled: Vec<Settled>,
+    settled: Vec<Settlement>,
     durability: Option<Durability>,
     /// Most memory that the table takes where there is no store, in bytes.
     max_bytes: usize,
@@ -236,30 +236,30 @@
         u128::from_be_bytes(fingerprint)
     }
 
-    fn find(&mut self, now: Moment, key: &str, fingerprint: u128, at: Moment) -> Found {
-        if let Some(entry) = self.keys.get(key).filter(|entry| entry.binds(at)) {
+    fn lookup(&mut self, now: Moment, key: &str, fingerprint: u128, ingress: Moment) -> Lookup {
+        if let Some(entry) = self.keys.get(key).filter(|entry| entry.binds(ingress)) {
             // Guards against a result that goes to whoever names its key: it is another request's.
             if entry.fingerprint != fingerprint {
-                return Found::BodyMismatch;
+                return Lookup::BodyMismatch;
             }
-            return Found::Prior(entry.holder);
+            return Lookup::Original(entry.holder);
         }
         if let Some(until) = self.missing_keys_bind_until.filter(|until| now.mono < *until) {
             self.metrics.rejected += 1;
-            return Found::Closed(until.since(now.mono));
+            return Lookup::Unavailable(until.since(now.mono));
         }
         if self.has_room_for(key) {
-            return Found::Nothing;
+            return Lookup::Vacant;
         }
         self.metrics.rejected += 1;
-        Found::Closed(self.retry_after(now.mono))
+        Lookup::Unavailable(self.retry_after(now.mono))
     }
 
-    fn knows(&self, key: &str, at: Moment) -> bool {
-        self.keys.get(key).is_some_and(|entry| entry.binds(at))
+    fn contains(&self, key: &str, ingress: Moment) -> bool {
+        self.keys.get(key).is_some_and(|entry| entry.binds(ingress))
     }
 
-    fn keep(&mut self, key: &Rc<str>, id: RequestId, fingerprint: u128, until: Moment) -> Vec<RequestId> {
+    fn reserve(&mut self, key: &Rc<str>, id: RequestId, fingerprint: u128, until: Moment) -> Vec<RequestId> {
         self.mark_changed(key);
         let old = self.remove(key);
         self.insert(key.clone(), Entry::queued(id, fingerprint, until));
@@ -267,50 +267,57 @@
             self.expiry.push_back((until.mono.plus(LATE_READ_GRACE), key.clone()));
             return Vec::new();
         };
-        old.waiting
+        old.waiters
     }
 
-    fn begin(&mut self, now: Moment, key: &Rc<str>, id: RequestId, at: Moment, until: Moment) -> Begin {
+    fn begin_run(
+        &mut self,
+        now: Moment,
+        key: &Rc<str>,
+        id: RequestId,
+        ingress: Moment,
+        until: Moment,
+    ) -> RunPermit {
         self.mark_changed(key);
-        let Some(entry) = self.keys.get_mut(key) else { return Begin::Never };
+        let Some(entry) = self.keys.get_mut(key) else { return RunPermit::Denied };
         if entry.holder != id || entry.phase != Phase::Queued {
-            return Begin::Never;
+            return RunPermit::Denied;
         }
-        entry.ingress = at.wall;
+        entry.ingress = ingress.wall;
         entry.expires =
             Moment { mono: entry.expires.mono.max(until.mono), wall: entry.expires.wall.max(until.wall) };
         let Some(durability) = &mut self.durability else {
             entry.phase = Phase::Running;
-            return Begin::Go;
+            return RunPermit::Granted;
         };
         if durability.takes_intents() {
             entry.sequence = durability.next_sequence();
             entry.phase = Phase::IntentPending;
             durability.push(now.mono, Write::Put(entry.row(key, State::Intent)));
-            return Begin::Wait;
+            return RunPermit::Pending;
         }
         // It was taken before the breaker opened, and is settled as those whose intents waited then.
         let retry_after = durability.retry_after(now.mono);
         if let Some(entry) = self.remove(key) {
             self.settle_unwritten(entry, retry_after);
         }
-        Begin::Wait
+        RunPermit::Pending
     }
 
-    fn join(&mut self, key: &str, id: RequestId) -> Join {
+    fn join(&mut self, key: &str, id: RequestId) -> JoinOutcome {
         self.mark_changed(key);
-        let Some(entry) = self.keys.get_mut(key) else { return Join::Fail };
+        let Some(entry) = self.keys.get_mut(key) else { return JoinOutcome::Failed };
         match &entry.phase {
-            Phase::Completed(result) => Join::Replay(result.clone()),
-            Phase::Failed => Join::Fail,
+            Phase::Completed(result) => JoinOutcome::Replay(result.clone()),
+            Phase::Failed => JoinOutcome::Failed,
             Phase::Queued | Phase::IntentPending | Phase::Running | Phase::ResultPending(_) => {
-                entry.waiting.push(id);
-                Join::Wait
+                entry.waiters.push(id);
+                JoinOutcome::Pending
             }
         }
     }
 
-    fn end(&mut self, now: Moment, key: &Rc<str>, id: RequestId, end: RunResult) -> Ended {
+    fn complete_run(&mut self, now: Moment, key: &Rc<str>, id: RequestId, end: RunResult) -> Completion {
         self.mark_changed(key);
         let is_run = |entry: &&Entry| entry.holder == id && entry.phase == Phase::Running;
         if self.keys.get(key).filter(is_run).is_none() {
@@ -318,35 +325,37 @@
         }
         match end {
             RunResult::NeverRan => self.end_never_ran(now.mono, key),
-            RunResult::Good(result) => self.end_with_result(now.mono, key, result),
-            RunResult::None => {
+            RunResult::Succeeded(result) => self.end_with_result(now.mono, key, result),
+            RunResult::NoResult => {
                 self.push_end(now.mono, key, State::Failed);
-                Ended::Now(self.set_ended(key, Phase::Failed), None)
+                Completion::Settled(self.set_ended(key, Phase::Failed), None)
             }
         }
     }
 
-    fn leave(&mut self, now: Moment, key: &Rc<str>, id: RequestId) -> Left {
+    fn release(&mut self, now: Moment, key: &Rc<str>, id: RequestId) -> Released {
         self.mark_changed(key);
-        let Some(entry) = self.keys.get_mut(key) else { return Left::default() };
+        let Some(entry) = self.keys.get_mut(key) else { return Released::default() };
         if entry.holder != id {
-            entry.waiting.retain(|waiting| *waiting != id);
-            return Left::default();
+            entry.waiters.retain(|waiters| *waiters != id);
+            return Released::default();
         }
         match entry.phase {
             Phase::Queued => {
-                let waiting = self.remove(key).map(|entry| entry.waiting).unwrap_or_default();
-                Left { waiting, withdrawn: false }
+                let waiters = self.remove(key).map(|entry| entry.waiters).unwrap_or_default();
+                Released { waiters: waiters, intent_withdrawn: false }
             }
             Phase::IntentPending => {
-                let waiting = self.withdraw(now.mono, key).map(|entry| entry.waiting).unwrap_or_default();
-                Left { waiting, withdrawn: true }
+                let waiters = self.withdraw(now.mono, key).map(|entry| entry.waiters).unwrap_or_default();
+                Released { waiters: waiters, intent_withdrawn: true }
+            }
+            Phase::Running | Phase::ResultPending(_) | Phase::Completed(_) | Phase::Failed => {
+                Released::default()
             }
-            Phase::Running | Phase::ResultPending(_) | Phase::Completed(_) | Phase::Failed => Left::default(),
         }
     }
 
-    fn settled(&mut self, now: Moment, out: &mut Vec<Settled>) {
+    fn drain_settled(&mut self, now: Moment, out: &mut Vec<Settlement>) {
         self.sweep(now.mono);
         self.check_store(now.mono);
         out.append(&mut self.settled);
@@ -356,7 +365,7 @@
         self.durability.as_ref().is_none_or(Durability::is_loaded)
     }
 
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         let [stall, retry] = self.durability.as_ref()?.next_due();
         [stall, retry, self.next_sweep_due()].into_iter().flatten().min()
     }
@@ -365,32 +374,32 @@
 /// The ways in which a run ends.
 impl KeyTable {
     /// The window of the run is over and another attempt has the key; with no store its own result still holds.
-    fn end_without_entry(&self, end: RunResult) -> Ended {
+    fn end_without_entry(&self, end: RunResult) -> Completion {
         let result = match end {
-            RunResult::Good(result) if self.durability.is_none() => Some(result),
-            RunResult::Good(_) | RunResult::None | RunResult::NeverRan => None,
+            RunResult::Succeeded(result) if self.durability.is_none() => Some(result),
+            RunResult::Succeeded(_) | RunResult::NoResult | RunResult::NeverRan => None,
         };
-        Ended::Now(Vec::new(), result)
+        Completion::Settled(Vec::new(), result)
     }
 
     /// Nothing is remembered of a run that never began, and its intent is removed.
-    fn end_never_ran(&mut self, now: Micros, key: &Rc<str>) -> Ended {
-        let Some(entry) = self.remove(key) else { return Ended::Now(Vec::new(), None) };
+    fn end_never_ran(&mut self, now: Micros, key: &Rc<str>) -> Completion {
+        let Some(entry) = self.remove(key) else { return Completion::Settled(Vec::new(), None) };
         if let Some(durability) = &mut self.durability {
             durability.push(now, Write::Remove { key: key.to_string(), stamp: entry.sequence });
         }
-        Ended::Now(entry.waiting, None)
+        Completion::Settled(entry.waiters, None)
     }
 
     /// With a store, the result may be shown once it is durable; without one, at once.
-    fn end_with_result(&mut self, now: Micros, key: &Rc<str>, result: Rc<[u8]>) -> Ended {
+    fn end_with_result(&mut self, now: Micros, key: &Rc<str>, result: Rc<[u8]>) -> Completion {
         if self.durability.is_none() {
-            let waiting = self.set_ended(key, Phase::Completed(result.clone()));
-            return Ended::Now(waiting, Some(result));
+            let waiters = self.set_ended(key, Phase::Completed(result.clone()));
+            return Completion::Settled(waiters, Some(result));
         }
         self.push_end(now, key, State::Good(result.to_vec()));
         self.set_phase(key, Phase::ResultPending(result));
-        Ended::Wait
+        Completion::AwaitingDurable
     }
 
     /// Queues the row of a run that is over, if there is a store.
@@ -410,6 +419,6 @@
 
     /// Sets the last phase of an entry, and returns the repeats that waited for it.
     fn set_ended(&mut self, key: &Rc<str>, phase: Phase) -> Vec<RequestId> {
-        self.set_phase(key, phase).map(|entry| mem::take(&mut entry.waiting)).unwrap_or_default()
+        self.set_phase(key, phase).map(|entry| mem::take(&mut entry.waiters)).unwrap_or_default()
     }
 }
--- a/crates/idempotency/src/table/replication.rs
+++ b/crates/idempotency/src/table/replication.rs
@@ -32,7 +32,8 @@
     #[serde(rename = "until")]
     expires: Moment,
     phase: ReplicatedPhase,
-    waiting: Vec<RequestId>,
+    #[serde(rename = "waiting")]
+    waiters: Vec<RequestId>,
 }
 
 /// A [`Phase`] without the steps that only a store has.
@@ -78,7 +79,7 @@
             ingress: entry.ingress,
             expires: entry.expires,
             phase: ReplicatedPhase::from(&entry.phase),
-            waiting: entry.waiting.clone(),
+            waiters: entry.waiters.clone(),
         }
     }
 }
@@ -92,7 +93,7 @@
             expires: state.expires,
             sequence: 0,
             phase: Phase::from(state.phase),
-            waiting: state.waiting,
+            waiters: state.waiters,
         }
     }
 }
@@ -187,7 +188,7 @@
     pub fn on_predecessor_lost(&mut self, now: Moment, is_complete: bool, window: Micros) {
         self.keys.retain(|_, entry| entry.phase != Phase::Queued);
         for entry in self.keys.values_mut() {
-            entry.waiting.clear();
+            entry.waiters.clear();
             if entry.phase == Phase::Running {
                 entry.phase = Phase::Failed;
             }
--- a/crates/idempotency/src/table/state.rs
+++ b/crates/idempotency/src/table/state.rs
@@ -48,7 +48,7 @@
     pub(super) sequence: u64,
     pub(super) phase: Phase,
     /// Repeats that wait for the result of the holder.
-    pub(super) waiting: Vec<RequestId>,
+    pub(super) waiters: Vec<RequestId>,
 }
 
 impl Entry {
@@ -61,7 +61,7 @@
             expires,
             sequence: 0,
             phase: Phase::Queued,
-            waiting: Vec::new(),
+            waiters: Vec::new(),
         }
     }
 
--- a/crates/idempotency/tests/stored_forms.rs
+++ b/crates/idempotency/tests/stored_forms.rs
@@ -151,9 +151,9 @@
     let folder = Folder::new("log-read");
     let path = folder.with("fleet.db", AGREED_LOG);
     let (_log, found) = ConsensusLog::open(&path, LOG_OWNER, &Options::default()).expect("opened");
-    assert_eq!(found.life, 2);
-    assert_eq!(found.state, Some(b"state \x00\xff 2".to_vec()));
-    assert_eq!(found.base, Some(b"base up to 2".to_vec()));
+    assert_eq!(found.incarnation, 2);
+    assert_eq!(found.hard_state, Some(b"state \x00\xff 2".to_vec()));
+    assert_eq!(found.snapshot, Some(b"base up to 2".to_vec()));
     let entries = [(3, b"entry 3".to_vec()), (4, b"entry 4 again".to_vec()), (5, vec![])];
     assert_eq!(found.entries, entries);
 }
@@ -166,16 +166,16 @@
     let path = folder.0.join("now.db");
     let (mut log, _) = ConsensusLog::open(&path, LOG_OWNER, &Options::default()).expect("made");
     let first = LogRecord {
-        state: Some(b"state \x00\xff 1".to_vec()),
-        put: (1..=5).map(|n| (n, format!("entry {n}").into_bytes())).collect(),
+        hard_state: Some(b"state \x00\xff 1".to_vec()),
+        entries: (1..=5).map(|n| (n, format!("entry {n}").into_bytes())).collect(),
         ..LogRecord::default()
     };
     let second = LogRecord {
-        state: Some(b"state \x00\xff 2".to_vec()),
-        base: Some(b"base up to 2".to_vec()),
-        cut: Some(4),
-        put: vec![(4, b"entry 4 again".to_vec()), (5, vec![])],
-        forget: Some(2),
+        hard_state: Some(b"state \x00\xff 2".to_vec()),
+        snapshot: Some(b"base up to 2".to_vec()),
+        truncate_from: Some(4),
+        entries: vec![(4, b"entry 4 again".to_vec()), (5, vec![])],
+        compact_through: Some(2),
     };
     assert_eq!(log.write(&first), Outcome::Done);
     assert_eq!(log.write(&second), Outcome::Done);
