--- a/benches/record.rs
+++ b/benches/record.rs
@@ -8,8 +8,8 @@
 
 use gaugestand_fakes::kernel::AutoKernel;
 use gaugestand_fakes::postgres::Postgres;
+use gaugestand_idempotency::blocking_client::BlockingClient;
 use gaugestand_idempotency::postgres::Login;
-use gaugestand_idempotency::remote::Remote;
 use gaugestand_idempotency::row::{Batch, Outcome, Row, State, Work, Write};
 use gaugestand_idempotency::sqlite::{Options, Sqlite};
 use hdrhistogram::Histogram;
@@ -240,7 +240,7 @@
                         database: "d".into(),
                         node: "n3".into(),
                     };
-                    let (mut remote, _) = Remote::adopt(server.address(), login, 0).expect("a login");
+                    let (mut remote, _) = BlockingClient::adopt(server.address(), login, 0).expect("a login");
                     (0..rows).step_by(5_000).for_each(|from| {
                         let batch = Batch { number: from + 1, work: work(from) };
                         assert_eq!(remote.work(&batch).expect("sound"), Outcome::Done);
--- a/crates/idempotency/src/remote.rs
+++ b/crates/idempotency/src/blocking_client.rs
@@ -12,21 +12,21 @@
 
 /// A connection.
 #[derive(Debug)]
-pub struct Remote {
+pub struct BlockingClient {
     stream: TcpStream,
     session: Session,
 }
 
-impl Remote {
+impl BlockingClient {
     /// Connects beside a node that may be running, and reads all of its rows.
     pub fn look(address: SocketAddr, login: Login) -> Result<(Self, Vec<crate::row::Row>), Fault> {
-        let (remote, found) = Remote::on(address, Session::look(Rc::new(login))?)?;
+        let (remote, found) = BlockingClient::on(address, Session::look(Rc::new(login))?)?;
         Ok((remote, found.rows))
     }
 
     /// Connects as the node itself: whoever served under its name before does so no longer.
     pub fn adopt(address: SocketAddr, login: Login, most_rows: usize) -> Result<(Self, Recovery), Fault> {
-        Remote::on(address, Session::new(Rc::new(login), None, most_rows)?)
+        BlockingClient::on(address, Session::new(Rc::new(login), None, most_rows)?)
     }
 
     fn on(address: SocketAddr, session: Session) -> Result<(Self, Recovery), Fault> {
@@ -34,7 +34,7 @@
         let stream = TcpStream::connect_timeout(&address, PATIENCE).map_err(io)?;
         stream.set_read_timeout(Some(PATIENCE)).map_err(io)?;
         stream.set_nodelay(true).map_err(io)?;
-        let mut remote = Remote { stream, session };
+        let mut remote = BlockingClient { stream, session };
         match remote.event()? {
             Event::Ready(found) => Ok((remote, found.unwrap_or_default())),
             Event::Outcome(..) => Err(Fault("an outcome before there was work".into())),
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -4,12 +4,12 @@
 //! what becomes of all that when a store stalls, breaks or comes back. It does no I/O and reads no clock.
 //! [`row`] is what it says to a backend and hears from it. [`sqlite`] is one backend, with [`worker`] as the
 //! thread that it blocks; [`postgres`] is the other, as bytes in and bytes out;
-//! [`remote`] drives it for a command line. [`consensus_log`] keeps a fleet's agreed log, in a file of its own, behind a worker as well.
+//! [`blocking_client`] drives it for a command line. [`consensus_log`] keeps a fleet's agreed log, in a file of its own, behind a worker as well.
 #![forbid(unsafe_code)]
 
+pub mod blocking_client;
 pub mod consensus_log;
 pub mod postgres;
-pub mod remote;
 pub mod row;
 pub mod sqlite;
 pub mod table;
--- a/crates/idempotency/tests/stores.rs
+++ b/crates/idempotency/tests/stores.rs
@@ -1,8 +1,8 @@
 //! Both backends by themselves: what they promise of a batch, and what they say when they can't be used.
 
 use gaugestand_fakes::postgres::{Fault, Postgres};
+use gaugestand_idempotency::blocking_client::BlockingClient;
 use gaugestand_idempotency::postgres::{Login, Session};
-use gaugestand_idempotency::remote::Remote;
 use gaugestand_idempotency::row::{Batch, Cause, Outcome, Row, State, Work, Write};
 use gaugestand_idempotency::sqlite::{self, Options, Sqlite};
 use gaugestand_idempotency::worker::{self, Worker};
@@ -56,7 +56,7 @@
 /// One backend of either kind, ready for work.
 enum Backend {
     Sqlite { store: Sqlite, _folder: Folder },
-    Postgres { remote: Remote, _server: Postgres, number: u64 },
+    Postgres { remote: BlockingClient, _server: Postgres, number: u64 },
 }
 
 impl Backend {
@@ -64,7 +64,7 @@
         let folder = Folder::new();
         let store = Sqlite::open(&folder.file(), &Options::default()).expect("a new store");
         let server = Postgres::start("pw").expect("it listens");
-        let (remote, _) = Remote::adopt(server.address(), login("pw"), 100).expect("a login");
+        let (remote, _) = BlockingClient::adopt(server.address(), login("pw"), 100).expect("a login");
         [Backend::Sqlite { store, _folder: folder }, Backend::Postgres { remote, _server: server, number: 0 }]
     }
 
@@ -130,36 +130,36 @@
     }
     let server = Postgres::start("pw").expect("it listens");
     for life in 1..4u64 {
-        let (mut remote, found) = Remote::adopt(server.address(), login("pw"), 2).expect("a login");
+        let (mut remote, found) = BlockingClient::adopt(server.address(), login("pw"), 2).expect("a login");
         assert_eq!((found.epoch, found.found), (life, life - 1));
         assert_eq!(found.rows.len() as u64, if life < 4 { life - 1 } else { 0 });
         let work = Work::Commit(vec![put(&format!("k{life}"), life, good(b"r"))]);
         assert_eq!(remote.work(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
     }
-    let (_, found) = Remote::adopt(server.address(), login("pw"), 2).expect("a login");
+    let (_, found) = BlockingClient::adopt(server.address(), login("pw"), 2).expect("a login");
     assert_eq!((found.found, found.rows.len()), (3, 0));
 }
 
 #[test]
 fn many_rows_are_read_page_by_page_and_another_nodes_are_not() {
     let server = Postgres::start("pw").expect("it listens");
-    let (mut remote, _) = Remote::adopt(server.address(), login("pw"), 10_000).expect("a login");
+    let (mut remote, _) = BlockingClient::adopt(server.address(), login("pw"), 10_000).expect("a login");
     let writes: Vec<Write> = (0..2_500).map(|i| put(&format!("k{i}"), i + 1, good(b"r"))).collect();
     let work = Work::Commit(writes);
     assert_eq!(remote.work(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
-    let (_, found) = Remote::adopt(server.address(), login("pw"), 10_000).expect("a login");
+    let (_, found) = BlockingClient::adopt(server.address(), login("pw"), 10_000).expect("a login");
     assert_eq!(found.rows.len(), 2_500);
     let other = Login { node: "n4".into(), ..login("pw") };
-    assert_eq!(Remote::adopt(server.address(), other, 10_000).expect("a login").1.found, 0);
+    assert_eq!(BlockingClient::adopt(server.address(), other, 10_000).expect("a login").1.found, 0);
     // Looking at rows takes no name.
-    assert_eq!(Remote::look(server.address(), login("pw")).expect("a login").1.len(), 2_500);
+    assert_eq!(BlockingClient::look(server.address(), login("pw")).expect("a login").1.len(), 2_500);
 }
 
 #[test]
 fn a_second_process_of_the_same_name_shuts_the_first_one_out() {
     let server = Postgres::start("pw").expect("it listens");
-    let (mut first, _) = Remote::adopt(server.address(), login("pw"), 10).expect("a login");
-    let (mut second, _) = Remote::adopt(server.address(), login("pw"), 10).expect("a login");
+    let (mut first, _) = BlockingClient::adopt(server.address(), login("pw"), 10).expect("a login");
+    let (mut second, _) = BlockingClient::adopt(server.address(), login("pw"), 10).expect("a login");
     let batch = |number| Batch { number, work: Work::Commit(vec![put("k", 1, State::Intent)]) };
     assert_eq!(first.work(&batch(1)).expect("sound"), Outcome::NotDone(Cause::Fenced));
     assert_eq!(server.rows(), 0);
@@ -169,7 +169,7 @@
 #[test]
 fn a_transaction_that_fails_has_done_nothing_and_says_why() {
     let server = Postgres::start("pw").expect("it listens");
-    let (mut remote, _) = Remote::adopt(server.address(), login("pw"), 10).expect("a login");
+    let (mut remote, _) = BlockingClient::adopt(server.address(), login("pw"), 10).expect("a login");
     let cases = [
         ("40P01", Outcome::NotDone(Cause::Busy)),
         ("53100", Outcome::NotDone(Cause::Full)),
@@ -195,13 +195,13 @@
 #[test]
 fn what_keeps_a_database_from_being_used_is_said() {
     let server = Postgres::start("right").expect("it listens");
-    let wrong = Remote::adopt(server.address(), login("wrong"), 10).expect_err("a wrong password");
+    let wrong = BlockingClient::adopt(server.address(), login("wrong"), 10).expect_err("a wrong password");
     assert!(wrong.to_string().contains("password authentication failed (28P01)"), "{wrong}");
     assert_eq!(server.logins(), (0, 1));
-    let none = Remote::look(server.address(), login("right")).expect_err("no tables");
+    let none = BlockingClient::look(server.address(), login("right")).expect_err("no tables");
     assert!(none.to_string().contains("no tables"), "{none}");
     server.set_version(7);
-    let newer = Remote::adopt(server.address(), login("right"), 10).expect_err("a newer version");
+    let newer = BlockingClient::adopt(server.address(), login("right"), 10).expect_err("a newer version");
     assert!(
         newer.to_string().contains("version 7") && newer.to_string().contains("newer program"),
         "{newer}"
@@ -339,7 +339,7 @@
     assert_eq!(store.work(&Work::Commit(vec![put("k", 1, good(b"r"))])), Outcome::Done);
     assert_eq!((store.prune(1_999).expect("done"), store.prune(2_000).expect("done")), (0, 1));
     let server = Postgres::start("pw").expect("it listens");
-    let (mut remote, _) = Remote::adopt(server.address(), login("pw"), 10).expect("a login");
+    let (mut remote, _) = BlockingClient::adopt(server.address(), login("pw"), 10).expect("a login");
     let work = Work::Commit(vec![put("k", 1, good(b"r"))]);
     assert_eq!(remote.work(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
     for (before, left) in [(1_999, 1), (2_000, 0)] {
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,8 +1,8 @@
 //! The sub-commands that look after a store of record.
 
 use crate::Failure;
+use gaugestand_idempotency::blocking_client::BlockingClient;
 use gaugestand_idempotency::postgres::Login;
-use gaugestand_idempotency::remote::Remote;
 use gaugestand_idempotency::row::{Outcome, Row, State};
 use gaugestand_idempotency::sqlite::{self, Options, Sqlite};
 use gaugestand_node::idempotency_store::password;
@@ -124,7 +124,7 @@
             sqlite::each_row(&store, each).map_err(|e| unread(path, &e))
         }
         Backend::Postgres { address, .. } => {
-            let (_, rows) = Remote::look(*address, login(backend, node)?).map_err(|e| failed(&e))?;
+            let (_, rows) = BlockingClient::look(*address, login(backend, node)?).map_err(|e| failed(&e))?;
             rows.into_iter().for_each(&mut each);
             Ok(())
         }
@@ -212,7 +212,7 @@
                 Backend::Postgres { address, .. } => {
                     let login = login(&backend, which.node)?;
                     let (mut remote, found) =
-                        Remote::look(*address, login).map_err(|e| Failure::Start(e.to_string()))?;
+                        BlockingClient::look(*address, login).map_err(|e| Failure::Start(e.to_string()))?;
                     match remote.prune(before).map_err(|e| Failure::Start(e.to_string()))? {
                         Outcome::Done => Some(found.iter().filter(|r| r.until <= before).count() as u64),
                         Outcome::NotDone(cause) | Outcome::Unknown(cause) => {
