--- a/benches/record.rs
+++ b/benches/record.rs
@@ -10,7 +10,7 @@
 use gaugestand_fakes::postgres::Postgres;
 use gaugestand_idempotency::blocking_client::BlockingClient;
 use gaugestand_idempotency::postgres::Login;
-use gaugestand_idempotency::row::{Batch, Outcome, Row, State, Work, Write};
+use gaugestand_idempotency::row::{Batch, Outcome, Row, RowState, Work, Write};
 use gaugestand_idempotency::sqlite::{Options, Sqlite};
 use hdrhistogram::Histogram;
 use peers::*;
@@ -212,15 +212,15 @@
         for store in Store::all() {
             let row = |i: u64| {
                 let now = unix_ms() * 1000;
-                let result = State::Good(vec![7; 100]);
+                let result = RowState::Completed(vec![7; 100]);
                 let key = format!("{i:032x}");
                 Write::Put(Row {
                     key,
                     holder: i.into(),
                     fingerprint: 1,
-                    ran: now,
-                    until: now + 29_220_000,
-                    stamp: i + 1,
+                    ingress: now,
+                    expires: now + 29_220_000,
+                    sequence: i + 1,
                     state: result,
                 })
             };
@@ -231,7 +231,7 @@
                     let mut file = Sqlite::open(path, &Options::default()).expect("a store");
                     (0..rows)
                         .step_by(5_000)
-                        .for_each(|from| assert_eq!(file.work(&work(from)), Outcome::Done));
+                        .for_each(|from| assert_eq!(file.execute(&work(from)), Outcome::Done));
                 }
                 Store::Postgres(server, _) => {
                     let login = Login {
@@ -240,10 +240,11 @@
                         database: "d".into(),
                         node: "n3".into(),
                     };
-                    let (mut remote, _) = BlockingClient::adopt(server.address(), login, 0).expect("a login");
+                    let (mut remote, _) =
+                        BlockingClient::take_name(server.address(), login, 0).expect("a login");
                     (0..rows).step_by(5_000).for_each(|from| {
                         let batch = Batch { number: from + 1, work: work(from) };
-                        assert_eq!(remote.work(&batch).expect("sound"), Outcome::Done);
+                        assert_eq!(remote.execute(&batch).expect("sound"), Outcome::Done);
                     });
                 }
             }
--- a/crates/fakes/src/postgres.rs
+++ b/crates/fakes/src/postgres.rs
@@ -116,7 +116,7 @@
     pub fn start(password: &str) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let db = Db { version: gaugestand_idempotency::postgres::VERSION, ..Db::default() };
+        let db = Db { version: gaugestand_idempotency::postgres::SCHEMA_VERSION, ..Db::default() };
         let shared = Shared { db: Mutex::new(db), changed: Condvar::new(), password: password.into() };
         let mut server = Postgres { shared: Arc::new(shared), address, listener: None };
         server.serve(listener)?;
@@ -445,12 +445,12 @@
             (db.made, db.version)
         };
         match strings(body).first().map(String::as_str) {
-            Some(sql::VERSION) if made => {
+            Some(sql::READ_VERSION) if made => {
                 self.data(&[Some(version.to_string().into_bytes())]);
                 self.say(b'C', b"SELECT 1\0");
             }
-            Some(sql::VERSION) => self.error("42P01", "relation \"gaugestand_schema\" does not exist"),
-            Some(sql::SCHEMA) => {
+            Some(sql::READ_VERSION) => self.error("42P01", "relation \"gaugestand_schema\" does not exist"),
+            Some(sql::CREATE_TABLES) => {
                 self.shared.db().made = true;
                 self.data(&[Some(Vec::new())]);
                 for tag in [&b"SELECT 1\0"[..], b"CREATE TABLE\0", b"INSERT 0 1\0", b"CREATE TABLE\0"] {
@@ -534,7 +534,7 @@
             return broken();
         }
         match query.as_str() {
-            sql::ADOPT => {
+            sql::TAKE_NAME => {
                 db = self.lock(db, &text(param(0)))?;
                 let epoch = db.epochs.entry(text(param(0))).or_insert(0);
                 *epoch += 1;
@@ -542,7 +542,7 @@
                 self.data(&[Some(epoch)]);
                 self.say(b'C', b"INSERT 0 1\0");
             }
-            sql::LOAD => {
+            sql::LOAD_PAGE => {
                 let (node, last, most) = (text(param(0)), text(param(1)), int(param(2)) as usize);
                 let from = (Excluded((node.clone(), last)), Unbounded);
                 let rows = db.rows.range(from).take_while(|((n, _), _)| *n == node).take(most);
@@ -550,13 +550,13 @@
                 rows.iter().for_each(|r| self.data(r));
                 self.say(b'C', format!("SELECT {}\0", rows.len()).as_bytes());
             }
-            sql::ASK => {
+            sql::LOOKUP => {
                 let key = (text(param(0)), text(param(1)));
                 let row = db.rows.get(&key).map(|row| columns(&key.1, row));
                 row.iter().for_each(|r| self.data(r));
                 self.say(b'C', b"SELECT 1\0");
             }
-            sql::GUARD => {
+            sql::FENCE => {
                 db = self.lock(db, &text(param(0)))?;
                 if db.epochs.get(&text(param(0))) != Some(&int(param(1))) {
                     self.error("22012", "division by zero");
--- a/crates/idempotency/src/blocking_client.rs
+++ b/crates/idempotency/src/blocking_client.rs
@@ -1,16 +1,21 @@
-//! PostgreSQL from a command line: the same session as the node's, on a connection that may block.
+//! PostgreSQL from a command line: the same session as the node's, on a connection that blocks.
+//!
+//! No call takes longer than [`TIMEOUT`] for each answer of the server.
 
-use crate::postgres::{Event, Fault, Login, Session};
-use crate::row::{Batch, Outcome, Recovery};
+use crate::error::SessionError;
+use crate::postgres::{Event, Login, Session};
+use crate::row::{Batch, Outcome, Recovery, Row};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest wait for anything that the server has to say.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longest wait for a connection, and for anything that the server has to say: a person waits for the command.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// Bytes read at a time.
+const READ_BYTES: usize = 16 * 1024;
 
-/// A connection.
+/// A connection with its session.
 #[derive(Debug)]
 pub struct BlockingClient {
     stream: TcpStream,
@@ -19,61 +24,70 @@
 
 impl BlockingClient {
     /// Connects beside a node that may be running, and reads all of its rows.
-    pub fn look(address: SocketAddr, login: Login) -> Result<(Self, Vec<crate::row::Row>), Fault> {
-        let (remote, found) = BlockingClient::on(address, Session::look(Rc::new(login))?)?;
-        Ok((remote, found.rows))
+    pub fn read_only(address: SocketAddr, login: Login) -> Result<(Self, Vec<Row>), SessionError> {
+        let (client, found) = BlockingClient::connect(address, Session::read_only(Rc::new(login))?)?;
+        Ok((client, found.rows))
     }
 
     /// Connects as the node itself: whoever served under its name before does so no longer.
-    pub fn adopt(address: SocketAddr, login: Login, most_rows: usize) -> Result<(Self, Recovery), Fault> {
-        BlockingClient::on(address, Session::new(Rc::new(login), None, most_rows)?)
+    pub fn take_name(
+        address: SocketAddr,
+        login: Login,
+        max_rows: usize,
+    ) -> Result<(Self, Recovery), SessionError> {
+        BlockingClient::connect(address, Session::new(Rc::new(login), None, max_rows)?)
     }
 
-    fn on(address: SocketAddr, session: Session) -> Result<(Self, Recovery), Fault> {
-        let io = |e: std::io::Error| Fault(format!("{address}: {e}"));
-        let stream = TcpStream::connect_timeout(&address, PATIENCE).map_err(io)?;
-        stream.set_read_timeout(Some(PATIENCE)).map_err(io)?;
-        stream.set_nodelay(true).map_err(io)?;
-        let mut remote = BlockingClient { stream, session };
-        match remote.event()? {
-            Event::Ready(found) => Ok((remote, found.unwrap_or_default())),
-            Event::Outcome(..) => Err(Fault("an outcome before there was work".into())),
+    fn connect(address: SocketAddr, session: Session) -> Result<(Self, Recovery), SessionError> {
+        let stream = open_stream(address)
+            .map_err(|error| SessionError::Connect { address, error: error.to_string() })?;
+        let mut client = BlockingClient { stream, session };
+        match client.next_event()? {
+            Event::Ready(found) => Ok((client, found.unwrap_or_default())),
+            Event::Outcome(..) => Err(SessionError::OutcomeOutOfTurn),
         }
     }
 
     /// Sends what is to be sent, and waits for what comes of it.
-    fn event(&mut self) -> Result<Event, Fault> {
-        let io = |e: std::io::Error| Fault(e.to_string());
-        let mut chunk = vec![0; 16 * 1024];
+    fn next_event(&mut self) -> Result<Event, SessionError> {
+        let io_error = |error: std::io::Error| SessionError::Io(error.to_string());
+        let mut buffer = vec![0; READ_BYTES];
         loop {
-            self.stream.write_all(&self.session.output()).map_err(io)?;
-            let n = self.stream.read(&mut chunk).map_err(io)?;
-            if n == 0 {
-                return Err(Fault("the server closed the connection".into()));
+            self.stream.write_all(&self.session.output()).map_err(io_error)?;
+            let count = self.stream.read(&mut buffer).map_err(io_error)?;
+            if count == 0 {
+                return Err(SessionError::Closed);
             }
-            // One thing is asked at a time, so one comes.
-            if let Some(event) = self.session.take(&chunk[..n])?.into_iter().next() {
+            // One thing is in flight at a time, so one event comes.
+            if let Some(event) = self.session.receive(&buffer[..count])?.into_iter().next() {
                 return Ok(event);
             }
         }
     }
 
     /// Does one batch.
-    pub fn work(&mut self, batch: &Batch) -> Result<Outcome, Fault> {
+    pub fn execute(&mut self, batch: &Batch) -> Result<Outcome, SessionError> {
         self.session.submit(batch)?;
-        self.outcome()
+        self.next_outcome()
     }
 
     /// Removes rows whose window ended before this moment of Unix time, in microseconds.
-    pub fn prune(&mut self, before: u64) -> Result<Outcome, Fault> {
+    pub fn prune(&mut self, before: u64) -> Result<Outcome, SessionError> {
         self.session.prune(0, before)?;
-        self.outcome()
+        self.next_outcome()
     }
 
-    fn outcome(&mut self) -> Result<Outcome, Fault> {
-        match self.event()? {
+    fn next_outcome(&mut self) -> Result<Outcome, SessionError> {
+        match self.next_event()? {
             Event::Outcome(_, outcome) => Ok(outcome),
-            Event::Ready(_) => Err(Fault("ready out of turn".into())),
+            Event::Ready(_) => Err(SessionError::ReadyOutOfTurn),
         }
     }
 }
+
+fn open_stream(address: SocketAddr) -> std::io::Result<TcpStream> {
+    let stream = TcpStream::connect_timeout(&address, TIMEOUT)?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
+    stream.set_nodelay(true)?;
+    Ok(stream)
+}
--- a/crates/idempotency/src/consensus_log.rs
+++ b/crates/idempotency/src/consensus_log.rs
@@ -1,18 +1,25 @@
-//! A fleet's agreed log in one SQLite file: pages made durable whole, and what an earlier life left.
+//! The replicated log of a cluster in one SQLite file: log records made durable whole, and what an earlier incarnation
+//! left.
 //!
-//! A file belongs to one node of one fleet, and says so. One that is another's, damaged or of a newer program is one clear line,
-//! and nothing is altered or deleted then.
+//! A file belongs to one node of one cluster, and says so. One that is another's, damaged or of a newer program is one
+//! clear line, and nothing is altered or deleted then. It knows nothing of consensus: all values are opaque bytes.
 
+use crate::error::OpenError;
 use crate::row::{Cause, Outcome, Work};
-use crate::sqlite::{Form, OpenError, Options, open_error, serve, take, transaction};
+use crate::sqlite::file::{FileFormat, disable_busy_wait, open_exclusive};
+use crate::sqlite::{Options, transaction};
 use gaugestand_admission::log_record::{LogRecord, RecoveredLog};
 use rusqlite::{Connection, params};
 use std::fs::File;
 use std::path::Path;
 
-/// "gsfl": a fleet's log.
-const CONSENSUS_LOG: Form = Form {
-    application: 0x6773_666c,
+/// What operators call a file of this kind.
+pub const KIND: &str = "agreed log";
+
+/// A cluster's log; its application id reads "gsfl".
+const AGREED_LOG: FileFormat = FileFormat {
+    kind: KIND,
+    application_id: 0x6773_666c,
     migrations: &["
     CREATE TABLE life(one INTEGER PRIMARY KEY CHECK(one = 1), life INTEGER NOT NULL, owner TEXT NOT NULL) STRICT;
     INSERT INTO life VALUES(1, 0, '');
@@ -22,119 +29,136 @@
 "],
 };
 
+/// The cell of the hard state.
+const HARD_STATE: &str = "state";
+/// The cell of the snapshot.
+const SNAPSHOT: &str = "base";
+/// Length of the checksum of a value, in bytes.
+const CHECKSUM_BYTES: usize = 8;
+
+type Checksum = [u8; CHECKSUM_BYTES];
+
 /// A log that this process owns.
 #[derive(Debug)]
 pub struct ConsensusLog {
     connection: Connection,
-    /// Held for as long as this lives.
+    /// Keeps other processes out.
     _lock: File,
 }
 
+/// A value with the checksum that it was written with.
+struct Stored<K> {
+    place: K,
+    value: Vec<u8>,
+    checksum: Checksum,
+}
+
 /// What shows that a value is as it was written, and where.
-fn sum(place: &str, value: &[u8]) -> [u8; 8] {
+fn checksum(place: &str, value: &[u8]) -> Checksum {
     let mut hasher = blake3::Hasher::new();
     hasher.update(place.as_bytes()).update(&[0]).update(value);
-    let mut sum = [0; 8];
-    sum.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-    sum
+    let mut checksum = [0; CHECKSUM_BYTES];
+    checksum.copy_from_slice(&hasher.finalize().as_bytes()[..CHECKSUM_BYTES]);
+    checksum
 }
 
 impl ConsensusLog {
-    /// Opens the log of this owner (fleet, members and node in words), makes it if there is none, and counts one more life.
-    pub fn open(path: &Path, owner: &str, options: &Options) -> Result<(Self, RecoveredLog), String> {
-        let told = |e: OpenError| e.to_string().replacen("store of record", "agreed log", 1);
-        let (connection, lock) = take(&CONSENSUS_LOG, path, options).map_err(told)?;
-        let err = |e: rusqlite::Error| told(open_error(path, &e));
-        let whose: String = connection.query_row("SELECT owner FROM life", [], |r| r.get(0)).map_err(err)?;
-        if !whose.is_empty() && whose != owner {
-            let path = path.display();
-            return Err(format!(
-                "agreed log {path}: belongs to {whose}, this is {owner}; give each node its own path, nothing was changed"
-            ));
-        }
-        let found = read(&connection).map_err(err)?;
-        let damaged = |place: String| {
-            format!(
-                "agreed log {}: is damaged ({place} is not as it was written); the others can do without this node: \
-                 see docs/operators/fleet.md before you move the file away, nothing was changed",
-                path.display()
-            )
-        };
-        let (cells, entries) = found;
-        let mut found = RecoveredLog::default();
-        for (name, value, was) in cells {
-            if was != sum(&name, &value) {
-                return Err(damaged(name));
-            }
-            match name.as_str() {
-                "state" => found.hard_state = Some(value),
-                "base" => found.snapshot = Some(value),
-                _ => return Err(damaged(name)),
-            }
+    /// Opens the log of this owner (cluster, members and node in words), makes it if there is none, and counts one more
+    /// incarnation of it.
+    pub fn open(path: &Path, owner: &str, options: &Options) -> Result<(Self, RecoveredLog), OpenError> {
+        let open_error = |error: rusqlite::Error| AGREED_LOG.open_error(path, &error);
+        let (connection, lock) = open_exclusive(&AGREED_LOG, path, options)?;
+        let old_owner: String =
+            connection.query_row("SELECT owner FROM life", [], |row| row.get(0)).map_err(open_error)?;
+        if !old_owner.is_empty() && old_owner != owner {
+            let file = AGREED_LOG.file(path);
+            return Err(OpenError::OtherOwner { file, owner: old_owner, node: owner.to_string() });
         }
-        for (place, value, was) in entries {
-            if was != sum(&place.to_string(), &value) {
-                return Err(damaged(format!("entry {place}")));
-            }
-            found.entries.push((place as u64, value));
-        }
-        let life: i64 = connection
-            .query_row("UPDATE life SET life = life + 1, owner = ?1 RETURNING life", [owner], |r| r.get(0))
-            .map_err(err)?;
-        found.incarnation = life as u64;
-        serve(path, &connection).map_err(told)?;
-        Ok((ConsensusLog { connection, _lock: lock }, found))
+        let cells = read_cells(&connection);
+        let entries = cells.and_then(|cells| Ok((cells, read_entries(&connection)?)));
+        let (cells, entries) = entries.map_err(open_error)?;
+        let mut recovered = verify(cells, entries)
+            .map_err(|value| OpenError::DamagedLog { file: AGREED_LOG.file(path), value })?;
+        let incarnation: i64 = connection
+            .query_row("UPDATE life SET life = life + 1, owner = ?1 RETURNING life", [owner], |row| {
+                row.get(0)
+            })
+            .map_err(open_error)?;
+        recovered.incarnation = incarnation as u64;
+        disable_busy_wait(&AGREED_LOG, path, &connection)?;
+        Ok((ConsensusLog { connection, _lock: lock }, recovered))
+    }
+
+    /// Makes a log record durable, whole.
+    pub fn write(&mut self, record: &LogRecord) -> Outcome {
+        transaction(&self.connection, || self.apply(record))
     }
 
-    /// Makes a page durable.
-    pub fn write(&mut self, page: &LogRecord) -> Outcome {
-        transaction(&self.connection, || self.make(page))
+    /// Does one piece of work.
+    pub fn execute(&mut self, work: &Work) -> Outcome {
+        match work {
+            Work::LogRecord(record) => self.write(record),
+            // Rows are another file's.
+            Work::Commit(_) | Work::Lookup(_) => Outcome::NotDone(Cause::Other),
+        }
     }
 
-    fn make(&self, page: &LogRecord) -> rusqlite::Result<()> {
-        let c = &self.connection;
-        if let Some(from) = page.truncate_from {
-            c.prepare_cached("DELETE FROM entry WHERE place >= ?1")?.execute([from as i64])?;
+    fn apply(&self, record: &LogRecord) -> rusqlite::Result<()> {
+        if let Some(from) = record.truncate_from {
+            let mut truncate = self.connection.prepare_cached("DELETE FROM entry WHERE place >= ?1")?;
+            truncate.execute([from as i64])?;
         }
-        for (place, value) in &page.entries {
-            let sum = sum(&place.to_string(), value);
-            c.prepare_cached("INSERT OR REPLACE INTO entry VALUES(?1, ?2, ?3)")?.execute(params![
-                *place as i64,
-                value,
-                sum.as_slice()
-            ])?;
+        for (index, value) in &record.entries {
+            let mut put =
+                self.connection.prepare_cached("INSERT OR REPLACE INTO entry VALUES(?1, ?2, ?3)")?;
+            let checksum = checksum(&index.to_string(), value);
+            put.execute(params![*index as i64, value, checksum.as_slice()])?;
         }
-        if let Some(to) = page.compact_through {
-            c.prepare_cached("DELETE FROM entry WHERE place <= ?1")?.execute([to as i64])?;
+        if let Some(through) = record.compact_through {
+            let mut compact = self.connection.prepare_cached("DELETE FROM entry WHERE place <= ?1")?;
+            compact.execute([through as i64])?;
         }
-        for (name, value) in [("state", &page.hard_state), ("base", &page.snapshot)] {
+        for (name, value) in [(HARD_STATE, &record.hard_state), (SNAPSHOT, &record.snapshot)] {
             let Some(value) = value else { continue };
-            let sum = sum(name, value);
-            let mut put = c.prepare_cached("INSERT OR REPLACE INTO cell VALUES(?1, ?2, ?3)")?;
-            put.execute(params![name, value, sum.as_slice()])?;
+            let mut put = self.connection.prepare_cached("INSERT OR REPLACE INTO cell VALUES(?1, ?2, ?3)")?;
+            put.execute(params![name, value, checksum(name, value).as_slice()])?;
         }
         Ok(())
     }
 }
 
-impl crate::worker::Backend for ConsensusLog {
-    fn work(&mut self, work: &Work) -> Outcome {
-        match work {
-            Work::LogRecord(page) => self.write(page),
-            // Rows are another file's.
-            Work::Commit(_) | Work::Ask(_) => Outcome::NotDone(Cause::Other),
-        }
-    }
+fn read_cells(connection: &Connection) -> rusqlite::Result<Vec<Stored<String>>> {
+    let mut statement = connection.prepare("SELECT name, value, sum FROM cell")?;
+    statement.query_map([], stored)?.collect()
+}
+
+fn read_entries(connection: &Connection) -> rusqlite::Result<Vec<Stored<i64>>> {
+    let mut statement = connection.prepare("SELECT place, value, sum FROM entry ORDER BY place")?;
+    statement.query_map([], stored)?.collect()
 }
 
-type Cells = Vec<(String, Vec<u8>, [u8; 8])>;
-type Entries = Vec<(i64, Vec<u8>, [u8; 8])>;
+fn stored<K: rusqlite::types::FromSql>(columns: &rusqlite::Row<'_>) -> rusqlite::Result<Stored<K>> {
+    Ok(Stored { place: columns.get(0)?, value: columns.get(1)?, checksum: columns.get(2)? })
+}
 
-fn read(connection: &Connection) -> rusqlite::Result<(Cells, Entries)> {
-    let mut cells = connection.prepare("SELECT name, value, sum FROM cell")?;
-    let cells = cells.query_map([], |r| Ok((r.get(0)?, r.get(1)?, r.get(2)?)))?.collect::<Result<_, _>>()?;
-    let mut entries = connection.prepare("SELECT place, value, sum FROM entry ORDER BY place")?;
-    let entries =
-        entries.query_map([], |r| Ok((r.get(0)?, r.get(1)?, r.get(2)?)))?.collect::<Result<_, _>>()?;
-    Ok((cells, entries))
+/// What the values say, if each is as it was written; otherwise which one is not.
+fn verify(cells: Vec<Stored<String>>, entries: Vec<Stored<i64>>) -> Result<RecoveredLog, String> {
+    let mut recovered = RecoveredLog::default();
+    for cell in cells {
+        if cell.checksum != checksum(&cell.place, &cell.value) {
+            return Err(cell.place);
+        }
+        match cell.place.as_str() {
+            HARD_STATE => recovered.hard_state = Some(cell.value),
+            SNAPSHOT => recovered.snapshot = Some(cell.value),
+            _ => return Err(cell.place),
+        }
+    }
+    for entry in entries {
+        if entry.checksum != checksum(&entry.place.to_string(), &entry.value) {
+            return Err(format!("entry {}", entry.place));
+        }
+        recovered.entries.push((entry.place as u64, entry.value));
+    }
+    Ok(recovered)
 }
--- a/crates/idempotency/src/postgres/mod.rs
+++ b/crates/idempotency/src/postgres/mod.rs
@@ -1,75 +1,44 @@
 //! One connection to PostgreSQL as a state machine: bytes in, bytes and events out.
 //!
 //! It logs in (SCRAM-SHA-256, or whatever asks for no password), finds or makes its tables, takes this node's name
-//! with a new epoch, reads what an earlier life left, and then does one piece of work at a time: pipelined prepared
-//! statements up to one Sync, which the server carries out as one transaction. It owns no socket and no clock.
+//! with a new epoch, reads what an earlier incarnation left, and then does one piece of work at a time: pipelined
+//! prepared statements up to one Sync, which the server carries out as one transaction. It owns no socket and no clock.
 //!
-//! Two things make a late or second writer harmless. Each batch begins with a guard that fails unless this life's
-//! epoch still holds the name; and a row only ever replaces one of an earlier stamp or state.
+//! Two things make a late or second writer harmless. Each batch begins with a fence that fails unless this incarnation's
+//! epoch still holds the name; and a row only ever replaces one of an earlier sequence number or state.
+//!
+//! It does not bound how long the server takes; after any [`SessionError`] the connection is of no use.
+
+mod codec;
+mod server_error;
+pub mod sql;
 
-use crate::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
+pub use crate::error::SessionError;
+pub use server_error::ServerError;
+
+use crate::error::StartStep;
+use crate::row::{Batch, Cause, Outcome, Recovery, Row, Work, Write};
 use bytes::BytesMut;
+use codec::{Param, decode_int8, decode_row, write_call};
 use fallible_iterator::FallibleIterator;
-use postgres_protocol::IsNull;
 use postgres_protocol::authentication::sasl::{ChannelBinding, SCRAM_SHA_256, ScramSha256};
-use postgres_protocol::message::backend::{DataRowBody, ErrorResponseBody, Header, Message};
+use postgres_protocol::message::backend::{
+    AuthenticationSaslBody, CommandCompleteBody, DataRowBody, Header, Message,
+};
 use postgres_protocol::message::frontend;
+use sql::Statement;
 use std::fmt;
+use std::mem;
 use std::rc::Rc;
 
-/// Longest message of the server: a row takes under 6 KiB; a notice may be long.
-const MOST_MESSAGE: usize = 256 * 1024;
-/// Rows read in one go at the start.
-const PAGE: usize = 1_000;
-/// The version of the tables.
-pub const VERSION: i32 = 1;
-
-/// The statements, as they are sent.
-pub mod sql {
-    /// The version of the tables that there are.
-    pub const VERSION: &str = "SELECT version FROM gaugestand_schema";
-    /// Makes the tables; two nodes that start at once wait for each other.
-    pub const SCHEMA: &str = "\
-SELECT pg_advisory_xact_lock(1735619684);
-CREATE TABLE IF NOT EXISTS gaugestand_schema(version int NOT NULL);
-INSERT INTO gaugestand_schema SELECT 1 WHERE NOT EXISTS (SELECT 1 FROM gaugestand_schema);
-CREATE TABLE IF NOT EXISTS gaugestand_node(node text PRIMARY KEY, epoch bigint NOT NULL, beat bigint NOT NULL);
-CREATE TABLE IF NOT EXISTS gaugestand_record(
-    node text, key text, holder bytea NOT NULL, print bytea NOT NULL, ran bigint NOT NULL, until bigint NOT NULL,
-    stamp bigint NOT NULL, state smallint NOT NULL, result bytea, PRIMARY KEY(node, key));";
-    /// Takes the name: node.
-    pub const ADOPT: &str = "INSERT INTO gaugestand_node VALUES($1, 1, 0) \
-ON CONFLICT (node) DO UPDATE SET epoch = gaugestand_node.epoch + 1 RETURNING epoch";
-    /// One page of a node's rows: node, last key before them, how many.
-    pub const LOAD: &str = "SELECT key, holder, print, ran, until, stamp, state, result FROM gaugestand_record \
-WHERE node = $1 AND key > $2 ORDER BY key LIMIT $3";
-    /// Fails, by a division by zero, unless the name is still held in this epoch: node, epoch.
-    pub const GUARD: &str = "UPDATE gaugestand_node SET beat = beat + 1 / (CASE WHEN epoch = $2 THEN 1 ELSE 0 END) \
-WHERE node = $1";
-    /// A row: node, key, holder, print, ran, until, stamp, state, result.
-    pub const PUT: &str = "INSERT INTO gaugestand_record VALUES($1, $2, $3, $4, $5, $6, $7, $8, $9) \
-ON CONFLICT (node, key) DO UPDATE SET holder = excluded.holder, print = excluded.print, ran = excluded.ran, \
-until = excluded.until, stamp = excluded.stamp, state = excluded.state, result = excluded.result \
-WHERE excluded.stamp > gaugestand_record.stamp \
-OR excluded.stamp = gaugestand_record.stamp AND gaugestand_record.state = 0";
-    /// Removes a row: node, key, its latest stamp.
-    pub const REMOVE: &str = "DELETE FROM gaugestand_record WHERE node = $1 AND key = $2 AND stamp <= $3";
-    /// The row of a key: node, key.
-    pub const ASK: &str = "SELECT key, holder, print, ran, until, stamp, state, result FROM gaugestand_record \
-WHERE node = $1 AND key = $2";
-    /// Removes rows past their window: node, now.
-    pub const PRUNE: &str = "DELETE FROM gaugestand_record WHERE node = $1 AND until <= $2";
-    /// Names of the prepared statements, and their texts.
-    pub const PREPARED: &[(&str, &str)] = &[
-        ("adopt", ADOPT),
-        ("load", LOAD),
-        ("guard", GUARD),
-        ("put", PUT),
-        ("remove", REMOVE),
-        ("ask", ASK),
-        ("prune", PRUNE),
-    ];
-}
+/// Longest message of the server, in bytes: a row takes under 6 KiB; a notice may be long.
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
+/// Rows read in one query at the start, so that no answer takes much memory.
+const PAGE_ROWS: usize = 1_000;
+/// The version of the tables that this program makes and uses.
+pub const SCHEMA_VERSION: i32 = 1;
+/// How the server reports that the fence found the node's row and changed it.
+const FENCE_PASSED: &str = "UPDATE 1";
 
 /// Who logs in, and as which node.
 #[derive(Clone)]
@@ -94,126 +63,75 @@
 /// What came of the bytes.
 #[derive(Debug, PartialEq)]
 pub enum Event {
-    /// Work can be done; with what was found, if this is the first connection of this life.
+    /// Work can be done; with what was found, if this is the first connection of this incarnation.
     Ready(Option<Recovery>),
-    /// A batch is over.
+    /// The batch of this number is over.
     Outcome(u64, Outcome),
 }
 
-/// Why a connection is of no use; what is out on it is unknown.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault(pub String);
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-fn fault<T>(text: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault(text.into()))
-}
-
-fn garbled(e: impl fmt::Display) -> Fault {
-    Fault(format!("a reply that cannot be read: {e}"))
-}
-
-/// How far it has come.
+/// How far a session has come.
 enum Step {
     /// The server is to say how to log in.
-    Hello,
-    /// Password proof under way.
-    Proof(Box<ScramSha256>),
+    AwaitingAuthentication,
+    /// The proof of the password is under way.
+    ProvingPassword(Box<ScramSha256>),
     /// The proof of the server was good, or none was asked for.
-    Welcome,
-    /// Which tables there are is asked; the error that came, if any.
-    Version(Option<i32>, Option<Refusal>),
+    Authenticated,
+    /// The version of the tables is being read.
+    ReadingVersion(Option<i32>),
     /// The tables are being made.
-    Schema(Option<Refusal>),
+    CreatingTables,
     /// Statements are being prepared.
-    Prepare(Option<Refusal>),
-    /// The name is being taken.
-    Adopt(Option<u64>, Option<Refusal>),
+    Preparing,
+    /// The name is being taken; the new epoch, once it has come.
+    TakingName(Option<u64>),
     /// Rows are being read.
-    Load { recovery: Recovery, page: usize, last: String, refusal: Option<Refusal> },
-    /// Nothing is out.
+    Loading {
+        recovery: Recovery,
+        /// Rows of the present page so far.
+        page_rows: usize,
+        last_key: String,
+    },
+    /// Nothing is in flight.
     Idle,
-    /// A batch is out: its number, what was asked for and what has come of it.
-    Work { number: u64, asks: bool, rows: Vec<Row>, refusal: Option<Refusal>, unguarded: bool },
+    /// A batch is in flight.
+    Executing(BatchProgress),
 }
 
-/// An error response.
-#[derive(Clone, Debug, PartialEq, Eq)]
-struct Refusal {
-    code: String,
-    text: String,
+/// A batch, and what has come of it so far.
+struct BatchProgress {
+    number: u64,
+    is_lookup: bool,
+    /// Rows that were looked up.
+    rows: Vec<Row>,
+    /// The fence has not passed yet; without it nothing is known to be done.
+    is_unfenced: bool,
 }
 
-impl Refusal {
-    fn of(body: &ErrorResponseBody) -> Result<Self, Fault> {
-        let (mut code, mut text) = (String::new(), String::new());
-        let mut fields = body.fields();
-        while let Some(field) = fields.next().map_err(garbled)? {
-            let value = || {
-                String::from_utf8_lossy(field.value_bytes())
-                    .chars()
-                    .filter(|c| !c.is_control())
-                    .take(200)
-                    .collect()
-            };
-            match field.type_() {
-                b'C' => code = value(),
-                b'M' => text = value(),
-                _ => {}
-            }
-        }
-        Ok(Refusal { code, text })
-    }
-
-    /// What it says of a batch.
-    fn outcome(&self) -> Outcome {
-        let cause = match self.code.as_str() {
-            "40001" | "40P01" | "55P03" => Cause::Busy,
-            "53100" | "53200" | "53300" | "53400" => Cause::Full,
-            "25006" => Cause::ReadOnly,
-            // The division by zero of the guard.
-            "22012" => Cause::Fenced,
-            code if code.starts_with("08") || code.starts_with("57P") => Cause::Link,
-            _ => Cause::Other,
-        };
-        match self.code.as_str() {
-            // "Statement completion unknown", and a server that is going down: a commit may have gone through.
-            "40003" => Outcome::Unknown(cause),
-            _ if cause == Cause::Link => Outcome::Unknown(cause),
-            _ => Outcome::NotDone(cause),
+impl BatchProgress {
+    /// How the batch ended, if the server reported no error.
+    fn outcome(self) -> Outcome {
+        if self.is_lookup {
+            Outcome::Rows(self.rows)
+        } else if self.is_unfenced {
+            Outcome::Unknown(Cause::Fenced)
+        } else {
+            Outcome::Done
         }
     }
 }
 
-impl fmt::Display for Refusal {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} ({})", self.text, self.code)
-    }
-}
-
-/// One parameter of a statement, in the binary form of its type.
-enum Param<'a> {
-    Text(&'a str),
-    Bytes(&'a [u8]),
-    Null,
-    Big(i64),
-    Small(i16),
-}
-
-/// A connection.
+/// A session on one connection.
 pub struct Session {
     login: Rc<Login>,
-    /// The epoch of this life, once it has one.
+    /// The epoch of this incarnation, once it has one.
     epoch: Option<u64>,
-    most_rows: usize,
-    /// Only looks: the name is not taken, so that a node that has it goes on undisturbed.
-    looks: bool,
+    max_rows: usize,
+    /// The name is not taken, so that a node that has it goes on undisturbed.
+    is_read_only: bool,
     step: Step,
+    /// The first error that the server reported in this step.
+    step_error: Option<ServerError>,
     input: BytesMut,
     output: BytesMut,
 }
@@ -224,10 +142,19 @@
     }
 }
 
+/// A message that cannot be read or written.
+fn unreadable(error: impl fmt::Display) -> SessionError {
+    SessionError::Unreadable(error.to_string())
+}
+
+fn login_error(error: impl fmt::Display) -> SessionError {
+    SessionError::Login(error.to_string())
+}
+
 impl Session {
-    /// A session on a connection that was just made. `epoch` is that of an earlier connection of this life, if
-    /// there was one; else the name is taken, and up to `most_rows` rows are read.
-    pub fn new(login: Rc<Login>, epoch: Option<u64>, most_rows: usize) -> Result<Self, Fault> {
+    /// A session on a connection that was just made. `epoch` is that of an earlier connection of this incarnation, if
+    /// there was one; else the name is taken, and up to `max_rows` rows are read.
+    pub fn new(login: Rc<Login>, epoch: Option<u64>, max_rows: usize) -> Result<Self, SessionError> {
         let mut output = BytesMut::new();
         let parameters = [
             ("user", login.user.as_str()),
@@ -235,130 +162,140 @@
             ("application_name", "gaugestand"),
             ("client_encoding", "UTF8"),
         ];
-        frontend::startup_message(parameters, &mut output).map_err(|e| Fault(format!("login: {e}")))?;
-        let (step, input, looks) = (Step::Hello, BytesMut::new(), false);
-        Ok(Session { login, epoch, most_rows, looks, step, input, output })
+        frontend::startup_message(parameters, &mut output).map_err(login_error)?;
+        Ok(Session {
+            login,
+            epoch,
+            max_rows,
+            is_read_only: false,
+            step: Step::AwaitingAuthentication,
+            step_error: None,
+            input: BytesMut::new(),
+            output,
+        })
     }
 
     /// A session that reads a node's rows beside that node, or removes old ones; it can make no batch.
-    pub fn look(login: Rc<Login>) -> Result<Self, Fault> {
-        Ok(Session { looks: true, ..Session::new(login, None, usize::MAX)? })
+    pub fn read_only(login: Rc<Login>) -> Result<Self, SessionError> {
+        Ok(Session { is_read_only: true, ..Session::new(login, None, usize::MAX)? })
     }
 
-    /// The epoch of this life, once the name is taken.
+    /// The epoch of this incarnation, once the name is taken.
     pub fn epoch(&self) -> Option<u64> {
         self.epoch
     }
 
-    /// What is to be sent.
+    /// Takes what is to be sent.
     pub fn output(&mut self) -> Vec<u8> {
         self.output.split().to_vec()
     }
 
     /// Takes in what was read.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<Event>, Fault> {
+    pub fn receive(&mut self, bytes: &[u8]) -> Result<Vec<Event>, SessionError> {
         self.input.extend_from_slice(bytes);
         let mut events = Vec::new();
         loop {
-            match Header::parse(&self.input).map_err(garbled)? {
+            match Header::parse(&self.input).map_err(unreadable)? {
                 // Guards against a length that would have memory set aside for what never comes.
-                Some(header) if header.len().max(0) as usize > MOST_MESSAGE => {
-                    return fault("a reply that is too long");
+                Some(header) if header.len().max(0) as usize > MAX_MESSAGE_BYTES => {
+                    return Err(SessionError::TooLong);
                 }
                 Some(_) => {}
                 None => return Ok(events),
             }
-            let Some(message) = Message::parse(&mut self.input).map_err(garbled)? else { return Ok(events) };
-            events.extend(self.message(message)?);
+            let Some(message) = Message::parse(&mut self.input).map_err(unreadable)? else {
+                return Ok(events);
+            };
+            events.extend(self.on_message(message)?);
         }
     }
 
-    /// Begins a batch; false if another is out or the session is not ready.
-    pub fn submit(&mut self, batch: &Batch) -> Result<bool, Fault> {
+    /// Begins a batch; false if another is in flight or the session is not ready.
+    pub fn submit(&mut self, batch: &Batch) -> Result<bool, SessionError> {
         if !matches!(self.step, Step::Idle) {
             return Ok(false);
         }
-        let node = self.login.node.clone();
-        let (mut asks, mut unguarded) = (false, false);
-        match &batch.work {
-            // An agreed log is a file's alone.
+        let is_lookup = match &batch.work {
+            // A consensus log is a file's alone.
             Work::LogRecord(_) => return Ok(false),
-            Work::Ask(keys) => {
-                asks = true;
-                for key in keys {
-                    self.call("ask", &[Param::Text(&node), Param::Text(key)])?;
-                }
+            Work::Lookup(keys) => {
+                self.send_lookup(keys)?;
+                true
             }
             Work::Commit(writes) => {
-                unguarded = true;
-                let epoch = self.epoch.unwrap_or_default() as i64;
-                self.call("guard", &[Param::Text(&node), Param::Big(epoch)])?;
-                for write in writes {
-                    self.write(&node, write)?;
-                }
+                self.send_commit(writes)?;
+                false
             }
-        }
-        frontend::sync(&mut self.output);
-        self.step = Step::Work { number: batch.number, asks, rows: Vec::new(), refusal: None, unguarded };
+        };
+        self.begin_batch(batch.number, is_lookup, !is_lookup);
         Ok(true)
     }
 
-    /// Begins the removal of rows that are past their window at `now`; ends as a batch of this number.
-    pub fn prune(&mut self, number: u64, now: u64) -> Result<(), Fault> {
+    /// Begins the removal of rows that are past their window at `now`, in microseconds of Unix time; ends as a batch of
+    /// this number.
+    pub fn prune(&mut self, number: u64, now: u64) -> Result<(), SessionError> {
         let node = self.login.node.clone();
-        self.call("prune", &[Param::Text(&node), Param::Big(now as i64)])?;
+        self.call(Statement::Prune, &[Param::Text(&node), Param::Int8(now as i64)])?;
+        self.begin_batch(number, false, false);
+        Ok(())
+    }
+
+    fn begin_batch(&mut self, number: u64, is_lookup: bool, is_unfenced: bool) {
         frontend::sync(&mut self.output);
-        self.step = Step::Work { number, asks: false, rows: Vec::new(), refusal: None, unguarded: false };
+        self.step_error = None;
+        self.step = Step::Executing(BatchProgress { number, is_lookup, rows: Vec::new(), is_unfenced });
+    }
+
+    fn send_lookup(&mut self, keys: &[String]) -> Result<(), SessionError> {
+        let node = self.login.node.clone();
+        for key in keys {
+            self.call(Statement::Lookup, &[Param::Text(&node), Param::Text(key)])?;
+        }
         Ok(())
     }
 
-    fn write(&mut self, node: &str, write: &Write) -> Result<(), Fault> {
+    fn send_commit(&mut self, writes: &[Write]) -> Result<(), SessionError> {
+        let node = self.login.node.clone();
+        let epoch = self.epoch.unwrap_or_default() as i64;
+        self.call(Statement::Fence, &[Param::Text(&node), Param::Int8(epoch)])?;
+        writes.iter().try_for_each(|write| self.send_write(&node, write))
+    }
+
+    fn send_write(&mut self, node: &str, write: &Write) -> Result<(), SessionError> {
         match write {
-            Write::Put(row) => {
-                let result = match &row.state {
-                    State::Good(result) => Param::Bytes(result),
-                    _ => Param::Null,
-                };
-                self.call(
-                    "put",
-                    &[
-                        Param::Text(node),
-                        Param::Text(&row.key),
-                        Param::Bytes(&row.holder.to_be_bytes()),
-                        Param::Bytes(&row.fingerprint.to_be_bytes()),
-                        Param::Big(row.ran as i64),
-                        Param::Big(row.until as i64),
-                        Param::Big(row.stamp as i64),
-                        Param::Small(row.state.code()),
-                        result,
-                    ],
-                )
+            Write::Put(row) => self.send_put(node, row),
+            Write::Remove { key, sequence } => {
+                let params = [Param::Text(node), Param::Text(key), Param::Int8(*sequence as i64)];
+                self.call(Statement::Remove, &params)
             }
-            Write::Remove { key, stamp } => {
-                self.call("remove", &[Param::Text(node), Param::Text(key), Param::Big(*stamp as i64)])
-            }
-            // The guard is a write, and all that a probe needs.
+            // The fence is a write, and all that a probe needs.
             Write::Probe => Ok(()),
         }
     }
 
-    fn call(&mut self, statement: &str, params: &[Param<'_>]) -> Result<(), Fault> {
-        let serialize = |param: &Param<'_>, buf: &mut BytesMut| {
-            match param {
-                Param::Text(text) => buf.extend_from_slice(text.as_bytes()),
-                Param::Bytes(bytes) => buf.extend_from_slice(bytes),
-                Param::Big(n) => buf.extend_from_slice(&n.to_be_bytes()),
-                Param::Small(n) => buf.extend_from_slice(&n.to_be_bytes()),
-                Param::Null => return Ok(IsNull::Yes),
-            }
-            Ok(IsNull::No)
-        };
-        frontend::bind("", statement, [1], params, serialize, [1], &mut self.output)
-            .map_err(|_| Fault("a statement that cannot be sent".to_string()))?;
-        frontend::execute("", 0, &mut self.output).map_err(garbled)
+    fn send_put(&mut self, node: &str, row: &Row) -> Result<(), SessionError> {
+        let params = [
+            Param::Text(node),
+            Param::Text(&row.key),
+            Param::Bytes(&row.holder.to_be_bytes()),
+            Param::Bytes(&row.fingerprint.to_be_bytes()),
+            Param::Int8(row.ingress as i64),
+            Param::Int8(row.expires as i64),
+            Param::Int8(row.sequence as i64),
+            Param::Int2(row.state.code()),
+            row.state.result().map_or(Param::Null, Param::Bytes),
+        ];
+        self.call(Statement::Put, &params)
+    }
+
+    fn call(&mut self, statement: Statement, params: &[Param<'_>]) -> Result<(), SessionError> {
+        write_call(statement, params, &mut self.output)
     }
+}
 
-    fn message(&mut self, message: Message) -> Result<Option<Event>, Fault> {
+/// What the server sends.
+impl Session {
+    fn on_message(&mut self, message: Message) -> Result<Option<Event>, SessionError> {
         match message {
             Message::ParameterStatus(_)
             | Message::NoticeResponse(_)
@@ -370,234 +307,231 @@
             | Message::ParameterDescription(_)
             | Message::NoData
             | Message::EmptyQueryResponse => Ok(None),
-            Message::ErrorResponse(body) => self.refused(Refusal::of(&body)?).map(|()| None),
-            Message::DataRow(body) => self.row(&body).map(|()| None),
-            Message::CommandComplete(body) => {
-                if let Step::Work { unguarded, .. } = &mut self.step {
-                    // The first to complete is the guard; it must have found the node's row.
-                    let tag = body.tag().map_err(garbled)?;
-                    *unguarded &= tag != "UPDATE 1";
-                }
-                Ok(None)
-            }
-            Message::ReadyForQuery(_) => self.ready(),
-            other => self.login_message(other).map(|()| None),
+            Message::ErrorResponse(body) => self.on_error(ServerError::parse(&body)?).map(|()| None),
+            Message::DataRow(body) => self.on_row(&body).map(|()| None),
+            Message::CommandComplete(body) => self.on_command_complete(&body).map(|()| None),
+            Message::ReadyForQuery(_) => self.on_ready(),
+            other => self.on_authentication(other).map(|()| None),
         }
     }
 
-    fn login_message(&mut self, message: Message) -> Result<(), Fault> {
-        let step = std::mem::replace(&mut self.step, Step::Hello);
+    fn on_authentication(&mut self, message: Message) -> Result<(), SessionError> {
+        let step = mem::replace(&mut self.step, Step::AwaitingAuthentication);
         self.step = match (step, message) {
-            (Step::Hello, Message::AuthenticationOk) => Step::Welcome,
-            (Step::Hello, Message::AuthenticationSasl(body)) => {
-                let mut mechanisms = body.mechanisms();
-                let mut known = false;
-                while let Some(m) = mechanisms.next().map_err(garbled)? {
-                    known |= m == SCRAM_SHA_256;
-                }
-                if !known {
-                    return fault("login: the server offers no SCRAM-SHA-256");
-                }
-                let scram = ScramSha256::new(&self.login.password, ChannelBinding::unsupported());
-                frontend::sasl_initial_response(SCRAM_SHA_256, scram.message(), &mut self.output)
-                    .map_err(garbled)?;
-                Step::Proof(Box::new(scram))
-            }
-            (Step::Proof(mut scram), Message::AuthenticationSaslContinue(body)) => {
-                scram.update(body.data()).map_err(|e| Fault(format!("login: {e}")))?;
-                frontend::sasl_response(scram.message(), &mut self.output).map_err(garbled)?;
-                Step::Proof(scram)
+            (Step::AwaitingAuthentication, Message::AuthenticationOk) => Step::Authenticated,
+            (Step::AwaitingAuthentication, Message::AuthenticationSasl(body)) => self.begin_scram(&body)?,
+            (Step::ProvingPassword(mut scram), Message::AuthenticationSaslContinue(body)) => {
+                scram.update(body.data()).map_err(login_error)?;
+                frontend::sasl_response(scram.message(), &mut self.output).map_err(unreadable)?;
+                Step::ProvingPassword(scram)
             }
             // Guards against a server that does not know the password either.
-            (Step::Proof(mut scram), Message::AuthenticationSaslFinal(body)) => {
-                scram.finish(body.data()).map_err(|e| Fault(format!("login: {e}")))?;
-                Step::Welcome
+            (Step::ProvingPassword(mut scram), Message::AuthenticationSaslFinal(body)) => {
+                scram.finish(body.data()).map_err(login_error)?;
+                Step::Authenticated
             }
-            (Step::Welcome, Message::AuthenticationOk) => Step::Welcome,
+            (Step::Authenticated, Message::AuthenticationOk) => Step::Authenticated,
             (
-                Step::Hello,
+                Step::AwaitingAuthentication,
                 Message::AuthenticationMd5Password(_) | Message::AuthenticationCleartextPassword,
-            ) => {
-                return fault(
-                    "login: the server asks for a password in a weak form; set scram-sha-256 for this role",
-                );
-            }
-            _ => return fault("a reply out of turn"),
+            ) => return Err(SessionError::WeakPassword),
+            _ => return Err(SessionError::OutOfTurn),
         };
         Ok(())
     }
 
-    fn refused(&mut self, refusal: Refusal) -> Result<(), Fault> {
-        let place = match &mut self.step {
-            Step::Version(_, place)
-            | Step::Schema(place)
-            | Step::Prepare(place)
-            | Step::Adopt(_, place)
-            | Step::Load { refusal: place, .. }
-            | Step::Work { refusal: place, .. } => place,
-            // Nothing is out, so the server ends the connection for a reason of its own.
-            Step::Hello | Step::Proof(_) | Step::Welcome => return fault(format!("login: {refusal}")),
-            Step::Idle => return fault(refusal.to_string()),
-        };
-        place.get_or_insert(refusal);
-        Ok(())
+    fn begin_scram(&mut self, body: &AuthenticationSaslBody) -> Result<Step, SessionError> {
+        let mut mechanisms = body.mechanisms();
+        let mut is_offered = false;
+        while let Some(mechanism) = mechanisms.next().map_err(unreadable)? {
+            is_offered |= mechanism == SCRAM_SHA_256;
+        }
+        if !is_offered {
+            return Err(SessionError::NoScram);
+        }
+        let scram = ScramSha256::new(&self.login.password, ChannelBinding::unsupported());
+        frontend::sasl_initial_response(SCRAM_SHA_256, scram.message(), &mut self.output)
+            .map_err(unreadable)?;
+        Ok(Step::ProvingPassword(Box::new(scram)))
     }
 
-    fn row(&mut self, body: &DataRowBody) -> Result<(), Fault> {
+    fn on_error(&mut self, error: ServerError) -> Result<(), SessionError> {
+        match &self.step {
+            // The server ends the connection for a reason of its own, as nothing is in flight.
+            Step::Idle => Err(SessionError::Ended(error)),
+            Step::AwaitingAuthentication | Step::ProvingPassword(_) | Step::Authenticated => {
+                Err(SessionError::LoginRefused(error))
+            }
+            Step::ReadingVersion(_)
+            | Step::CreatingTables
+            | Step::Preparing
+            | Step::TakingName(_)
+            | Step::Loading { .. }
+            | Step::Executing(_) => {
+                self.step_error.get_or_insert(error);
+                Ok(())
+            }
+        }
+    }
+
+    fn on_row(&mut self, body: &DataRowBody) -> Result<(), SessionError> {
+        let column = |range: Option<std::ops::Range<usize>>| range.and_then(|range| body.buffer().get(range));
         let columns: Vec<Option<&[u8]>> =
-            body.ranges().map(|r| Ok(r.and_then(|r| body.buffer().get(r)))).collect().map_err(garbled)?;
-        let most = self.most_rows;
+            body.ranges().map(|range| Ok(column(range))).collect().map_err(unreadable)?;
+        let first = columns.first().copied().flatten();
         match &mut self.step {
-            Step::Version(version, _) => {
+            Step::ReadingVersion(version) => {
                 // This one comes as text: it was asked for with a simple query.
-                let text = columns.first().copied().flatten().and_then(|t| std::str::from_utf8(t).ok());
-                *version = text.and_then(|t| t.parse().ok());
-            }
-            // The lock of the schema query gives a row with nothing in it.
-            Step::Schema(_) => {}
-            Step::Adopt(epoch, _) => {
-                *epoch = columns.first().copied().flatten().and_then(big).map(|n| n as u64)
+                let text = first.and_then(|text| std::str::from_utf8(text).ok());
+                *version = text.and_then(|text| text.parse().ok());
             }
-            Step::Load { recovery, page, last, .. } => {
-                let row = record(&columns)?;
-                last.clone_from(&row.key);
-                *page += 1;
+            // The lock that is taken with the tables gives a row with nothing in it.
+            Step::CreatingTables => {}
+            Step::TakingName(epoch) => *epoch = first.and_then(decode_int8).map(|number| number as u64),
+            Step::Loading { recovery, page_rows, last_key } => {
+                let row = decode_row(&columns)?;
+                last_key.clone_from(&row.key);
+                *page_rows += 1;
                 recovery.found += 1;
-                if recovery.found as usize > most {
+                if recovery.found as usize > self.max_rows {
                     recovery.rows = Vec::new();
                 } else {
                     recovery.rows.push(row);
                 }
             }
-            Step::Work { rows, asks: true, .. } => rows.push(record(&columns)?),
-            _ => return fault("a row that nobody asked for"),
+            Step::Executing(batch) if batch.is_lookup => batch.rows.push(decode_row(&columns)?),
+            _ => return Err(SessionError::UnexpectedRow),
         }
         Ok(())
     }
 
-    /// The server is through with what was out.
-    fn ready(&mut self) -> Result<Option<Event>, Fault> {
-        let step = std::mem::replace(&mut self.step, Step::Idle);
-        let refused = |what: &str, r: Refusal| fault(format!("{what}: {r}"));
+    fn on_command_complete(&mut self, body: &CommandCompleteBody) -> Result<(), SessionError> {
+        if let Step::Executing(batch) = &mut self.step {
+            // The first to complete is the fence; it must have found the node's row.
+            let tag = body.tag().map_err(unreadable)?;
+            batch.is_unfenced &= tag != FENCE_PASSED;
+        }
+        Ok(())
+    }
+
+    /// The server is through with all that was in flight.
+    fn on_ready(&mut self) -> Result<Option<Event>, SessionError> {
+        let step = mem::replace(&mut self.step, Step::Idle);
+        let error = self.step_error.take();
         match step {
-            Step::Welcome => {
-                self.ask_version()?;
-            }
-            Step::Version(Some(VERSION), _) => self.prepare()?,
-            Step::Version(Some(version), _) => {
-                return fault(format!(
-                    "its tables are of version {version}, this program knows {VERSION}; use the newer program"
-                ));
-            }
-            // "Undefined table": there is nothing yet.
-            Step::Version(None, Some(r)) if r.code == "42P01" && self.looks => {
-                return fault("there are no tables of a store of record");
+            Step::Authenticated => self.read_version()?,
+            Step::ReadingVersion(version) => self.on_version(version, error)?,
+            Step::CreatingTables => {
+                refused(StartStep::CreateTables, error)?;
+                self.read_version()?;
             }
-            Step::Version(None, Some(r)) if r.code == "42P01" => {
-                frontend::query(sql::SCHEMA, &mut self.output).map_err(garbled)?;
-                self.step = Step::Schema(None);
+            Step::Preparing => {
+                refused(StartStep::Prepare, error)?;
+                return self.on_prepared();
             }
-            Step::Version(None, Some(r)) => return refused("its tables cannot be read", r),
-            Step::Version(None, None) => {
-                return fault("its table of versions is empty; it is no store of record");
+            Step::TakingName(epoch) => {
+                refused(StartStep::TakeName, error)?;
+                let epoch = epoch.ok_or(SessionError::NoEpoch)?;
+                self.load_page(Recovery { epoch, ..Recovery::default() }, String::new())?;
             }
-            Step::Schema(Some(r)) => return refused("its tables cannot be made", r),
-            Step::Schema(None) => self.ask_version()?,
-            Step::Prepare(Some(r)) => return refused("its tables are not as they should be", r),
-            Step::Prepare(None) if self.looks => self.load(Recovery::default(), String::new())?,
-            Step::Prepare(None) if self.epoch.is_some() => return Ok(Some(Event::Ready(None))),
-            Step::Prepare(None) => {
-                let login = self.login.clone();
-                self.call("adopt", &[Param::Text(&login.node)])?;
-                frontend::sync(&mut self.output);
-                self.step = Step::Adopt(None, None);
+            Step::Loading { recovery, page_rows, last_key } => {
+                refused(StartStep::LoadRows, error)?;
+                return self.on_page(recovery, page_rows, last_key);
             }
-            Step::Adopt(_, Some(r)) => return refused("the node's name cannot be taken", r),
-            Step::Adopt(Some(epoch), None) => {
-                self.load(Recovery { epoch, ..Recovery::default() }, String::new())?;
-            }
-            Step::Adopt(None, None) => return fault("no epoch came back"),
-            Step::Load { refusal: Some(r), .. } => return refused("its rows cannot be read", r),
-            Step::Load { recovery, page, last, .. } => {
-                let over = recovery.found as usize > self.most_rows;
-                if page == PAGE && !over {
-                    self.load(recovery, last)?;
-                } else {
-                    self.epoch = Some(recovery.epoch).filter(|_| !self.looks);
-                    return Ok(Some(Event::Ready(Some(recovery))));
-                }
+            Step::Executing(batch) => {
+                let number = batch.number;
+                let outcome = error.map_or_else(|| batch.outcome(), |error| error.outcome());
+                return Ok(Some(Event::Outcome(number, outcome)));
             }
-            Step::Work { number, refusal: Some(r), .. } => {
-                return Ok(Some(Event::Outcome(number, r.outcome())));
+            Step::AwaitingAuthentication | Step::ProvingPassword(_) | Step::Idle => {
+                return Err(SessionError::ReadyOutOfTurn);
             }
-            Step::Work { number, asks: true, rows, .. } => {
-                return Ok(Some(Event::Outcome(number, Outcome::Rows(rows))));
-            }
-            Step::Work { number, unguarded: true, .. } => {
-                return Ok(Some(Event::Outcome(number, Outcome::Unknown(Cause::Fenced))));
+        }
+        Ok(None)
+    }
+
+    fn on_version(&mut self, version: Option<i32>, error: Option<ServerError>) -> Result<(), SessionError> {
+        match (version, error) {
+            (Some(SCHEMA_VERSION), _) => self.prepare(),
+            (Some(version), _) => Err(SessionError::NewerTables { version, known: SCHEMA_VERSION }),
+            (None, Some(error)) if error.is_undefined_table() && self.is_read_only => {
+                Err(SessionError::NoTables)
             }
-            Step::Work { number, .. } => return Ok(Some(Event::Outcome(number, Outcome::Done))),
-            Step::Hello | Step::Proof(_) | Step::Idle => return fault("ready out of turn"),
+            (None, Some(error)) if error.is_undefined_table() => self.create_tables(),
+            (None, Some(error)) => Err(SessionError::Refused { step: StartStep::ReadVersion, error }),
+            (None, None) => Err(SessionError::NoVersion),
+        }
+    }
+
+    fn on_prepared(&mut self) -> Result<Option<Event>, SessionError> {
+        if self.is_read_only {
+            self.load_page(Recovery::default(), String::new())?;
+        } else if self.epoch.is_some() {
+            return Ok(Some(Event::Ready(None)));
+        } else {
+            self.take_name()?;
         }
         Ok(None)
     }
 
-    fn ask_version(&mut self) -> Result<(), Fault> {
-        frontend::query(sql::VERSION, &mut self.output).map_err(garbled)?;
-        self.step = Step::Version(None, None);
+    fn on_page(
+        &mut self,
+        recovery: Recovery,
+        page_rows: usize,
+        last_key: String,
+    ) -> Result<Option<Event>, SessionError> {
+        let has_too_many = recovery.found as usize > self.max_rows;
+        if page_rows == PAGE_ROWS && !has_too_many {
+            self.load_page(recovery, last_key)?;
+            return Ok(None);
+        }
+        self.epoch = Some(recovery.epoch).filter(|_| !self.is_read_only);
+        Ok(Some(Event::Ready(Some(recovery))))
+    }
+}
+
+/// An error that the server reported ends the start at this step.
+fn refused(step: StartStep, error: Option<ServerError>) -> Result<(), SessionError> {
+    error.map_or(Ok(()), |error| Err(SessionError::Refused { step, error }))
+}
+
+/// The steps of a session's start.
+impl Session {
+    fn read_version(&mut self) -> Result<(), SessionError> {
+        frontend::query(sql::READ_VERSION, &mut self.output).map_err(unreadable)?;
+        self.step = Step::ReadingVersion(None);
+        Ok(())
+    }
+
+    fn create_tables(&mut self) -> Result<(), SessionError> {
+        frontend::query(sql::CREATE_TABLES, &mut self.output).map_err(unreadable)?;
+        self.step = Step::CreatingTables;
         Ok(())
     }
 
-    fn prepare(&mut self) -> Result<(), Fault> {
-        for (name, text) in sql::PREPARED {
-            frontend::parse(name, text, [], &mut self.output).map_err(garbled)?;
+    fn prepare(&mut self) -> Result<(), SessionError> {
+        for statement in Statement::ALL {
+            frontend::parse(statement.name(), statement.text(), [], &mut self.output).map_err(unreadable)?;
         }
         frontend::sync(&mut self.output);
-        self.step = Step::Prepare(None);
+        self.step = Step::Preparing;
         Ok(())
     }
 
-    fn load(&mut self, recovery: Recovery, last: String) -> Result<(), Fault> {
+    fn take_name(&mut self) -> Result<(), SessionError> {
         let login = self.login.clone();
-        self.call("load", &[Param::Text(&login.node), Param::Text(&last), Param::Big(PAGE as i64)])?;
+        self.call(Statement::TakeName, &[Param::Text(&login.node)])?;
         frontend::sync(&mut self.output);
-        self.step = Step::Load { recovery, page: 0, last, refusal: None };
+        self.step = Step::TakingName(None);
         Ok(())
     }
-}
 
-fn big(bytes: &[u8]) -> Option<i64> {
-    Some(i64::from_be_bytes(bytes.try_into().ok()?))
-}
-
-/// A row of the table, in binary.
-fn record(columns: &[Option<&[u8]>]) -> Result<Row, Fault> {
-    let [
-        Some(key),
-        Some(holder),
-        Some(fingerprint),
-        Some(ran),
-        Some(until),
-        Some(stamp),
-        Some(state),
-        result,
-    ] = columns
-    else {
-        return fault("a row of another form");
-    };
-    let number = |b: &[u8]| Some(u128::from_be_bytes(b.try_into().ok()?));
-    let time = |b: &[u8]| big(b).map(|n| n as u64);
-    let row = || {
-        let code = i16::from_be_bytes((*state).try_into().ok()?);
-        Some(Row {
-            key: String::from_utf8(key.to_vec()).ok()?,
-            holder: number(holder)?,
-            fingerprint: number(fingerprint)?,
-            ran: time(ran)?,
-            until: time(until)?,
-            stamp: time(stamp)?,
-            state: State::of(code.into(), result.map(<[u8]>::to_vec))?,
-        })
-    };
-    row().ok_or_else(|| Fault("a row of another form".to_string()))
+    fn load_page(&mut self, recovery: Recovery, last_key: String) -> Result<(), SessionError> {
+        let login = self.login.clone();
+        let params = [Param::Text(&login.node), Param::Text(&last_key), Param::Int8(PAGE_ROWS as i64)];
+        self.call(Statement::LoadPage, &params)?;
+        frontend::sync(&mut self.output);
+        self.step = Step::Loading { recovery, page_rows: 0, last_key };
+        Ok(())
+    }
 }
--- a/crates/idempotency/src/row.rs
+++ b/crates/idempotency/src/row.rs
@@ -1,38 +1,46 @@
-//! What the ledger and the backends say to each other: rows, writes, batches and how they ended.
+//! What the idempotency table and its backends exchange: rows, writes, batches and how they ended.
 
 use gaugestand_admission::log_record::LogRecord;
 use std::fmt;
 
 /// What a row says of its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum RowState {
     /// A run was about to begin; whether it did is not known from this row.
     Intent,
     /// It ran to this result.
-    Good(Vec<u8>),
+    Completed(Vec<u8>),
     /// It ran and has no result.
     Failed,
 }
 
-impl State {
+impl RowState {
     /// The number that stands for it in a store.
     pub fn code(&self) -> i16 {
         match self {
-            State::Intent => 0,
-            State::Good(_) => 1,
-            State::Failed => 2,
+            RowState::Intent => 0,
+            RowState::Completed(_) => 1,
+            RowState::Failed => 2,
         }
     }
 
     /// From its number and the stored bytes; `None` for a number that is not known.
-    pub fn of(code: i64, result: Option<Vec<u8>>) -> Option<State> {
+    pub fn from_code(code: i64, result: Option<Vec<u8>>) -> Option<RowState> {
         match code {
-            0 => Some(State::Intent),
-            1 => Some(State::Good(result.unwrap_or_default())),
-            2 => Some(State::Failed),
+            0 => Some(RowState::Intent),
+            1 => Some(RowState::Completed(result.unwrap_or_default())),
+            2 => Some(RowState::Failed),
             _ => None,
         }
     }
+
+    /// The result, if there is one.
+    pub fn result(&self) -> Option<&[u8]> {
+        match self {
+            RowState::Completed(result) => Some(result),
+            RowState::Intent | RowState::Failed => None,
+        }
+    }
 }
 
 /// One row: all that is kept of one key.
@@ -40,39 +48,41 @@
 pub struct Row {
     /// The key.
     pub key: String,
-    /// The try that ran, or was about to.
+    /// The attempt that ran, or was about to.
     pub holder: u128,
-    /// Fingerprint of the body.
+    /// Fingerprint of its body.
     pub fingerprint: u128,
-    /// Unix time, in microseconds, at which that try reached the machine.
-    pub ran: u64,
-    /// Unix time, in microseconds, of the end of its window.
-    pub until: u64,
-    /// Grows with every intent of a node's name, over restarts: a late one never replaces a later one.
-    pub stamp: u64,
-    /// What is known.
-    pub state: State,
+    /// When that attempt reached the machine, in microseconds of Unix time (column `ran`).
+    pub ingress: u64,
+    /// End of its deduplication window, in microseconds of Unix time (column `until`).
+    pub expires: u64,
+    /// Grows with every intent of a node's name, over restarts: a late write never replaces a later one (column
+    /// `stamp`).
+    pub sequence: u64,
+    /// What is known of the run.
+    pub state: RowState,
 }
 
 impl Row {
-    /// What decides which of two rows of one key stays: stamp, then whether the run is over.
-    pub fn order(&self) -> (u64, bool) {
-        (self.stamp, self.state != State::Intent)
+    /// What decides which of two rows of one key stays: the sequence number, then whether the run is over.
+    pub fn precedence(&self) -> (u64, bool) {
+        (self.sequence, self.state != RowState::Intent)
     }
 }
 
 /// One change to the rows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
-    /// The row of its key from now on, unless the one that is there has a later stamp, or the same and a later
-    /// state: a write that a stalled store carries out long after it was given up must not undo anything.
+    /// The row of its key from now on, unless the one that is there takes precedence: a write that a stalled store
+    /// carries out long after it was given up must not undo anything.
     Put(Row),
-    /// Of this key nothing is kept any more, unless it has a later stamp: the try never ran, or its window is over.
+    /// Of this key nothing is kept any more, unless its row has a later sequence number: the attempt never ran, or its
+    /// window is over.
     Remove {
         /// The key.
         key: String,
-        /// The stamp of the row that goes.
-        stamp: u64,
+        /// The sequence number of the row that goes.
+        sequence: u64,
     },
     /// Changes nothing, and shows that a change would be kept.
     Probe,
@@ -88,11 +98,11 @@
         }
     }
 
-    /// Whether a store in which this is the row of its key has taken this write in.
-    pub fn is_in(&self, row: Option<&Row>) -> bool {
+    /// Whether a store in which this is the row of its key has made this write.
+    pub fn is_made(&self, row: Option<&Row>) -> bool {
         match self {
-            Write::Put(new) => row.is_some_and(|r| r.order() >= new.order()),
-            Write::Remove { stamp, .. } => row.is_none_or(|r| r.stamp > *stamp),
+            Write::Put(new) => row.is_some_and(|row| row.precedence() >= new.precedence()),
+            Write::Remove { sequence, .. } => row.is_none_or(|row| row.sequence > *sequence),
             Write::Probe => true,
         }
     }
@@ -104,12 +114,12 @@
     /// Make all of these durable together, in this order, or none.
     Commit(Vec<Write>),
     /// Read the rows of these keys.
-    Ask(Vec<String>),
-    /// Make this durable, whole; of an agreed log.
+    Lookup(Vec<String>),
+    /// Make this record of a consensus log durable, whole.
     LogRecord(LogRecord),
 }
 
-/// Work with its number, so that an answer to an earlier one is not taken for its own.
+/// Work with its number, so that an answer to an earlier batch is not taken for its own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
     /// Counts up.
@@ -121,7 +131,7 @@
 /// Why a store did not do what it was asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// Somebody else has it locked, or a deadlock was resolved against us: worth trying again soon.
+    /// Somebody else has it locked, or a deadlock was resolved against this transaction: worth a retry soon.
     Busy,
     /// No answer in the time allowed.
     Stalled,
@@ -138,8 +148,8 @@
 }
 
 impl Cause {
-    /// A word for logs and counters.
-    pub fn word(self) -> &'static str {
+    /// The word for it in logs and messages.
+    pub fn as_str(self) -> &'static str {
         match self {
             Cause::Busy => "busy",
             Cause::Stalled => "stalled",
@@ -154,7 +164,7 @@
 
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.as_str())
     }
 }
 
@@ -178,6 +188,6 @@
     pub rows: Vec<Row>,
     /// How many there are; more than `rows` holds if they were over the bound.
     pub found: u64,
-    /// Counts the lives of this node's name.
+    /// Counts the incarnations of this node's name, this one among them.
     pub epoch: u64,
 }
--- a/crates/idempotency/src/table/durability.rs
+++ b/crates/idempotency/src/table/durability.rs
@@ -10,7 +10,7 @@
 use super::circuit_breaker::{BreakerState, CircuitBreaker, MIN_PROBE_INTERVAL};
 use super::state::{Entry, Phase};
 use super::{KeyTable, LATE_READ_GRACE, Limits, MIN_RETRY_AFTER};
-use crate::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
+use crate::row::{Batch, Cause, Outcome, Recovery, Row, RowState, Work, Write};
 use gaugestand_admission::RequestId;
 use gaugestand_admission::idempotency::Settlement;
 use gaugestand_admission::time::Micros;
@@ -195,7 +195,7 @@
         }
         let work = if is_lookup {
             let key = |pending: &PendingWrite| pending.write.key().map(str::to_string);
-            Work::Ask(writes.iter().filter_map(key).collect())
+            Work::Lookup(writes.iter().filter_map(key).collect())
         } else {
             Work::Commit(writes.iter().map(|pending| pending.write.clone()).collect())
         };
@@ -226,7 +226,7 @@
         while writes.len() < max {
             let Some(pending) = self.queue.pop_front() else { break };
             let is_live = match &pending.write {
-                Write::Put(row) if row.state == State::Intent => is_current(row),
+                Write::Put(row) if row.state == RowState::Intent => is_current(row),
                 _ => true,
             };
             if is_live {
@@ -259,7 +259,7 @@
     /// The intents that are not known to be durable, by key and sequence number.
     fn open_intents(&self) -> Vec<(String, u64)> {
         let intent = |write: &Write| match write {
-            Write::Put(row) if row.state == State::Intent => Some((row.key.clone(), row.stamp)),
+            Write::Put(row) if row.state == RowState::Intent => Some((row.key.clone(), row.sequence)),
             _ => None,
         };
         self.queue.iter().map(|pending| &pending.write).chain(self.sent()).filter_map(intent).collect()
@@ -290,23 +290,23 @@
 
     fn load_row(&mut self, now: Moment, window: Micros, row: Row) {
         let phase = match row.state {
-            State::Intent => {
+            RowState::Intent => {
                 self.metrics.in_doubt += 1;
                 Phase::Failed
             }
-            State::Good(result) => Phase::Completed(result.into()),
-            State::Failed => Phase::Failed,
+            RowState::Completed(result) => Phase::Completed(result.into()),
+            RowState::Failed => Phase::Failed,
         };
         // The window that it was made with may have been longer than today's.
-        let window = window.max(Micros(row.until.saturating_sub(row.ran)));
+        let window = window.max(Micros(row.expires.saturating_sub(row.ingress)));
         let whole_window = now.plus(window);
-        let wall = whole_window.wall.max(Micros(row.until));
+        let wall = whole_window.wall.max(Micros(row.expires));
         let entry = Entry {
             holder: RequestId(row.holder),
             fingerprint: row.fingerprint,
-            ingress: Micros(row.ran),
+            ingress: Micros(row.ingress),
             expires: Moment { mono: whole_window.mono, wall },
-            sequence: row.stamp,
+            sequence: row.sequence,
             phase,
             waiters: Vec::new(),
         };
@@ -330,7 +330,7 @@
     pub fn next_batch(&mut self, now: Micros) -> Option<Batch> {
         let keys = &self.keys;
         let is_current =
-            |row: &Row| keys.get(row.key.as_str()).is_some_and(|entry| entry.sequence == row.stamp);
+            |row: &Row| keys.get(row.key.as_str()).is_some_and(|entry| entry.sequence == row.sequence);
         self.durability.as_mut()?.next_batch(now, is_current)
     }
 
@@ -360,7 +360,7 @@
         let rows: HashMap<&str, &Row> = rows.iter().map(|row| (row.key.as_str(), row)).collect();
         let is_made = |pending: &PendingWrite| {
             let row = pending.write.key().and_then(|key| rows.get(key).copied());
-            pending.write.is_in(row)
+            pending.write.is_made(row)
         };
         let (made, missing): (Vec<_>, Vec<_>) = writes.into_iter().partition(is_made);
         durability.requeue(missing.into_iter());
@@ -418,9 +418,10 @@
     pub(super) fn withdraw(&mut self, now: Micros, key: &str) -> Option<Entry> {
         let entry = self.remove(key)?;
         if let Some(durability) = &mut self.durability {
-            let is_intent = |write: &Write| matches!(write, Write::Put(row) if row.stamp == entry.sequence);
+            let is_intent =
+                |write: &Write| matches!(write, Write::Put(row) if row.sequence == entry.sequence);
             if durability.sent().any(is_intent) {
-                durability.push(now, Write::Remove { key: key.to_string(), stamp: entry.sequence });
+                durability.push(now, Write::Remove { key: key.to_string(), sequence: entry.sequence });
             }
         }
         Some(entry)
@@ -431,15 +432,15 @@
         let Write::Put(row) = write else { return };
         let Some(entry) = self.keys.get_mut(row.key.as_str()) else { return };
         // Guards against an answer to what was withdrawn, or replaced after its window.
-        if entry.sequence != row.stamp {
+        if entry.sequence != row.sequence {
             return;
         }
         match (&row.state, &entry.phase) {
-            (State::Intent, Phase::IntentPending) => {
+            (RowState::Intent, Phase::IntentPending) => {
                 entry.phase = Phase::Running;
                 self.settled.push(Settlement::IntentDurable(entry.holder));
             }
-            (State::Good(_), Phase::ResultPending(result)) => {
+            (RowState::Completed(_), Phase::ResultPending(result)) => {
                 let result = result.clone();
                 entry.phase = Phase::Completed(result.clone());
                 let waiters = mem::take(&mut entry.waiters);
--- a/crates/idempotency/src/table/expiry.rs
+++ b/crates/idempotency/src/table/expiry.rs
@@ -34,11 +34,11 @@
                 self.expiry.push_back((end.max(now.plus(LATE_READ_GRACE)), key));
                 continue;
             }
-            let stamp = entry.sequence;
+            let sequence = entry.sequence;
             self.remove(&key);
             self.mark_changed(&key);
             if let Some(durability) = &mut self.durability {
-                durability.push_removal(Write::Remove { key: key.to_string(), stamp });
+                durability.push_removal(Write::Remove { key: key.to_string(), sequence });
             }
         }
     }
--- a/crates/idempotency/src/table/mod.rs
+++ b/crates/idempotency/src/table/mod.rs
@@ -26,7 +26,7 @@
 pub use circuit_breaker::BreakerState;
 pub use replication::ReplicatedEntry;
 
-use crate::row::{State, Write};
+use crate::row::{RowState, Write};
 use durability::Durability;
 use gaugestand_admission::RequestId;
 use gaugestand_admission::idempotency::*;
@@ -293,7 +293,7 @@
         if durability.takes_intents() {
             entry.sequence = durability.next_sequence();
             entry.phase = Phase::IntentPending;
-            durability.push(now.mono, Write::Put(entry.row(key, State::Intent)));
+            durability.push(now.mono, Write::Put(entry.row(key, RowState::Intent)));
             return RunPermit::Pending;
         }
         // It was taken before the breaker opened, and is settled as those whose intents waited then.
@@ -327,7 +327,7 @@
             RunResult::NeverRan => self.end_never_ran(now.mono, key),
             RunResult::Succeeded(result) => self.end_with_result(now.mono, key, result),
             RunResult::NoResult => {
-                self.push_end(now.mono, key, State::Failed);
+                self.push_end(now.mono, key, RowState::Failed);
                 Completion::Settled(self.set_ended(key, Phase::Failed), None)
             }
         }
@@ -343,11 +343,11 @@
         match entry.phase {
             Phase::Queued => {
                 let waiters = self.remove(key).map(|entry| entry.waiters).unwrap_or_default();
-                Released { waiters: waiters, intent_withdrawn: false }
+                Released { waiters, intent_withdrawn: false }
             }
             Phase::IntentPending => {
                 let waiters = self.withdraw(now.mono, key).map(|entry| entry.waiters).unwrap_or_default();
-                Released { waiters: waiters, intent_withdrawn: true }
+                Released { waiters, intent_withdrawn: true }
             }
             Phase::Running | Phase::ResultPending(_) | Phase::Completed(_) | Phase::Failed => {
                 Released::default()
@@ -386,7 +386,7 @@
     fn end_never_ran(&mut self, now: Micros, key: &Rc<str>) -> Completion {
         let Some(entry) = self.remove(key) else { return Completion::Settled(Vec::new(), None) };
         if let Some(durability) = &mut self.durability {
-            durability.push(now, Write::Remove { key: key.to_string(), stamp: entry.sequence });
+            durability.push(now, Write::Remove { key: key.to_string(), sequence: entry.sequence });
         }
         Completion::Settled(entry.waiters, None)
     }
@@ -397,13 +397,13 @@
             let waiters = self.set_ended(key, Phase::Completed(result.clone()));
             return Completion::Settled(waiters, Some(result));
         }
-        self.push_end(now, key, State::Good(result.to_vec()));
+        self.push_end(now, key, RowState::Completed(result.to_vec()));
         self.set_phase(key, Phase::ResultPending(result));
         Completion::AwaitingDurable
     }
 
     /// Queues the row of a run that is over, if there is a store.
-    fn push_end(&mut self, now: Micros, key: &Rc<str>, state: State) {
+    fn push_end(&mut self, now: Micros, key: &Rc<str>, state: RowState) {
         if let (Some(durability), Some(entry)) = (&mut self.durability, self.keys.get(key)) {
             durability.push(now, Write::Put(entry.row(key, state)));
         }
--- a/crates/idempotency/src/table/state.rs
+++ b/crates/idempotency/src/table/state.rs
@@ -1,7 +1,7 @@
 //! The state of one idempotency key: which attempt holds it, how far its run has come, and when it expires.
 
 use super::ENTRY_BYTES;
-use crate::row::{Row, State};
+use crate::row::{Row, RowState};
 use gaugestand_admission::RequestId;
 use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
@@ -86,14 +86,14 @@
     }
 
     /// The row that stands for it in the store.
-    pub(super) fn row(&self, key: &str, state: State) -> Row {
+    pub(super) fn row(&self, key: &str, state: RowState) -> Row {
         Row {
             key: key.to_string(),
             holder: self.holder.0,
             fingerprint: self.fingerprint,
-            ran: self.ingress.0,
-            until: self.expires.wall.0,
-            stamp: self.sequence,
+            ingress: self.ingress.0,
+            expires: self.expires.wall.0,
+            sequence: self.sequence,
             state,
         }
     }
--- a/crates/idempotency/src/worker.rs
+++ b/crates/idempotency/src/worker.rs
@@ -1,36 +1,44 @@
-//! A thread that does a store's blocking work behind bounded queues.
+//! A thread that does a file's blocking work behind bounded queues.
 //!
-//! The loop hands over one batch at a time and goes on; the thread does it, puts the outcome into the other queue
-//! and writes one byte to a socket that the loop's poller watches. Neither side ever waits for the other: the
-//! queues hold more than can be out, and what has no room is a fault of ours that counts as unknown.
+//! The event loop submits one batch at a time and goes on; the thread does it, puts the outcome into the other queue
+//! and writes one byte to a socket that the loop's poller watches. Neither side ever waits for the other: the queues
+//! hold more than can be in flight, and a batch that finds no room is given back.
 
+use crate::consensus_log::ConsensusLog;
 use crate::row::{Batch, Outcome, Work};
-use rtrb::{Consumer, Producer, RingBuffer};
+use crate::sqlite::Sqlite;
+use rtrb::{Consumer, Producer, PushError, RingBuffer};
 use std::io::{self, Write};
 use std::os::unix::net::UnixStream;
 use std::thread::{Builder, JoinHandle};
 
-/// Batches that may be out; the ledger has one out at a time, and one more whose answer no longer counts.
-const ROOM: usize = 4;
-/// Stack of the thread, in bytes: SQLite needs little, and memory is counted.
-const STACK: usize = 512 * 1024;
+/// Batches that may be in flight; the table has one at a time, and one more whose answer no longer counts.
+const QUEUE_BATCHES: usize = 4;
+/// Stack of the thread, in bytes: SQLite needs little, and the node's memory is bounded.
+const STACK_BYTES: usize = 512 * 1024;
 
 /// What does the work on the thread.
 pub trait Backend: Send + 'static {
     /// Does it, however long that takes.
-    fn work(&mut self, work: &Work) -> Outcome;
+    fn execute(&mut self, work: &Work) -> Outcome;
 }
 
-impl Backend for crate::sqlite::Sqlite {
-    fn work(&mut self, work: &Work) -> Outcome {
-        crate::sqlite::Sqlite::work(self, work)
+impl Backend for Sqlite {
+    fn execute(&mut self, work: &Work) -> Outcome {
+        Sqlite::execute(self, work)
     }
 }
 
-/// The loop's side.
+impl Backend for ConsensusLog {
+    fn execute(&mut self, work: &Work) -> Outcome {
+        ConsensusLog::execute(self, work)
+    }
+}
+
+/// The event loop's side.
 #[derive(Debug)]
 pub struct Worker {
-    /// Dropped before the thread is told, so that it finds the queue abandoned.
+    /// Dropped before the thread is woken for the last time, so that it finds the queue abandoned.
     batches: Option<Producer<Batch>>,
     outcomes: Consumer<(u64, Outcome)>,
     thread: JoinHandle<()>,
@@ -38,41 +46,24 @@
 
 impl Worker {
     /// Starts the thread. `wake` is written to, never blocking, when an outcome is there.
-    pub fn start(mut backend: impl Backend, mut wake: UnixStream) -> io::Result<Self> {
+    pub fn start(backend: impl Backend, wake: UnixStream) -> io::Result<Self> {
         wake.set_nonblocking(true)?;
-        let (batches, mut work) = RingBuffer::<Batch>::new(ROOM);
-        let (mut results, outcomes) = RingBuffer::<(u64, Outcome)>::new(ROOM);
-        let run = move || {
-            loop {
-                let Ok(batch) = work.pop() else {
-                    // The loop is gone, and all that it handed over is done.
-                    if work.is_abandoned() {
-                        return;
-                    }
-                    // A hand-over between the look and this leaves a token that ends the wait at once.
-                    std::thread::park();
-                    continue;
-                };
-                let outcome = backend.work(&batch.work);
-                // There is as much room for outcomes as for batches, so this only fails with the loop gone.
-                let _ = results.push((batch.number, outcome));
-                // A full socket has been written to and not yet read: the loop is woken all the same.
-                let _ = wake.write(&[1]);
-            }
-        };
-        let thread = Builder::new().name("record".into()).stack_size(STACK).spawn(run)?;
-        Ok(Worker { batches: Some(batches), outcomes, thread })
+        let (batch_sender, batches) = RingBuffer::new(QUEUE_BATCHES);
+        let (outcome_sender, outcomes) = RingBuffer::new(QUEUE_BATCHES);
+        let run = move || run(backend, batches, outcome_sender, wake);
+        let thread = Builder::new().name("record".into()).stack_size(STACK_BYTES).spawn(run)?;
+        Ok(Worker { batches: Some(batch_sender), outcomes, thread })
     }
 
-    /// Hands a batch over; gives it back if there is no room.
+    /// Submits a batch; gives it back if there is no room.
     pub fn submit(&mut self, batch: Batch) -> Result<(), Batch> {
         let Some(batches) = &mut self.batches else { return Err(batch) };
-        let pushed = batches.push(batch).map_err(|rtrb::PushError::Full(batch)| batch);
+        let pushed = batches.push(batch).map_err(|PushError::Full(batch)| batch);
         self.thread.thread().unpark();
         pushed
     }
 
-    /// The next outcome, if there is one.
+    /// The next outcome with the number of its batch, if there is one.
     pub fn outcome(&mut self) -> Option<(u64, Outcome)> {
         self.outcomes.pop().ok()
     }
@@ -90,3 +81,27 @@
         self.thread.thread().unpark();
     }
 }
+
+/// The thread: does batches until the event loop has dropped its side and all that it submitted is done.
+fn run(
+    mut backend: impl Backend,
+    mut batches: Consumer<Batch>,
+    mut outcomes: Producer<(u64, Outcome)>,
+    mut wake: UnixStream,
+) {
+    loop {
+        let Ok(batch) = batches.pop() else {
+            if batches.is_abandoned() {
+                return;
+            }
+            // A batch that is submitted between the look and this leaves a token that ends the wait at once.
+            std::thread::park();
+            continue;
+        };
+        let outcome = backend.execute(&batch.work);
+        // There is as much room for outcomes as for batches, so this only fails with the loop gone.
+        let _ = outcomes.push((batch.number, outcome));
+        // A full socket has been written to and not yet read: the loop is woken all the same.
+        let _ = wake.write(&[1]);
+    }
+}
--- a/crates/idempotency/tests/consensus_log.rs
+++ b/crates/idempotency/tests/consensus_log.rs
@@ -94,22 +94,27 @@
         drop(consensus_log);
         place.change(sql);
         let before = fs::read(place.file()).expect("there");
-        let told = ConsensusLog::open(&place.file(), OWNER, &Options::default()).map(|_| ()).expect_err(sql);
+        let told = ConsensusLog::open(&place.file(), OWNER, &Options::default())
+            .map(|_| ())
+            .expect_err(sql)
+            .to_string();
         assert!(told.starts_with("agreed log") && told.contains(why) && told.lines().count() == 1, "{told}");
         assert_eq!(fs::read(place.file()).expect("there"), before, "{sql}: it was changed");
     }
     // A store of record is none, nor is a log a store of record.
     let place = Place::new("store");
     drop(Sqlite::open(&place.file(), &Options::default()).expect("a store"));
-    let told =
-        ConsensusLog::open(&place.file(), OWNER, &Options::default()).map(|_| ()).expect_err("another file");
+    let told = ConsensusLog::open(&place.file(), OWNER, &Options::default())
+        .map(|_| ())
+        .expect_err("another file")
+        .to_string();
     assert!(told.contains("is a file of another program"), "{told}");
 }
 
 #[test]
 fn a_full_disk_loses_no_page_that_was_done() {
     let place = Place::new("full");
-    let small = Options { most_pages: 40, ..Options::default() };
+    let small = Options { max_pages: 40, ..Options::default() };
     let (mut consensus_log, _) = ConsensusLog::open(&place.file(), OWNER, &small).expect("opened");
     let big = |at: u64| LogRecord { entries: vec![(at, vec![7; 8_000])], ..LogRecord::default() };
     let done = (1..100).take_while(|at| consensus_log.write(&big(*at)) == Outcome::Done).count() as u64;
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -9,7 +9,7 @@
 use gaugestand_admission::{
     BackpressureSignal, Class, Downstream, Effect, Preemption, RequestId, Settings, Span, WeightBy,
 };
-use gaugestand_idempotency::row::{Batch, Cause, Outcome, Recovery, Row, State, Work, Write};
+use gaugestand_idempotency::row::{Batch, Cause, Outcome, Recovery, Row, RowState, Work, Write};
 use gaugestand_idempotency::{KeyTable, Limits};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
@@ -229,20 +229,21 @@
     fn apply(&mut self, work: &Work) -> Outcome {
         match work {
             Work::LogRecord(_) => panic!("a ledger writes no log"),
-            Work::Ask(keys) => {
+            Work::Lookup(keys) => {
                 Outcome::Rows(keys.iter().filter_map(|k| self.store.get(k)).cloned().collect())
             }
             Work::Commit(writes) => {
                 for write in writes {
                     match write {
-                        Write::Put(row) if self.no_intent && row.state == State::Intent => {}
+                        Write::Put(row) if self.no_intent && row.state == RowState::Intent => {}
                         Write::Put(row) => {
-                            if self.store.get(&row.key).is_none_or(|old| row.order() > old.order()) {
+                            if self.store.get(&row.key).is_none_or(|old| row.precedence() > old.precedence())
+                            {
                                 self.store.insert(row.key.clone(), row.clone());
                             }
                         }
-                        Write::Remove { key, stamp } => {
-                            if self.store.get(key).is_some_and(|old| old.stamp <= *stamp) {
+                        Write::Remove { key, sequence } => {
+                            if self.store.get(key).is_some_and(|old| old.sequence <= *sequence) {
                                 self.store.remove(key);
                             }
                         }
@@ -264,7 +265,7 @@
                 }
                 EngineCommand::Serve(id, result) | EngineCommand::Replay(id, result) => {
                     let stored = self.store.get("k").map(|r| r.state.clone());
-                    if stored != Some(State::Good(result.to_vec())) {
+                    if stored != Some(RowState::Completed(result.to_vec())) {
                         self.faults.push("a result was shown that is not durable");
                     }
                     self.answer(id, "served");
--- a/crates/idempotency/tests/stored_forms.rs
+++ b/crates/idempotency/tests/stored_forms.rs
@@ -7,8 +7,8 @@
 use gaugestand_admission::log_record::LogRecord;
 use gaugestand_idempotency::consensus_log::ConsensusLog;
 use gaugestand_idempotency::postgres::{Event, Login, Session};
-use gaugestand_idempotency::row::{Batch, Outcome, Row, State, Work, Write};
-use gaugestand_idempotency::sqlite::{Options, Sqlite, each_row, look};
+use gaugestand_idempotency::row::{Batch, Outcome, Row, RowState, Work, Write};
+use gaugestand_idempotency::sqlite::{Options, Sqlite, for_each_row, open_read_only};
 use rusqlite::Connection;
 use rusqlite::types::Value;
 use std::path::{Path, PathBuf};
@@ -49,22 +49,22 @@
 
 /// The rows of the fixtures: open, done, failed, and two that are past their window.
 fn rows() -> Vec<Row> {
-    let row = |key: &str, n: u128, until: u64, state: State| Row {
+    let row = |key: &str, n: u128, expires: u64, state: RowState| Row {
         key: key.into(),
         holder: u128::MAX - n,
         fingerprint: (n << 64) | 0x0102_0304,
-        ran: 1_700_000_000_000_000 + n as u64,
-        until,
-        stamp: (1 << 40) | n as u64,
+        ingress: 1_700_000_000_000_000 + n as u64,
+        expires,
+        sequence: (1 << 40) | n as u64,
         state,
     };
     vec![
-        row("open", 1, FUTURE, State::Intent),
-        row("done", 2, FUTURE, State::Good(b"result \x00\xff of a booking".to_vec())),
-        row("done-empty", 3, FUTURE, State::Good(vec![])),
-        row("failed", 4, FUTURE, State::Failed),
-        row("expired-open", 5, PAST, State::Intent),
-        row("expired-done \u{e9}\u{4e2d}", 6, PAST, State::Good(b"late".to_vec())),
+        row("open", 1, FUTURE, RowState::Intent),
+        row("done", 2, FUTURE, RowState::Completed(b"result \x00\xff of a booking".to_vec())),
+        row("done-empty", 3, FUTURE, RowState::Completed(vec![])),
+        row("failed", 4, FUTURE, RowState::Failed),
+        row("expired-open", 5, PAST, RowState::Intent),
+        row("expired-done \u{e9}\u{4e2d}", 6, PAST, RowState::Completed(b"late".to_vec())),
     ]
 }
 
@@ -115,12 +115,12 @@
     let folder = Folder::new("sqlite-read");
     let path = folder.with("record.db", STORE_OF_RECORD);
     let mut seen = Vec::new();
-    each_row(&look(&path).expect("opened beside a node"), |row| seen.push(row)).expect("read");
+    for_each_row(&open_read_only(&path).expect("opened beside a node"), |row| seen.push(row)).expect("read");
     assert_eq!(sorted(seen), sorted(rows()));
     let mut store = Sqlite::open(&path, &Options::default()).expect("opened");
     let recovery = store.recover(&path, 100).expect("read");
     assert_eq!((sorted(recovery.rows), recovery.found, recovery.epoch), (sorted(rows()), 6, 2));
-    let asked = store.work(&Work::Ask(vec!["done".into(), "open".into(), "unknown".into()]));
+    let asked = store.execute(&Work::Lookup(vec!["done".into(), "open".into(), "unknown".into()]));
     assert_eq!(asked, Outcome::Rows(vec![rows()[1].clone(), rows()[0].clone()]));
     assert_eq!(store.prune(PAST).expect("removed"), 2);
     let left = store.recover(&path, 100).expect("read");
@@ -136,8 +136,8 @@
     let path = folder.0.join("now.db");
     let mut store = Sqlite::open(&path, &Options::default()).expect("made");
     let writes = rows().into_iter().map(Write::Put).collect();
-    assert_eq!(store.work(&Work::Commit(writes)), Outcome::Done);
-    assert_eq!(store.work(&Work::Commit(vec![Write::Probe])), Outcome::Done);
+    assert_eq!(store.execute(&Work::Commit(writes)), Outcome::Done);
+    assert_eq!(store.execute(&Work::Commit(vec![Write::Probe])), Outcome::Done);
     drop(store);
     assert_eq!(contents(&path), before);
     // Two for the kind of file, the schema (two tables and an index by SQLite itself), a row for the node and six for keys.
@@ -225,7 +225,7 @@
 
 impl Conversation {
     fn server_says(&mut self, messages: &[&[u8]]) -> Vec<Event> {
-        let events = self.session.take(&messages.concat()).expect("messages in turn");
+        let events = self.session.receive(&messages.concat()).expect("messages in turn");
         self.sent.push(self.session.output());
         events
     }
@@ -258,7 +258,7 @@
     assert!(matches!(&events[..], [Event::Ready(Some(found))] if found.epoch == 7), "{events:?}");
 
     let mut writes: Vec<Write> = rows().into_iter().map(Write::Put).collect();
-    writes.push(Write::Remove { key: "gone".into(), stamp: (1 << 40) | 9 });
+    writes.push(Write::Remove { key: "gone".into(), sequence: (1 << 40) | 9 });
     writes.push(Write::Probe);
     let commit = Batch { number: 1, work: Work::Commit(writes) };
     assert!(conversation.session.submit(&commit).expect("sent"));
@@ -266,7 +266,7 @@
     let events = conversation.server_says(&[&guard_passed, &ready]);
     assert_eq!(events, [Event::Outcome(1, Outcome::Done)]);
 
-    let ask = Batch { number: 2, work: Work::Ask(vec!["open".into(), "done".into()]) };
+    let ask = Batch { number: 2, work: Work::Lookup(vec!["open".into(), "done".into()]) };
     assert!(conversation.session.submit(&ask).expect("sent"));
     conversation.server_says(&[&ready]);
     conversation.session.prune(3, PAST).expect("sent");
--- a/crates/idempotency/tests/stores.rs
+++ b/crates/idempotency/tests/stores.rs
@@ -3,7 +3,7 @@
 use gaugestand_fakes::postgres::{Fault, Postgres};
 use gaugestand_idempotency::blocking_client::BlockingClient;
 use gaugestand_idempotency::postgres::{Login, Session};
-use gaugestand_idempotency::row::{Batch, Cause, Outcome, Row, State, Work, Write};
+use gaugestand_idempotency::row::{Batch, Cause, Outcome, Row, RowState, Work, Write};
 use gaugestand_idempotency::sqlite::{self, Options, Sqlite};
 use gaugestand_idempotency::worker::{self, Worker};
 use std::io::Read;
@@ -37,16 +37,24 @@
     }
 }
 
-fn row(key: &str, stamp: u64, state: State) -> Row {
-    Row { key: key.into(), holder: u128::MAX - 7, fingerprint: 9, ran: 1_000, until: 2_000, stamp, state }
+fn row(key: &str, sequence: u64, state: RowState) -> Row {
+    Row {
+        key: key.into(),
+        holder: u128::MAX - 7,
+        fingerprint: 9,
+        ingress: 1_000,
+        expires: 2_000,
+        sequence,
+        state,
+    }
 }
 
-fn put(key: &str, stamp: u64, state: State) -> Write {
-    Write::Put(row(key, stamp, state))
+fn put(key: &str, sequence: u64, state: RowState) -> Write {
+    Write::Put(row(key, sequence, state))
 }
 
-fn good(bytes: &[u8]) -> State {
-    State::Good(bytes.to_vec())
+fn good(bytes: &[u8]) -> RowState {
+    RowState::Completed(bytes.to_vec())
 }
 
 fn login(password: &str) -> Login {
@@ -64,26 +72,26 @@
         let folder = Folder::new();
         let store = Sqlite::open(&folder.file(), &Options::default()).expect("a new store");
         let server = Postgres::start("pw").expect("it listens");
-        let (remote, _) = BlockingClient::adopt(server.address(), login("pw"), 100).expect("a login");
+        let (remote, _) = BlockingClient::take_name(server.address(), login("pw"), 100).expect("a login");
         [Backend::Sqlite { store, _folder: folder }, Backend::Postgres { remote, _server: server, number: 0 }]
     }
 
-    fn work(&mut self, work: Work) -> Outcome {
+    fn execute(&mut self, work: Work) -> Outcome {
         match self {
-            Backend::Sqlite { store, .. } => store.work(&work),
+            Backend::Sqlite { store, .. } => store.execute(&work),
             Backend::Postgres { remote, number, .. } => {
                 *number += 1;
-                remote.work(&Batch { number: *number, work }).expect("a sound connection")
+                remote.execute(&Batch { number: *number, work }).expect("a sound connection")
             }
         }
     }
 
     fn commit(&mut self, writes: &[Write]) -> Outcome {
-        self.work(Work::Commit(writes.to_vec()))
+        self.execute(Work::Commit(writes.to_vec()))
     }
 
     fn ask(&mut self, key: &str) -> Option<Row> {
-        let Outcome::Rows(rows) = self.work(Work::Ask(vec![key.into(), "none".into()])) else {
+        let Outcome::Rows(rows) = self.execute(Work::Lookup(vec![key.into(), "none".into()])) else {
             panic!("rows")
         };
         rows.into_iter().next()
@@ -94,21 +102,21 @@
 fn a_row_only_ever_replaces_one_of_an_earlier_stamp_or_state() {
     for mut store in Backend::both() {
         let steps = [
-            (put("k", 5, State::Intent), 5, State::Intent),
+            (put("k", 5, RowState::Intent), 5, RowState::Intent),
             (put("k", 5, good(b"\0r\xff")), 5, good(b"\0r\xff")),
             // The same batch once more, after a break: the intent must not undo the outcome.
-            (put("k", 5, State::Intent), 5, good(b"\0r\xff")),
-            (put("k", 4, State::Failed), 5, good(b"\0r\xff")),
-            (Write::Remove { key: "k".into(), stamp: 4 }, 5, good(b"\0r\xff")),
+            (put("k", 5, RowState::Intent), 5, good(b"\0r\xff")),
+            (put("k", 4, RowState::Failed), 5, good(b"\0r\xff")),
+            (Write::Remove { key: "k".into(), sequence: 4 }, 5, good(b"\0r\xff")),
             (Write::Probe, 5, good(b"\0r\xff")),
-            (put("k", 6, State::Intent), 6, State::Intent),
-            (put("k", 6, State::Failed), 6, State::Failed),
+            (put("k", 6, RowState::Intent), 6, RowState::Intent),
+            (put("k", 6, RowState::Failed), 6, RowState::Failed),
         ];
-        for (write, stamp, state) in steps {
+        for (write, sequence, state) in steps {
             assert_eq!(store.commit(std::slice::from_ref(&write)), Outcome::Done);
-            assert_eq!(store.ask("k"), Some(row("k", stamp, state)), "{write:?}");
+            assert_eq!(store.ask("k"), Some(row("k", sequence, state)), "{write:?}");
         }
-        assert_eq!(store.commit(&[Write::Remove { key: "k".into(), stamp: 6 }]), Outcome::Done);
+        assert_eq!(store.commit(&[Write::Remove { key: "k".into(), sequence: 6 }]), Outcome::Done);
         assert_eq!(store.ask("k"), None);
     }
 }
@@ -121,7 +129,7 @@
         let found = store.recover(&folder.file(), 10).expect("rows");
         assert_eq!((found.epoch, found.found, found.rows.len() as u64), (life, life - 1, life - 1));
         assert_eq!(
-            store.work(&Work::Commit(vec![put(&format!("k{life}"), life, good(b"r"))])),
+            store.execute(&Work::Commit(vec![put(&format!("k{life}"), life, good(b"r"))])),
             Outcome::Done
         );
         // More rows than there is room for: their number alone.
@@ -130,46 +138,47 @@
     }
     let server = Postgres::start("pw").expect("it listens");
     for life in 1..4u64 {
-        let (mut remote, found) = BlockingClient::adopt(server.address(), login("pw"), 2).expect("a login");
+        let (mut remote, found) =
+            BlockingClient::take_name(server.address(), login("pw"), 2).expect("a login");
         assert_eq!((found.epoch, found.found), (life, life - 1));
         assert_eq!(found.rows.len() as u64, if life < 4 { life - 1 } else { 0 });
         let work = Work::Commit(vec![put(&format!("k{life}"), life, good(b"r"))]);
-        assert_eq!(remote.work(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
+        assert_eq!(remote.execute(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
     }
-    let (_, found) = BlockingClient::adopt(server.address(), login("pw"), 2).expect("a login");
+    let (_, found) = BlockingClient::take_name(server.address(), login("pw"), 2).expect("a login");
     assert_eq!((found.found, found.rows.len()), (3, 0));
 }
 
 #[test]
 fn many_rows_are_read_page_by_page_and_another_nodes_are_not() {
     let server = Postgres::start("pw").expect("it listens");
-    let (mut remote, _) = BlockingClient::adopt(server.address(), login("pw"), 10_000).expect("a login");
+    let (mut remote, _) = BlockingClient::take_name(server.address(), login("pw"), 10_000).expect("a login");
     let writes: Vec<Write> = (0..2_500).map(|i| put(&format!("k{i}"), i + 1, good(b"r"))).collect();
     let work = Work::Commit(writes);
-    assert_eq!(remote.work(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
-    let (_, found) = BlockingClient::adopt(server.address(), login("pw"), 10_000).expect("a login");
+    assert_eq!(remote.execute(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
+    let (_, found) = BlockingClient::take_name(server.address(), login("pw"), 10_000).expect("a login");
     assert_eq!(found.rows.len(), 2_500);
     let other = Login { node: "n4".into(), ..login("pw") };
-    assert_eq!(BlockingClient::adopt(server.address(), other, 10_000).expect("a login").1.found, 0);
+    assert_eq!(BlockingClient::take_name(server.address(), other, 10_000).expect("a login").1.found, 0);
     // Looking at rows takes no name.
-    assert_eq!(BlockingClient::look(server.address(), login("pw")).expect("a login").1.len(), 2_500);
+    assert_eq!(BlockingClient::read_only(server.address(), login("pw")).expect("a login").1.len(), 2_500);
 }
 
 #[test]
 fn a_second_process_of_the_same_name_shuts_the_first_one_out() {
     let server = Postgres::start("pw").expect("it listens");
-    let (mut first, _) = BlockingClient::adopt(server.address(), login("pw"), 10).expect("a login");
-    let (mut second, _) = BlockingClient::adopt(server.address(), login("pw"), 10).expect("a login");
-    let batch = |number| Batch { number, work: Work::Commit(vec![put("k", 1, State::Intent)]) };
-    assert_eq!(first.work(&batch(1)).expect("sound"), Outcome::NotDone(Cause::Fenced));
+    let (mut first, _) = BlockingClient::take_name(server.address(), login("pw"), 10).expect("a login");
+    let (mut second, _) = BlockingClient::take_name(server.address(), login("pw"), 10).expect("a login");
+    let batch = |number| Batch { number, work: Work::Commit(vec![put("k", 1, RowState::Intent)]) };
+    assert_eq!(first.execute(&batch(1)).expect("sound"), Outcome::NotDone(Cause::Fenced));
     assert_eq!(server.rows(), 0);
-    assert_eq!(second.work(&batch(1)).expect("sound"), Outcome::Done);
+    assert_eq!(second.execute(&batch(1)).expect("sound"), Outcome::Done);
 }
 
 #[test]
 fn a_transaction_that_fails_has_done_nothing_and_says_why() {
     let server = Postgres::start("pw").expect("it listens");
-    let (mut remote, _) = BlockingClient::adopt(server.address(), login("pw"), 10).expect("a login");
+    let (mut remote, _) = BlockingClient::take_name(server.address(), login("pw"), 10).expect("a login");
     let cases = [
         ("40P01", Outcome::NotDone(Cause::Busy)),
         ("53100", Outcome::NotDone(Cause::Full)),
@@ -180,28 +189,29 @@
     ];
     for (i, (code, outcome)) in cases.into_iter().enumerate() {
         server.faults(&[Fault::Error(code)]);
-        let work = Work::Commit(vec![put("k", 1, State::Intent)]);
-        assert_eq!(remote.work(&Batch { number: i as u64, work }).expect("sound"), outcome, "{code}");
+        let work = Work::Commit(vec![put("k", 1, RowState::Intent)]);
+        assert_eq!(remote.execute(&Batch { number: i as u64, work }).expect("sound"), outcome, "{code}");
         assert_eq!(server.rows(), 0);
     }
     server.pieces(true);
-    let work = Work::Commit(vec![put("k", 1, State::Intent)]);
-    assert_eq!(remote.work(&Batch { number: 9, work }).expect("sound"), Outcome::Done);
+    let work = Work::Commit(vec![put("k", 1, RowState::Intent)]);
+    assert_eq!(remote.execute(&Batch { number: 9, work }).expect("sound"), Outcome::Done);
     server.faults(&[Fault::Garbage]);
     let work = Work::Commit(vec![put("k", 1, good(b"r"))]);
-    assert!(remote.work(&Batch { number: 10, work }).is_err(), "garbage passed for an outcome");
+    assert!(remote.execute(&Batch { number: 10, work }).is_err(), "garbage passed for an outcome");
 }
 
 #[test]
 fn what_keeps_a_database_from_being_used_is_said() {
     let server = Postgres::start("right").expect("it listens");
-    let wrong = BlockingClient::adopt(server.address(), login("wrong"), 10).expect_err("a wrong password");
+    let wrong =
+        BlockingClient::take_name(server.address(), login("wrong"), 10).expect_err("a wrong password");
     assert!(wrong.to_string().contains("password authentication failed (28P01)"), "{wrong}");
     assert_eq!(server.logins(), (0, 1));
-    let none = BlockingClient::look(server.address(), login("right")).expect_err("no tables");
+    let none = BlockingClient::read_only(server.address(), login("right")).expect_err("no tables");
     assert!(none.to_string().contains("no tables"), "{none}");
     server.set_version(7);
-    let newer = BlockingClient::adopt(server.address(), login("right"), 10).expect_err("a newer version");
+    let newer = BlockingClient::take_name(server.address(), login("right"), 10).expect_err("a newer version");
     assert!(
         newer.to_string().contains("version 7") && newer.to_string().contains("newer program"),
         "{newer}"
@@ -222,7 +232,7 @@
             bytes.splice(0..0, head);
         }
         for piece in bytes.chunks(rng.usize(1..8)) {
-            match session.take(piece) {
+            match session.receive(piece) {
                 Ok(events) => assert!(events.is_empty(), "{bytes:?}"),
                 Err(_) => break,
             }
@@ -233,12 +243,12 @@
 #[test]
 fn a_full_disk_loses_nothing_and_takes_writes_again_once_there_is_room() {
     let folder = Folder::new();
-    let options = Options { most_pages: 24, ..Options::default() };
+    let options = Options { max_pages: 24, ..Options::default() };
     let mut store = Sqlite::open(&folder.file(), &options).expect("a store");
     let big = vec![7; 4_000];
     let mut made = 0;
     let cause = loop {
-        match store.work(&Work::Commit(vec![put(&format!("k{made}"), made + 1, good(&big))])) {
+        match store.execute(&Work::Commit(vec![put(&format!("k{made}"), made + 1, good(&big))])) {
             Outcome::Done => made += 1,
             Outcome::NotDone(cause) | Outcome::Unknown(cause) => break cause,
             Outcome::Rows(_) => panic!("nobody asked"),
@@ -248,9 +258,9 @@
     assert_eq!(cause, Cause::Full);
     assert_eq!(store.recover(&folder.file(), 100).expect("rows").found, made);
     // Removing rows needs no room, and makes some.
-    let remove = (0..3).map(|i| Write::Remove { key: format!("k{i}"), stamp: 100 }).collect();
-    assert_eq!(store.work(&Work::Commit(remove)), Outcome::Done);
-    assert_eq!(store.work(&Work::Commit(vec![put("more", 90, good(&big))])), Outcome::Done);
+    let remove = (0..3).map(|i| Write::Remove { key: format!("k{i}"), sequence: 100 }).collect();
+    assert_eq!(store.execute(&Work::Commit(remove)), Outcome::Done);
+    assert_eq!(store.execute(&Work::Commit(vec![put("more", 90, good(&big))])), Outcome::Done);
 }
 
 #[test]
@@ -263,7 +273,7 @@
     let sound = |folder: &Folder| {
         let mut store = Sqlite::open(&folder.file(), &Options::default()).expect("a store");
         let rows = (0..200).map(|i| put(&format!("k{i}"), i + 1, good(&[9; 500]))).collect();
-        assert_eq!(store.work(&Work::Commit(rows)), Outcome::Done);
+        assert_eq!(store.execute(&Work::Commit(rows)), Outcome::Done);
     };
     sound(&folder);
     // Another process: the lock file is the same, whoever has it.
@@ -303,7 +313,7 @@
     {
         let mut store = Sqlite::open(&folder.file(), &Options::default()).expect("a store");
         let writes = rows.iter().cloned().map(Write::Put).collect();
-        assert_eq!(store.work(&Work::Commit(writes)), Outcome::Done);
+        assert_eq!(store.execute(&Work::Commit(writes)), Outcome::Done);
     }
     let bytes = std::fs::read(folder.file()).expect("bytes");
     let mut rng = fastrand::Rng::with_seed(5);
@@ -324,7 +334,7 @@
             // Free space may hold anything.
             Ok(mut found) => {
                 opened += 1;
-                found.rows.sort_by_key(|r| r.stamp);
+                found.rows.sort_by_key(|r| r.sequence);
                 assert!(found.rows == rows, "rows that nobody wrote");
             }
         }
@@ -336,12 +346,12 @@
 fn pruning_removes_what_is_over_and_nothing_else() {
     let folder = Folder::new();
     let mut store = Sqlite::open(&folder.file(), &Options::default()).expect("a store");
-    assert_eq!(store.work(&Work::Commit(vec![put("k", 1, good(b"r"))])), Outcome::Done);
+    assert_eq!(store.execute(&Work::Commit(vec![put("k", 1, good(b"r"))])), Outcome::Done);
     assert_eq!((store.prune(1_999).expect("done"), store.prune(2_000).expect("done")), (0, 1));
     let server = Postgres::start("pw").expect("it listens");
-    let (mut remote, _) = BlockingClient::adopt(server.address(), login("pw"), 10).expect("a login");
+    let (mut remote, _) = BlockingClient::take_name(server.address(), login("pw"), 10).expect("a login");
     let work = Work::Commit(vec![put("k", 1, good(b"r"))]);
-    assert_eq!(remote.work(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
+    assert_eq!(remote.execute(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
     for (before, left) in [(1_999, 1), (2_000, 0)] {
         assert_eq!(remote.prune(before).expect("sound"), Outcome::Done);
         assert_eq!(server.rows(), left);
@@ -352,7 +362,7 @@
 struct Stuck(mpsc::Receiver<()>);
 
 impl worker::Backend for Stuck {
-    fn work(&mut self, _: &Work) -> Outcome {
+    fn execute(&mut self, _: &Work) -> Outcome {
         let _ = self.0.recv();
         Outcome::Done
     }
--- a/crates/idempotency/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -4,7 +4,7 @@
 use gaugestand_admission::idempotency::*;
 use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
-use gaugestand_idempotency::row::{Cause, Outcome, Recovery, Row, State, Work, Write};
+use gaugestand_idempotency::row::{Cause, Outcome, Recovery, Row, RowState, Work, Write};
 use gaugestand_idempotency::{BreakerState, KeyTable, Limits};
 use std::rc::Rc;
 
@@ -87,9 +87,9 @@
     Limits { window: WINDOW, ..Limits::default() }
 }
 
-fn row(key: &str, n: u128, state: State) -> Row {
-    let (ran, until) = (start().wall.0 - 5_000_000, start().wall.plus(WINDOW).0 - 5_000_000);
-    Row { key: key.into(), holder: n, fingerprint: 1, ran, until, stamp: 7, state }
+fn row(key: &str, n: u128, state: RowState) -> Row {
+    let (ingress, expires) = (start().wall.0 - 5_000_000, start().wall.plus(WINDOW).0 - 5_000_000);
+    Row { key: key.into(), holder: n, fingerprint: 1, ingress, expires, sequence: 7, state }
 }
 
 /// Hard case 5: what a repeat finds, by how long after the first one it came, and how the wall clock was set.
@@ -127,7 +127,8 @@
 fn after_a_restart_every_row_binds_for_a_whole_window_whatever_the_clock_says() {
     for (ms, binds) in [(0, true), (29_219, true), (29_221, false)] {
         for set in [-86_400_000i64, 0, 86_400_000] {
-            let rows = vec![row("good", 1, State::Good(b"r".to_vec())), row("doubt", 2, State::Intent)];
+            let rows =
+                vec![row("good", 1, RowState::Completed(b"r".to_vec())), row("doubt", 2, RowState::Intent)];
             let mut book = Book { key_table: KeyTable::durable(limits(), 3), now: start() };
             book.now.wall = Micros(book.now.wall.0.saturating_add_signed(set * 1000));
             book.key_table.load(book.now, Recovery { rows, found: 2, epoch: 2 });
@@ -233,7 +234,9 @@
     book.key_table.on_outcome(book.now.mono, out.number, Outcome::Done);
     assert_eq!((book.settled(), book.key_table.breaker_state()), (vec![], BreakerState::Closed));
     let writes = book.commit();
-    assert!(matches!(&writes[0], Write::Put(r) if r.key == "ran" && r.state == State::Good(b"r".to_vec())));
+    assert!(
+        matches!(&writes[0], Write::Put(r) if r.key == "ran" && r.state == RowState::Completed(b"r".to_vec()))
+    );
     assert!(matches!(&writes[1], Write::Remove { key, .. } if key == "out"));
     assert_eq!(writes.len(), 2, "{writes:?}");
     assert_eq!(book.settled(), [Settlement::ResultDurable(id(1), vec![], Rc::from(*b"r"))]);
@@ -303,7 +306,7 @@
     );
     book.key_table.on_link(book.now.mono, true);
     let ask = book.key_table.next_batch(book.now.mono).expect("work");
-    assert_eq!(ask.work, Work::Ask(vec!["a".into(), "b".into()]));
+    assert_eq!(ask.work, Work::Lookup(vec!["a".into(), "b".into()]));
     // An answer to the batch before is none to this one.
     book.key_table.on_outcome(book.now.mono, out.number, Outcome::Done);
     assert_eq!(book.settled(), []);
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -252,7 +252,8 @@
     let operators = script.map(gaugestand_settings::load).transpose();
     let operators = operators.map_err(|e| ConfigError::Script(e.to_string()))?.unwrap_or_default();
     if let Some(Backend::Postgres { password_file, .. }) = operators.record.as_ref().map(|r| &r.backend) {
-        super::idempotency_store::password(password_file).map_err(ConfigError::Script)?;
+        super::idempotency_store::password(password_file)
+            .map_err(|error| ConfigError::Script(error.to_string()))?;
     }
     let config = told()?;
     if operators.record.is_some() && config.sockets < LEAST_SOCKETS + super::idempotency_store::SOCKETS {
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -8,7 +8,7 @@
 use super::fastcgi::{self, Record, kind};
 use super::handover_link::Place;
 use super::health_checks::Checks;
-use super::idempotency_store::{self, Keeper};
+use super::idempotency_store::{self, IdempotencyStore, Owner};
 use super::io::clock::Clock;
 use super::io::link::Change;
 use super::io::{Ready, System};
@@ -109,7 +109,7 @@
     store: Store<S>,
     members: Members<S>,
     engine: Engine<KeyTable>,
-    record: Keeper<S>,
+    record: IdempotencyStore<S>,
     logs: Logs,
     counters: Counters,
     admin: Admin<S>,
@@ -159,10 +159,10 @@
         let clock = Clock::new(&system);
         let lanes = store::lanes_within(config.sockets);
         // The store is read before anybody can connect.
-        let who = (config.name.as_str(), config.seed, longest_window(&config));
+        let owner = Owner { name: &config.name, seed: config.seed, window: longest_window(&config) };
         let stored = config.operators.record.as_ref();
-        let (record, mut key_table) =
-            Keeper::start(stored, who, RECORD, &system, clock.moment()).map_err(NodeError::Record)?;
+        let (record, mut key_table) = IdempotencyStore::start(stored, owner, RECORD, &system, clock.moment())
+            .map_err(|error| NodeError::Record(error.to_string()))?;
         key_table.set_max_bytes(config.most_kept);
         let others = lanes
             + if key_table.is_durable() { idempotency_store::SOCKETS } else { 0 }
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -13,6 +13,7 @@
 use gaugestand_admission::log_record::RecoveredLog;
 use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
+use gaugestand_idempotency::OpenError;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::Options;
 use std::fmt::Debug;
@@ -69,14 +70,14 @@
         options: &Options,
         most_rows: usize,
         key: usize,
-    ) -> Result<(Self::Worker, Recovery), String>;
+    ) -> Result<(Self::Worker, Recovery), OpenError>;
     /// Opens a fleet's log in a file, which belongs to this owner, with what an earlier life left in it.
     fn consensus_log(
         &self,
         path: &Path,
         owner: &str,
         key: usize,
-    ) -> Result<(Self::Worker, RecoveredLog), String>;
+    ) -> Result<(Self::Worker, RecoveredLog), OpenError>;
     /// Listens for other processes of this node, in place of a socket that nobody answers at.
     fn door(&self, at: &Path, key: usize) -> io::Result<Self::Door>;
     /// Connects to another process of this node.
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -6,9 +6,10 @@
 use gaugestand_admission::log_record::RecoveredLog;
 use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
-use gaugestand_idempotency::consensus_log::ConsensusLog;
+use gaugestand_idempotency::OpenError;
+use gaugestand_idempotency::consensus_log::{self, ConsensusLog};
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
-use gaugestand_idempotency::sqlite::{Options, Sqlite};
+use gaugestand_idempotency::sqlite::{self, Options, Sqlite};
 use gaugestand_idempotency::worker;
 use polling::Poller;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -130,15 +131,22 @@
         options: &Options,
         most_rows: usize,
         key: usize,
-    ) -> Result<(Thread, Recovery), String> {
-        let store = Sqlite::open(path, options).map_err(|e| e.to_string())?;
-        let found = store.recover(path, most_rows).map_err(|e| e.to_string())?;
-        Ok((self.worker(store, key).map_err(|e| format!("store of record: {e}"))?, found))
+    ) -> Result<(Thread, Recovery), OpenError> {
+        let store = Sqlite::open(path, options)?;
+        let found = store.recover(path, most_rows)?;
+        let worker = self.worker(store, key);
+        Ok((worker.map_err(|error| OpenError::Thread { kind: sqlite::KIND, error })?, found))
     }
 
-    fn consensus_log(&self, path: &Path, owner: &str, key: usize) -> Result<(Thread, RecoveredLog), String> {
+    fn consensus_log(
+        &self,
+        path: &Path,
+        owner: &str,
+        key: usize,
+    ) -> Result<(Thread, RecoveredLog), OpenError> {
         let (consensus_log, found) = ConsensusLog::open(path, owner, &Options::default())?;
-        Ok((self.worker(consensus_log, key).map_err(|e| format!("agreed log: {e}"))?, found))
+        let worker = self.worker(consensus_log, key);
+        Ok((worker.map_err(|error| OpenError::Thread { kind: consensus_log::KIND, error })?, found))
     }
 
     fn door(&self, at: &Path, key: usize) -> io::Result<Door> {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -196,7 +196,8 @@
         let terms = planted(terms)?;
         let names: Vec<String> = settings.members.iter().map(|m| m.0.clone()).collect();
         let owner = format!("node {me} of fleet {:?} ({})", settings.name, names.join(", "));
-        let (writer, found) = system.consensus_log(&settings.path, &owner, writer_key)?;
+        let (writer, found) =
+            system.consensus_log(&settings.path, &owner, writer_key).map_err(|e| e.to_string())?;
         let listener = settings.listen.unwrap_or(own);
         let listener =
             system.listen(listener, listener_key).map_err(|e| format!("fleet: {listener}: {e}"))?;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -6,6 +6,7 @@
 use gaugestand_admission::log_record::RecoveredLog;
 use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
+use gaugestand_idempotency::OpenError;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::Options;
 use gaugestand_node::io::{Claim, Datagram, Kin, Listener, Passed, Ready, Stream, System, Worker};
@@ -380,12 +381,12 @@
         Ok(Told { net: self.0.clone(), key })
     }
 
-    fn store(&self, path: &Path, _: &Options, _: usize, _: usize) -> Result<(NoStore, Recovery), String> {
-        Err(format!("{}: there is no disk in this world yet", path.display()))
+    fn store(&self, path: &Path, _: &Options, _: usize, _: usize) -> Result<(NoStore, Recovery), OpenError> {
+        Err(OpenError::NoDisk(path.to_path_buf()))
     }
 
-    fn consensus_log(&self, path: &Path, _: &str, _: usize) -> Result<(NoStore, RecoveredLog), String> {
-        Err(format!("{}: there is no disk in this world yet", path.display()))
+    fn consensus_log(&self, path: &Path, _: &str, _: usize) -> Result<(NoStore, RecoveredLog), OpenError> {
+        Err(OpenError::NoDisk(path.to_path_buf()))
     }
 
     fn door(&self, _: &Path, _: usize) -> io::Result<Nobody> {
--- a/src/record.rs
+++ b/src/record.rs
@@ -3,7 +3,7 @@
 use crate::Failure;
 use gaugestand_idempotency::blocking_client::BlockingClient;
 use gaugestand_idempotency::postgres::Login;
-use gaugestand_idempotency::row::{Outcome, Row, State};
+use gaugestand_idempotency::row::{Outcome, Row, RowState};
 use gaugestand_idempotency::sqlite::{self, Options, Sqlite};
 use gaugestand_node::idempotency_store::password;
 use gaugestand_settings::Backend;
@@ -54,17 +54,17 @@
 impl Shown {
     fn of(row: &Row, now: u64) -> Self {
         let (state, result_bytes) = match &row.state {
-            State::Intent => ("intent", 0),
-            State::Good(result) => ("good", result.len()),
-            State::Failed => ("failed", 0),
+            RowState::Intent => ("intent", 0),
+            RowState::Completed(result) => ("good", result.len()),
+            RowState::Failed => ("failed", 0),
         };
         Shown {
             key: row.key.clone(),
             state,
             txn: format!("{:016x}", row.holder),
-            ran_ms: row.ran / 1000,
-            until_ms: row.until / 1000,
-            live: row.until > now,
+            ran_ms: row.ingress / 1000,
+            until_ms: row.expires / 1000,
+            live: row.expires > now,
             result_bytes,
         }
     }
@@ -111,7 +111,7 @@
     let Some(node) = node.or_else(|| env::var("BALANCER_NAME").ok()) else {
         return Err(Failure::Start("whose rows? give --node NAME or set BALANCER_NAME".into()));
     };
-    let password = password(password_file).map_err(Failure::Script)?;
+    let password = password(password_file).map_err(|error| Failure::Script(error.to_string()))?;
     Ok(Login { user: user.clone(), password, database: database.clone(), node })
 }
 
@@ -120,11 +120,12 @@
     let failed = |e: &dyn std::fmt::Display| Failure::Start(e.to_string());
     match backend {
         Backend::Sqlite { path, .. } => {
-            let store = sqlite::look(path).map_err(|e| failed(&e))?;
-            sqlite::each_row(&store, each).map_err(|e| unread(path, &e))
+            let store = sqlite::open_read_only(path).map_err(|e| failed(&e))?;
+            sqlite::for_each_row(&store, each).map_err(|e| unread(path, &e))
         }
         Backend::Postgres { address, .. } => {
-            let (_, rows) = BlockingClient::look(*address, login(backend, node)?).map_err(|e| failed(&e))?;
+            let (_, rows) =
+                BlockingClient::read_only(*address, login(backend, node)?).map_err(|e| failed(&e))?;
             rows.into_iter().for_each(&mut each);
             Ok(())
         }
@@ -211,10 +212,10 @@
                 }
                 Backend::Postgres { address, .. } => {
                     let login = login(&backend, which.node)?;
-                    let (mut remote, found) =
-                        BlockingClient::look(*address, login).map_err(|e| Failure::Start(e.to_string()))?;
+                    let (mut remote, found) = BlockingClient::read_only(*address, login)
+                        .map_err(|e| Failure::Start(e.to_string()))?;
                     match remote.prune(before).map_err(|e| Failure::Start(e.to_string()))? {
-                        Outcome::Done => Some(found.iter().filter(|r| r.until <= before).count() as u64),
+                        Outcome::Done => Some(found.iter().filter(|r| r.expires <= before).count() as u64),
                         Outcome::NotDone(cause) | Outcome::Unknown(cause) => {
                             return Err(Failure::Start(format!("store of record: nothing removed, {cause}")));
                         }
