--- /dev/null
+++ b/src/idempotency_command.rs
@@ -0,0 +1,277 @@
+//! The sub-command `gaugestand record`: looks after the store of idempotency keys.
+//!
+//! `check`, `list` and `stats` only read, also beside a running node. `prune` changes a file only while no node serves
+//! from it; in a database it removes rows of one node beside that node. Whatever is wrong with a store is one line.
+
+use crate::Failure;
+use gaugestand_idempotency::blocking_client::BlockingClient;
+use gaugestand_idempotency::postgres::Login;
+use gaugestand_idempotency::row::{Outcome, Row, RowState};
+use gaugestand_idempotency::sqlite::{self, Options, Sqlite};
+use gaugestand_node::idempotency_store::password;
+use gaugestand_settings::Backend;
+use serde::Serialize;
+use std::env;
+use std::fmt::Display;
+use std::io::{self, Write};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+const MICROS_PER_SECOND: u64 = 1_000_000;
+const MICROS_PER_MILLI: u64 = 1_000;
+
+/// What is to be done.
+#[derive(Clone, Debug)]
+pub enum Task {
+    /// Read all of it and say whether it is sound.
+    Check,
+    /// Show every row.
+    List,
+    /// Count rows.
+    Stats,
+    /// Remove rows whose window ended at least so many seconds ago.
+    Prune(u64),
+}
+
+/// Which store, and how to print.
+#[derive(Clone, Debug)]
+pub struct Target {
+    /// The operators' script.
+    pub settings: PathBuf,
+    /// Whose rows, in a database.
+    pub node: Option<String>,
+    /// For programs.
+    pub json: bool,
+}
+
+/// A row as it is shown; the names of the fields are those of the JSON output.
+#[derive(Serialize)]
+struct ShownRow {
+    key: String,
+    state: &'static str,
+    txn: String,
+    /// Milliseconds of Unix time at which the run reached its machine.
+    ran_ms: u64,
+    /// Milliseconds of Unix time at which its window ends.
+    until_ms: u64,
+    /// Its window is not over by this machine's clock.
+    live: bool,
+    result_bytes: usize,
+}
+
+impl ShownRow {
+    /// `now` in microseconds of Unix time.
+    fn new(row: &Row, now: u64) -> Self {
+        let state = match &row.state {
+            RowState::Intent => "intent",
+            RowState::Completed(_) => "good",
+            RowState::Failed => "failed",
+        };
+        ShownRow {
+            key: row.key.clone(),
+            state,
+            txn: format!("{:016x}", row.holder),
+            ran_ms: row.ingress / MICROS_PER_MILLI,
+            until_ms: row.expires / MICROS_PER_MILLI,
+            live: row.expires > now,
+            result_bytes: row.state.result().map_or(0, <[u8]>::len),
+        }
+    }
+
+    fn line(&self, json: bool) -> Result<String, Failure> {
+        if json {
+            return to_json(self);
+        }
+        Ok(format!(
+            "{} {:6} txn {} ran_ms {} until_ms {} {} result {} bytes",
+            self.key,
+            self.state,
+            self.txn,
+            self.ran_ms,
+            self.until_ms,
+            if self.live { "live" } else { "over" },
+            self.result_bytes
+        ))
+    }
+}
+
+/// Counts of rows; the names of the fields are those of the JSON output.
+#[derive(Default, Serialize)]
+struct Stats {
+    backend: &'static str,
+    rows: u64,
+    intents: u64,
+    good: u64,
+    failed: u64,
+    live: u64,
+    result_bytes: u64,
+    /// Milliseconds of Unix time at which the run of the oldest and the newest row reached its machine.
+    oldest_ms: Option<u64>,
+    newest_ms: Option<u64>,
+}
+
+impl Stats {
+    fn add(&mut self, row: &ShownRow) {
+        self.rows += 1;
+        match row.state {
+            "intent" => self.intents += 1,
+            "good" => self.good += 1,
+            _ => self.failed += 1,
+        }
+        self.live += u64::from(row.live);
+        self.result_bytes += row.result_bytes as u64;
+        self.oldest_ms = Some(self.oldest_ms.map_or(row.ran_ms, |oldest| oldest.min(row.ran_ms)));
+        self.newest_ms = Some(self.newest_ms.map_or(row.ran_ms, |newest| newest.max(row.ran_ms)));
+    }
+
+    fn summary(&self) -> String {
+        let Stats { rows, intents, good, failed, live, result_bytes, .. } = self;
+        format!(
+            "{rows} rows ({good} good, {failed} failed, {intents} intents), {live} live, \
+             {result_bytes} bytes of results"
+        )
+    }
+}
+
+/// Does a task.
+pub fn run(task: &Task, target: Target) -> Result<(), Failure> {
+    let settings =
+        gaugestand_settings::load(&target.settings).map_err(|error| Failure::Script(error.to_string()))?;
+    let Some(record) = settings.record else {
+        let problem = "sets no store of record; add record(...)";
+        return Err(Failure::Script(format!("{}: {problem}", target.settings.display())));
+    };
+    let backend = record.backend;
+    let now = unix_micros();
+    match task {
+        Task::List => list(&backend, target, now),
+        Task::Check => check(&backend, target, now),
+        Task::Stats => {
+            let json = target.json;
+            let stats = stats(&backend, target, now)?;
+            print_stats(&stats, json, "")
+        }
+        Task::Prune(seconds) => {
+            let before = now.saturating_sub(seconds.saturating_mul(MICROS_PER_SECOND));
+            prune(&backend, target, before)
+        }
+    }
+}
+
+fn list(backend: &Backend, target: Target, now: u64) -> Result<(), Failure> {
+    let mut printed = Ok(());
+    for_each_row(backend, target.node, |row| {
+        if printed.is_ok() {
+            printed = ShownRow::new(&row, now).line(target.json).and_then(|line| print(&line));
+        }
+    })?;
+    printed
+}
+
+fn check(backend: &Backend, target: Target, now: u64) -> Result<(), Failure> {
+    if let Backend::Sqlite { path, .. } = backend {
+        sqlite::check(path).map_err(start_failure)?;
+    }
+    let json = target.json;
+    let stats = stats(backend, target, now)?;
+    print_stats(&stats, json, "sound: ")
+}
+
+fn stats(backend: &Backend, target: Target, now: u64) -> Result<Stats, Failure> {
+    let name = if matches!(backend, Backend::Sqlite { .. }) { "sqlite" } else { "postgres" };
+    let mut stats = Stats { backend: name, ..Stats::default() };
+    for_each_row(backend, target.node, |row| stats.add(&ShownRow::new(&row, now)))?;
+    Ok(stats)
+}
+
+fn print_stats(stats: &Stats, json: bool, prefix: &str) -> Result<(), Failure> {
+    if json {
+        return print(&to_json(stats)?);
+    }
+    print(&format!("{prefix}{}", stats.summary()))
+}
+
+/// Removes rows whose window ended before this moment of Unix time, in microseconds.
+fn prune(backend: &Backend, target: Target, before: u64) -> Result<(), Failure> {
+    let removed = match backend {
+        Backend::Sqlite { path, .. } => prune_file(path, before)?,
+        Backend::Postgres { address, .. } => prune_database(*address, login(backend, target.node)?, before)?,
+    };
+    if target.json {
+        return print(&format!("{{\"removed\":{removed}}}"));
+    }
+    print(&format!("{removed} rows removed"))
+}
+
+fn prune_file(path: &Path, before: u64) -> Result<u64, Failure> {
+    // Guards against making an empty store at a path that was mistyped.
+    if !path.exists() {
+        return Err(Failure::Start(format!("store of record {}: is not there", path.display())));
+    }
+    let store = Sqlite::open(path, &Options::default()).map_err(start_failure)?;
+    let removed = store.prune(before).map_err(|error| unreadable(path, &error))?;
+    Ok(removed as u64)
+}
+
+fn prune_database(address: SocketAddr, login: Login, before: u64) -> Result<u64, Failure> {
+    let (mut client, found) = BlockingClient::read_only(address, login).map_err(start_failure)?;
+    match client.prune(before).map_err(start_failure)? {
+        Outcome::Done => Ok(found.iter().filter(|row| row.expires <= before).count() as u64),
+        Outcome::NotDone(cause) | Outcome::Unknown(cause) => {
+            Err(Failure::Start(format!("store of record: nothing removed, {cause}")))
+        }
+        Outcome::Rows(_) => Ok(0),
+    }
+}
+
+/// Passes every row to `visit`.
+fn for_each_row(backend: &Backend, node: Option<String>, mut visit: impl FnMut(Row)) -> Result<(), Failure> {
+    match backend {
+        Backend::Sqlite { path, .. } => {
+            let store = sqlite::open_read_only(path).map_err(start_failure)?;
+            sqlite::for_each_row(&store, visit).map_err(|error| unreadable(path, &error))
+        }
+        Backend::Postgres { address, .. } => {
+            let login = login(backend, node)?;
+            let (_, rows) = BlockingClient::read_only(*address, login).map_err(start_failure)?;
+            rows.into_iter().for_each(&mut visit);
+            Ok(())
+        }
+    }
+}
+
+fn login(backend: &Backend, node: Option<String>) -> Result<Login, Failure> {
+    let Backend::Postgres { database, user, password_file, .. } = backend else {
+        return Err(Failure::Start("a file has no login".into()));
+    };
+    let Some(node) = node.or_else(|| env::var("BALANCER_NAME").ok()) else {
+        return Err(Failure::Start("whose rows? give --node NAME or set BALANCER_NAME".into()));
+    };
+    let password = password(password_file).map_err(|error| Failure::Script(error.to_string()))?;
+    Ok(Login { user: user.clone(), password, database: database.clone(), node })
+}
+
+fn start_failure(error: impl Display) -> Failure {
+    Failure::Start(error.to_string())
+}
+
+fn unreadable(path: &Path, error: &dyn Display) -> Failure {
+    Failure::Start(format!("store of record {}: is damaged ({error}); restore it", path.display()))
+}
+
+fn unix_micros() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+}
+
+fn to_json(value: &impl Serialize) -> Result<String, Failure> {
+    serde_json::to_string(value).map_err(start_failure)
+}
+
+/// Prints to standard output; a reader that has gone ends it quietly.
+fn print(line: &str) -> Result<(), Failure> {
+    match writeln!(io::stdout(), "{line}") {
+        Err(error) if error.kind() != io::ErrorKind::BrokenPipe => Err(start_failure(error)),
+        _ => Ok(()),
+    }
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,14 +2,14 @@
 #![deny(unsafe_code)]
 
 mod fleet;
-mod record;
+mod idempotency_command;
 
 use bpaf::{OptionParser, Parser, construct, long, positional, pure};
 use gaugestand_node as node;
 use gaugestand_node::config::ConfigError;
 use gaugestand_node::io::real::Real;
 use gaugestand_node::log::Logs;
-use record::{Task, Which};
+use idempotency_command::{Target, Task};
 use std::io::Write as _;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -30,7 +30,7 @@
         json: bool,
     },
     /// Look after a store of record.
-    Record(Task, Which),
+    Record(Task, Target),
     /// What the fleet agrees on.
     Fleet(fleet::Task, fleet::Whom),
     /// Print the version.
@@ -71,18 +71,18 @@
             .descr("Read the configuration as 'serve' does, say whether it is sound and what is in effect")
             .command("check-config")
     };
-    let which = || {
+    let target = || {
         let settings = long("settings").help("The operators' script").argument::<PathBuf>("FILE");
         let settings = settings.fallback("deploy/operator.star".into());
         let node =
             long("node").help("Whose rows, in a database; else BALANCER_NAME").argument("NAME").optional();
         let json = long("json").help("Print JSON, for programs").switch();
-        construct!(Which { settings, node, json })
+        construct!(Target { settings, node, json })
     };
     let task = |name: &'static str, task: Task, descr: &'static str| {
         let task = pure(task);
-        let which = which();
-        construct!(Command::Record(task, which)).to_options().descr(descr).command(name)
+        let target = target();
+        construct!(Command::Record(task, target)).to_options().descr(descr).command(name)
     };
     let look = task("check", Task::Check, "Read all of it and say whether it is sound");
     let list = task("list", Task::List, "Show every row");
@@ -91,8 +91,8 @@
         let seconds =
             long("older-than").help("Seconds since the end of the window (3600)").argument("SECONDS");
         let task = seconds.fallback(3600).map(Task::Prune);
-        let which = which();
-        construct!(Command::Record(task, which))
+        let target = target();
+        construct!(Command::Record(task, target))
             .to_options()
             .descr("Remove rows whose window is long over; a file must not be in use")
             .command("prune")
@@ -210,7 +210,7 @@
             Ok(())
         }
         Command::CheckConfig { settings, json } => check(settings, json),
-        Command::Record(task, which) => record::run(&task, which),
+        Command::Record(task, target) => idempotency_command::run(&task, target),
         Command::Fleet(task, whom) => fleet::run(&task, &whom),
         Command::Serve { settings } => serve(settings),
     };
