--- a/crates/node/src/idempotency_store/postgres_link.rs
+++ b/crates/node/src/idempotency_store/postgres_link.rs
@@ -171,7 +171,7 @@
         if self.answer_due().is_some_and(|due| now.mono >= due) {
             self.give_up(now.mono, SessionError::Timeout);
         }
-        if self.link.tick(now.mono).is_some() {
+        if self.link.on_timer(now.mono).is_some() {
             self.on_down(now.mono, key_table);
         }
         if self.link.is_down() && now.mono >= self.retry_at && self.link.connect(now.mono).is_some() {
@@ -205,7 +205,7 @@
 
     /// When to call [`PostgresLink::pump`] again although nothing happens.
     pub(super) fn wake(&self) -> Option<Micros> {
-        let retry = self.link.wake(true).map(|at| at.max(self.retry_at));
+        let retry = self.link.next_wakeup(true).map(|at| at.max(self.retry_at));
         [self.answer_due(), retry].into_iter().flatten().min()
     }
 }
--- a/crates/node/src/kernel.rs
+++ b/crates/node/src/kernel.rs
@@ -157,7 +157,7 @@
 
 /// Where a process stands with its kernel, for another one to go on with its runs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Snapshot {
+pub struct KernelSnapshot {
     /// The kernel's address.
     pub to: SocketAddr,
     cursor: u64,
@@ -195,14 +195,14 @@
     }
 
     /// Where this process stands with it, with these runs.
-    pub fn snapshot(&self, runs: Vec<RequestId>) -> Snapshot {
+    pub fn snapshot(&self, runs: Vec<RequestId>) -> KernelSnapshot {
         let unread = self.unread.iter().map(|u| (u.id, u.text.clone())).collect();
-        Snapshot { to: self.link.address(), cursor: self.cursor, unread, runs }
+        KernelSnapshot { to: self.link.address(), cursor: self.cursor, unread, runs }
     }
 
     /// The kernel of another process, not linked yet: its notices go on after the last one that was read there, and
     /// commands that were perhaps not read are said again.
-    pub fn restore(snapshot: &Snapshot, key: usize, system: &S) -> Self {
+    pub fn restore(snapshot: &KernelSnapshot, key: usize, system: &S) -> Self {
         let mut kernel = Kernel::new(snapshot.to, key, system, &[]);
         kernel.cursor = snapshot.cursor;
         let unread = snapshot.unread.iter().cloned();
@@ -210,7 +210,7 @@
         kernel
     }
 
-    /// Breaks the link off; the next [`Kernel::tick`] makes a new one.
+    /// Breaks the link off; the next [`Kernel::on_timer`] makes a new one.
     pub fn unlink(&mut self) {
         self.link = Link::new(self.link.address(), self.key, &self.system);
         (self.barrier, self.booted) = (None, false);
@@ -243,7 +243,7 @@
     }
 
     /// Runs a request.
-    pub fn sched(&mut self, id: RequestId, class: &str, body: &[u8]) {
+    pub fn run(&mut self, id: RequestId, class: &str, body: &[u8]) {
         let arg = STANDARD.encode(body);
         let entry = serde_json::Value::from(class);
         self.command(
@@ -258,14 +258,14 @@
     }
 
     /// Hands a run the reply to its call.
-    pub fn io_done(&mut self, id: RequestId, reply: &[u8]) {
+    pub fn complete_call(&mut self, id: RequestId, reply: &[u8]) {
         let arg = STANDARD.encode(reply);
         self.command(id, format!(r#"{{"event":"IODONE","handle":"{}","arg":"{arg}"}}"#, id_text(id)));
     }
 
     /// Has a run go on without the call that the notice of this number asked for. Said twice it does no more than once:
     /// the kernel tells calls of one run apart by that number.
-    pub fn no_io(&mut self, id: RequestId, notice: u64) {
+    pub fn skip_call(&mut self, id: RequestId, notice: u64) {
         let id_text = id_text(id);
         self.command(id, format!(r#"{{"event":"NOIO","handle":"{id_text}","cursor":{notice}}}"#));
     }
@@ -290,13 +290,13 @@
     }
 
     /// Asks for the gauges.
-    pub fn ask(&mut self) {
+    pub fn request_gauges(&mut self) {
         self.ticket += 1;
         self.send(&format!(r#"{{"event":"SYSINFO","ticket":"{}"}}"#, self.ticket));
     }
 
     /// Asks for the work of a deep check; returns its ticket.
-    pub fn post(&mut self) -> u64 {
+    pub fn request_deep_check(&mut self) -> u64 {
         self.ticket += 1;
         self.send(&format!(r#"{{"event":"POST","ticket":"{}"}}"#, self.ticket));
         self.ticket
@@ -358,7 +358,7 @@
                 self.booted = true;
                 // What was sent on the link before may be unread. All notices come again before the answer
                 // to this, and what they show to be done is not said again.
-                self.ask();
+                self.request_gauges();
                 self.barrier = Some(self.ticket);
             }
             Notice::Reap(id, _) | Notice::IoReq(id, ..) => self.unread.retain(|u| u.id != *id),
@@ -398,13 +398,13 @@
     }
 
     /// Keeps the link up.
-    pub fn tick(&mut self, now: Micros) -> Option<Change> {
-        self.link.tick(now).or_else(|| self.link.connect(now))
+    pub fn on_timer(&mut self, now: Micros) -> Option<Change> {
+        self.link.on_timer(now).or_else(|| self.link.connect(now))
     }
 
-    /// When to call [`Kernel::tick`] again.
-    pub fn wake(&self) -> Option<Micros> {
-        self.link.wake(true)
+    /// When to call [`Kernel::on_timer`] again.
+    pub fn next_wakeup(&self) -> Option<Micros> {
+        self.link.next_wakeup(true)
     }
 
     /// Writes what can be written.
