--- a/crates/idempotency/tests/stores.rs
+++ b/crates/idempotency/tests/stores.rs
@@ -193,7 +193,7 @@
         assert_eq!(remote.execute(&Batch { number: i as u64, work }).expect("sound"), outcome, "{code}");
         assert_eq!(server.rows(), 0);
     }
-    server.pieces(true);
+    server.send_single_bytes(true);
     let work = Work::Commit(vec![put("k", 1, RowState::Intent)]);
     assert_eq!(remote.execute(&Batch { number: 9, work }).expect("sound"), Outcome::Done);
     server.faults(&[Fault::Garbage]);
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -279,7 +279,7 @@
     let [_, store] = Store::both();
     let Store::Postgres { server, .. } = &store else { panic!("the second is the database") };
     // Replies cut into single bytes are no fault at all.
-    server.pieces(true);
+    server.send_single_bytes(true);
     let mut scene = store.scene();
     let kernel = AutoKernel::serve(&scene.kernel);
     scene.await_good();
