--- a/crates/idempotency/src/consensus_log.rs
+++ b/crates/idempotency/src/consensus_log.rs
@@ -53,6 +53,9 @@
     checksum: Checksum,
 }
 
+/// The name of a value that is not as it was written.
+struct DamagedValue(String);
+
 /// What shows that a value is as it was written, and where.
 fn checksum(place: &str, value: &[u8]) -> Checksum {
     let mut hasher = blake3::Hasher::new();
@@ -78,7 +81,7 @@
         let entries = cells.and_then(|cells| Ok((cells, read_entries(&connection)?)));
         let (cells, entries) = entries.map_err(open_error)?;
         let mut recovered = verify(cells, entries)
-            .map_err(|value| OpenError::DamagedLog { file: AGREED_LOG.file(path), value })?;
+            .map_err(|DamagedValue(value)| OpenError::DamagedLog { file: AGREED_LOG.file(path), value })?;
         let incarnation: i64 = connection
             .query_row("UPDATE life SET life = life + 1, owner = ?1 RETURNING life", [owner], |row| {
                 row.get(0)
@@ -142,21 +145,21 @@
 }
 
 /// What the values say, if each is as it was written; otherwise which one is not.
-fn verify(cells: Vec<Stored<String>>, entries: Vec<Stored<i64>>) -> Result<RecoveredLog, String> {
+fn verify(cells: Vec<Stored<String>>, entries: Vec<Stored<i64>>) -> Result<RecoveredLog, DamagedValue> {
     let mut recovered = RecoveredLog::default();
     for cell in cells {
         if cell.checksum != checksum(&cell.place, &cell.value) {
-            return Err(cell.place);
+            return Err(DamagedValue(cell.place));
         }
         match cell.place.as_str() {
             HARD_STATE => recovered.hard_state = Some(cell.value),
             SNAPSHOT => recovered.snapshot = Some(cell.value),
-            _ => return Err(cell.place),
+            _ => return Err(DamagedValue(cell.place)),
         }
     }
     for entry in entries {
         if entry.checksum != checksum(&entry.place.to_string(), &entry.value) {
-            return Err(format!("entry {}", entry.place));
+            return Err(DamagedValue(format!("entry {}", entry.place)));
         }
         recovered.entries.push((entry.place as u64, entry.value));
     }
--- a/crates/idempotency/src/table/mod.rs
+++ b/crates/idempotency/src/table/mod.rs
@@ -46,7 +46,7 @@
 const ENTRY_BYTES: usize = 350;
 /// The longest result that the protocol knows, in bytes.
 const MAX_RESULT_BYTES: usize = 4096;
-/// Shortest time that a caller is asked to stay away when there is no room: as much as a probe or a commit takes.
+/// Shortest time that a caller is asked to stay away when there is no room: two of the shortest probe intervals.
 const MIN_RETRY_AFTER: Micros = Micros::millis(200);
 /// Length of the key of the fingerprints, in bytes.
 const SECRET_BYTES: usize = 32;
--- a/crates/idempotency/tests/consensus_log.rs
+++ b/crates/idempotency/tests/consensus_log.rs
@@ -1,4 +1,4 @@
-//! A fleet's log on disk: what is written is found, and a file that is not this node's, or not whole, is left alone.
+//! A cluster's log on disk: what is written is found, and a file that is not this node's, or not whole, is left alone.
 
 use gaugestand_admission::log_record::LogRecord;
 use gaugestand_idempotency::consensus_log::ConsensusLog;
@@ -10,14 +10,14 @@
 
 const OWNER: &str = "node n1 of fleet \"north\" (n1, n2, n3)";
 
-/// A file of this test's own, with what SQLite puts beside it.
-struct Place(PathBuf);
+/// A folder of one test, for its file and what SQLite puts beside it.
+struct LogFolder(PathBuf);
 
-impl Place {
+impl LogFolder {
     fn new(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("gaugestand-diary-{}-{name}", std::process::id()));
         fs::create_dir_all(&folder).expect("a folder");
-        Place(folder)
+        LogFolder(folder)
     }
 
     fn file(&self) -> PathBuf {
@@ -30,13 +30,13 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for LogFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn page(from: u64, to: u64) -> LogRecord {
+fn record(from: u64, to: u64) -> LogRecord {
     let put = (from..=to).map(|at| (at, format!("entry {at}").into_bytes())).collect();
     LogRecord {
         hard_state: Some(format!("state {to}").into_bytes()),
@@ -47,19 +47,19 @@
 }
 
 #[test]
-fn what_is_written_is_found_in_the_next_life() {
-    let place = Place::new("found");
-    for life in 1..=3 {
+fn what_is_written_is_recovered_by_the_next_incarnation() {
+    let folder = LogFolder::new("found");
+    for incarnation in 1..=3 {
         let (mut consensus_log, found) =
-            ConsensusLog::open(&place.file(), OWNER, &Options::default()).expect("opened");
-        assert_eq!(found.incarnation, life);
-        assert!(ConsensusLog::open(&place.file(), OWNER, &Options::default()).is_err(), "it has one writer");
-        if life == 1 {
+            ConsensusLog::open(&folder.file(), OWNER, &Options::default()).expect("opened");
+        assert_eq!(found.incarnation, incarnation);
+        assert!(ConsensusLog::open(&folder.file(), OWNER, &Options::default()).is_err(), "it has one writer");
+        if incarnation == 1 {
             assert_eq!((found.hard_state, found.snapshot, found.entries.len()), (None, None, 0));
-            assert_eq!(consensus_log.write(&page(1, 9)), Outcome::Done);
-            // Another leader's entries take the place of some; said twice it is the same.
-            assert_eq!(consensus_log.write(&page(6, 7)), Outcome::Done);
-            assert_eq!(consensus_log.write(&page(6, 7)), Outcome::Done);
+            assert_eq!(consensus_log.write(&record(1, 9)), Outcome::Done);
+            // Another leader's entries replace some; written twice it is the same.
+            assert_eq!(consensus_log.write(&record(6, 7)), Outcome::Done);
+            assert_eq!(consensus_log.write(&record(6, 7)), Outcome::Done);
             let forget = LogRecord {
                 compact_through: Some(2),
                 snapshot: Some(b"base".to_vec()),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_whole_or_not_this_nodes_is_left_alone() {
+fn a_file_that_is_damaged_or_not_this_nodes_is_unchanged() {
     let cases = [
         ("UPDATE entry SET value = x'00' WHERE place = 2", "is damaged (entry 2"),
         ("UPDATE cell SET value = x'00' WHERE name = 'state'", "is damaged (state"),
@@ -87,35 +87,38 @@
         ("PRAGMA application_id = 7", "is a file of another program"),
     ];
     for (i, (sql, why)) in cases.into_iter().enumerate() {
-        let place = Place::new(&format!("case{i}"));
+        let folder = LogFolder::new(&format!("case{i}"));
         let (mut consensus_log, _) =
-            ConsensusLog::open(&place.file(), OWNER, &Options::default()).expect("opened");
-        assert_eq!(consensus_log.write(&page(1, 3)), Outcome::Done);
+            ConsensusLog::open(&folder.file(), OWNER, &Options::default()).expect("opened");
+        assert_eq!(consensus_log.write(&record(1, 3)), Outcome::Done);
         drop(consensus_log);
-        place.change(sql);
-        let before = fs::read(place.file()).expect("there");
-        let told = ConsensusLog::open(&place.file(), OWNER, &Options::default())
+        folder.change(sql);
+        let before = fs::read(folder.file()).expect("there");
+        let message = ConsensusLog::open(&folder.file(), OWNER, &Options::default())
             .map(|_| ())
             .expect_err(sql)
             .to_string();
-        assert!(told.starts_with("agreed log") && told.contains(why) && told.lines().count() == 1, "{told}");
-        assert_eq!(fs::read(place.file()).expect("there"), before, "{sql}: it was changed");
+        assert!(
+            message.starts_with("agreed log") && message.contains(why) && message.lines().count() == 1,
+            "{message}"
+        );
+        assert_eq!(fs::read(folder.file()).expect("there"), before, "{sql}: it was changed");
     }
     // A store of record is none, nor is a log a store of record.
-    let place = Place::new("store");
-    drop(Sqlite::open(&place.file(), &Options::default()).expect("a store"));
-    let told = ConsensusLog::open(&place.file(), OWNER, &Options::default())
+    let folder = LogFolder::new("store");
+    drop(Sqlite::open(&folder.file(), &Options::default()).expect("a store"));
+    let message = ConsensusLog::open(&folder.file(), OWNER, &Options::default())
         .map(|_| ())
         .expect_err("another file")
         .to_string();
-    assert!(told.contains("is a file of another program"), "{told}");
+    assert!(message.contains("is a file of another program"), "{message}");
 }
 
 #[test]
-fn a_full_disk_loses_no_page_that_was_done() {
-    let place = Place::new("full");
+fn a_full_disk_loses_no_record_that_was_written() {
+    let folder = LogFolder::new("full");
     let small = Options { max_pages: 40, ..Options::default() };
-    let (mut consensus_log, _) = ConsensusLog::open(&place.file(), OWNER, &small).expect("opened");
+    let (mut consensus_log, _) = ConsensusLog::open(&folder.file(), OWNER, &small).expect("opened");
     let big = |at: u64| LogRecord { entries: vec![(at, vec![7; 8_000])], ..LogRecord::default() };
     let done = (1..100).take_while(|at| consensus_log.write(&big(*at)) == Outcome::Done).count() as u64;
     assert!((2..60).contains(&done), "{done} pages");
@@ -126,7 +129,7 @@
     );
     assert_eq!(consensus_log.write(&big(done + 1)), Outcome::Done);
     drop(consensus_log);
-    let (_, found) = ConsensusLog::open(&place.file(), OWNER, &small).expect("opened");
+    let (_, found) = ConsensusLog::open(&folder.file(), OWNER, &small).expect("opened");
     let places: Vec<u64> = found.entries.iter().map(|e| e.0).collect();
     assert_eq!(places, (done / 2 + 1..=done + 1).collect::<Vec<_>>());
 }
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -1,7 +1,7 @@
-//! The ledger itself behind the engine, checked by stateright in every order of crashes, stalls, late successes and
+//! The key table itself behind the engine, checked by stateright in every order of crashes, stalls, late successes and
 //! retries up to a bound: a state is the history of steps, replayed through the real code.
 //!
-//! Bound: three tries of one key, up to `depth()` steps, two crashes, two stalls, two breaks, one due time passed.
+//! Bound: three attempts of one key, up to `depth()` steps, two crashes, two stalls, two breaks, one due time passed.
 
 use gaugestand_admission::engine::{Arrival, Engine, EngineCommand, EngineEvent, RunOutcome};
 use gaugestand_admission::time::Micros;
@@ -17,19 +17,19 @@
 use std::rc::Rc;
 
 const DEPTH: usize = 9;
-const TRIES: u128 = 3;
+const ATTEMPTS: u128 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// A try of the key comes; its caller is still there.
+    /// An attempt of the key comes; its caller is still there.
     Arrive(u128),
-    /// The store makes the batch durable, and its word gets through.
+    /// The store makes the batch durable, and its answer gets through.
     Commit,
-    /// It makes it durable, and the link breaks before its word gets through.
+    /// It makes it durable, and the link breaks before its answer gets through.
     CommitUnheard,
     /// The link breaks, and nothing was made.
     Lost,
-    /// It says that nothing was made.
+    /// It answers that nothing was made.
     Refused,
     /// The run ends with a result.
     End,
@@ -45,7 +45,7 @@
 struct World {
     engine: Engine<KeyTable>,
     now: Moment,
-    /// Runs begun in the present life that have not ended.
+    /// Runs begun in the present incarnation that have not ended.
     running: Vec<RequestId>,
     runs: u32,
     result: Option<Rc<[u8]>>,
@@ -53,7 +53,7 @@
     out: Option<Batch>,
     epoch: u64,
     answers: BTreeMap<u128, Vec<&'static str>>,
-    /// Tries that came in this life and are owed an answer by it.
+    /// Attempts that came in this incarnation and are owed an answer by it.
     here: Vec<u128>,
     ran: Vec<u128>,
     faults: Vec<&'static str>,
@@ -205,7 +205,7 @@
         self.carry_out(out);
         self.settle();
         if step == Step::Due {
-            // Everything that came in this life is over by now.
+            // Everything that came in this incarnation is over by now.
             let unanswered = |id: &&u128| self.answers.get(*id).is_none_or(Vec::is_empty);
             if self.here.iter().any(|id| unanswered(&id)) {
                 self.faults.push("a try was not answered by its due time");
@@ -228,7 +228,7 @@
     /// What the store does with work, by the rules that the backends follow.
     fn apply(&mut self, work: &Work) -> Outcome {
         match work {
-            Work::LogRecord(_) => panic!("a ledger writes no log"),
+            Work::LogRecord(_) => panic!("a key table writes no log"),
             Work::Lookup(keys) => {
                 Outcome::Rows(keys.iter().filter_map(|k| self.store.get(k)).cloned().collect())
             }
@@ -324,7 +324,7 @@
         let count = |of: fn(&Step) -> bool| steps.iter().filter(|s| of(s)).count();
         let mut possible = Vec::new();
         let next = count(|s| matches!(s, Step::Arrive(_))) as u128 + 1;
-        possible.extend((next <= TRIES).then_some(Step::Arrive(next)));
+        possible.extend((next <= ATTEMPTS).then_some(Step::Arrive(next)));
         if let Some(batch) = &world.out {
             possible.push(Step::Commit);
             let breaks = count(|s| matches!(s, Step::CommitUnheard | Step::Lost | Step::Refused));
@@ -403,7 +403,7 @@
 }
 
 #[test]
-fn in_every_order_of_events_the_ledger_keeps_its_promises() {
+fn in_every_order_of_events_the_table_keeps_its_guarantees() {
     let checked = check(false, depth());
     println!("{} histories, {} different", checked.state_count(), checked.unique_state_count());
     checked.assert_properties();
--- a/crates/idempotency/tests/stores.rs
+++ b/crates/idempotency/tests/stores.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::mpsc;
 
-/// A folder of this test's own, gone with it.
+/// A folder of one test, removed with it.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -64,7 +64,7 @@
 /// One backend of either kind, ready for work.
 enum Backend {
     Sqlite { store: Sqlite, _folder: Folder },
-    Postgres { remote: BlockingClient, _server: Postgres, number: u64 },
+    Postgres { client: BlockingClient, _server: Postgres, number: u64 },
 }
 
 impl Backend {
@@ -72,16 +72,16 @@
         let folder = Folder::new();
         let store = Sqlite::open(&folder.file(), &Options::default()).expect("a new store");
         let server = Postgres::start("pw").expect("it listens");
-        let (remote, _) = BlockingClient::take_name(server.address(), login("pw"), 100).expect("a login");
-        [Backend::Sqlite { store, _folder: folder }, Backend::Postgres { remote, _server: server, number: 0 }]
+        let (client, _) = BlockingClient::take_name(server.address(), login("pw"), 100).expect("a login");
+        [Backend::Sqlite { store, _folder: folder }, Backend::Postgres { client, _server: server, number: 0 }]
     }
 
     fn execute(&mut self, work: Work) -> Outcome {
         match self {
             Backend::Sqlite { store, .. } => store.execute(&work),
-            Backend::Postgres { remote, number, .. } => {
+            Backend::Postgres { client, number, .. } => {
                 *number += 1;
-                remote.execute(&Batch { number: *number, work }).expect("a sound connection")
+                client.execute(&Batch { number: *number, work }).expect("a sound connection")
             }
         }
     }
@@ -90,7 +90,7 @@
         self.execute(Work::Commit(writes.to_vec()))
     }
 
-    fn ask(&mut self, key: &str) -> Option<Row> {
+    fn lookup(&mut self, key: &str) -> Option<Row> {
         let Outcome::Rows(rows) = self.execute(Work::Lookup(vec![key.into(), "none".into()])) else {
             panic!("rows")
         };
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_row_only_ever_replaces_one_of_an_earlier_stamp_or_state() {
+fn a_row_only_replaces_one_of_an_earlier_sequence_number_or_state() {
     for mut store in Backend::both() {
         let steps = [
             (put("k", 5, RowState::Intent), 5, RowState::Intent),
@@ -114,36 +114,39 @@
         ];
         for (write, sequence, state) in steps {
             assert_eq!(store.commit(std::slice::from_ref(&write)), Outcome::Done);
-            assert_eq!(store.ask("k"), Some(row("k", sequence, state)), "{write:?}");
+            assert_eq!(store.lookup("k"), Some(row("k", sequence, state)), "{write:?}");
         }
         assert_eq!(store.commit(&[Write::Remove { key: "k".into(), sequence: 6 }]), Outcome::Done);
-        assert_eq!(store.ask("k"), None);
+        assert_eq!(store.lookup("k"), None);
     }
 }
 
 #[test]
-fn each_life_has_its_epoch_and_finds_the_rows_of_the_one_before() {
+fn each_incarnation_has_its_epoch_and_recovers_the_rows_of_the_one_before() {
     let folder = Folder::new();
-    for life in 1..4 {
+    for incarnation in 1..4 {
         let mut store = Sqlite::open(&folder.file(), &Options::default()).expect("a store");
         let found = store.recover(&folder.file(), 10).expect("rows");
-        assert_eq!((found.epoch, found.found, found.rows.len() as u64), (life, life - 1, life - 1));
         assert_eq!(
-            store.execute(&Work::Commit(vec![put(&format!("k{life}"), life, good(b"r"))])),
+            (found.epoch, found.found, found.rows.len() as u64),
+            (incarnation, incarnation - 1, incarnation - 1)
+        );
+        assert_eq!(
+            store.execute(&Work::Commit(vec![put(&format!("k{incarnation}"), incarnation, good(b"r"))])),
             Outcome::Done
         );
         // More rows than there is room for: their number alone.
         let found = store.recover(&folder.file(), 0).expect("rows");
-        assert_eq!((found.found, found.rows.len()), (life, 0));
+        assert_eq!((found.found, found.rows.len()), (incarnation, 0));
     }
     let server = Postgres::start("pw").expect("it listens");
-    for life in 1..4u64 {
-        let (mut remote, found) =
+    for incarnation in 1..4u64 {
+        let (mut client, found) =
             BlockingClient::take_name(server.address(), login("pw"), 2).expect("a login");
-        assert_eq!((found.epoch, found.found), (life, life - 1));
-        assert_eq!(found.rows.len() as u64, if life < 4 { life - 1 } else { 0 });
-        let work = Work::Commit(vec![put(&format!("k{life}"), life, good(b"r"))]);
-        assert_eq!(remote.execute(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
+        assert_eq!((found.epoch, found.found), (incarnation, incarnation - 1));
+        assert_eq!(found.rows.len() as u64, if incarnation < 4 { incarnation - 1 } else { 0 });
+        let work = Work::Commit(vec![put(&format!("k{incarnation}"), incarnation, good(b"r"))]);
+        assert_eq!(client.execute(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
     }
     let (_, found) = BlockingClient::take_name(server.address(), login("pw"), 2).expect("a login");
     assert_eq!((found.found, found.rows.len()), (3, 0));
@@ -152,10 +155,10 @@
 #[test]
 fn many_rows_are_read_page_by_page_and_another_nodes_are_not() {
     let server = Postgres::start("pw").expect("it listens");
-    let (mut remote, _) = BlockingClient::take_name(server.address(), login("pw"), 10_000).expect("a login");
+    let (mut client, _) = BlockingClient::take_name(server.address(), login("pw"), 10_000).expect("a login");
     let writes: Vec<Write> = (0..2_500).map(|i| put(&format!("k{i}"), i + 1, good(b"r"))).collect();
     let work = Work::Commit(writes);
-    assert_eq!(remote.execute(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
+    assert_eq!(client.execute(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
     let (_, found) = BlockingClient::take_name(server.address(), login("pw"), 10_000).expect("a login");
     assert_eq!(found.rows.len(), 2_500);
     let other = Login { node: "n4".into(), ..login("pw") };
@@ -165,7 +168,7 @@
 }
 
 #[test]
-fn a_second_process_of_the_same_name_shuts_the_first_one_out() {
+fn a_second_process_of_the_same_name_fences_the_first_one() {
     let server = Postgres::start("pw").expect("it listens");
     let (mut first, _) = BlockingClient::take_name(server.address(), login("pw"), 10).expect("a login");
     let (mut second, _) = BlockingClient::take_name(server.address(), login("pw"), 10).expect("a login");
@@ -178,7 +181,7 @@
 #[test]
 fn a_transaction_that_fails_has_done_nothing_and_says_why() {
     let server = Postgres::start("pw").expect("it listens");
-    let (mut remote, _) = BlockingClient::take_name(server.address(), login("pw"), 10).expect("a login");
+    let (mut client, _) = BlockingClient::take_name(server.address(), login("pw"), 10).expect("a login");
     let cases = [
         ("40P01", Outcome::NotDone(Cause::Busy)),
         ("53100", Outcome::NotDone(Cause::Full)),
@@ -190,19 +193,19 @@
     for (i, (code, outcome)) in cases.into_iter().enumerate() {
         server.faults(&[Fault::Error(code)]);
         let work = Work::Commit(vec![put("k", 1, RowState::Intent)]);
-        assert_eq!(remote.execute(&Batch { number: i as u64, work }).expect("sound"), outcome, "{code}");
+        assert_eq!(client.execute(&Batch { number: i as u64, work }).expect("sound"), outcome, "{code}");
         assert_eq!(server.rows(), 0);
     }
     server.send_single_bytes(true);
     let work = Work::Commit(vec![put("k", 1, RowState::Intent)]);
-    assert_eq!(remote.execute(&Batch { number: 9, work }).expect("sound"), Outcome::Done);
+    assert_eq!(client.execute(&Batch { number: 9, work }).expect("sound"), Outcome::Done);
     server.faults(&[Fault::Garbage]);
     let work = Work::Commit(vec![put("k", 1, good(b"r"))]);
-    assert!(remote.execute(&Batch { number: 10, work }).is_err(), "garbage passed for an outcome");
+    assert!(client.execute(&Batch { number: 10, work }).is_err(), "garbage passed for an outcome");
 }
 
 #[test]
-fn what_keeps_a_database_from_being_used_is_said() {
+fn a_database_that_cannot_be_used_is_a_clear_error() {
     let server = Postgres::start("right").expect("it listens");
     let wrong =
         BlockingClient::take_name(server.address(), login("wrong"), 10).expect_err("a wrong password");
@@ -219,7 +222,7 @@
 }
 
 #[test]
-fn garbage_from_a_server_is_a_fault_and_never_a_panic_or_an_event() {
+fn garbage_from_a_server_is_an_error_and_never_a_panic_or_an_event() {
     let mut rng = fastrand::Rng::with_seed(3);
     for _ in 0..2_000 {
         let mut session = Session::new(Rc::new(login("pw")), None, 10).expect("a login");
@@ -241,7 +244,7 @@
 }
 
 #[test]
-fn a_full_disk_loses_nothing_and_takes_writes_again_once_there_is_room() {
+fn a_full_disk_loses_nothing_and_takes_writes_again_once_there_is_space() {
     let folder = Folder::new();
     let options = Options { max_pages: 24, ..Options::default() };
     let mut store = Sqlite::open(&folder.file(), &options).expect("a store");
@@ -264,7 +267,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_used_is_told_in_one_line_and_left_as_it_was() {
+fn a_file_that_cannot_be_used_is_an_error_of_one_line_and_unchanged() {
     let refused = |path: &PathBuf, words: &str| {
         let e = Sqlite::open(path, &Options::default()).map(|_| ()).expect_err(words).to_string();
         assert!(e.contains(words) && e.contains(&path.display().to_string()) && !e.contains('\n'), "{e}");
@@ -307,7 +310,7 @@
 }
 
 #[test]
-fn a_damaged_file_is_refused_or_what_it_gives_is_what_was_written() {
+fn a_damaged_file_is_rejected_or_yields_what_was_written() {
     let folder = Folder::new();
     let rows: Vec<Row> = (0..100).map(|i| row(&format!("k{i}"), i + 1, good(&[i as u8; 300]))).collect();
     {
@@ -343,22 +346,22 @@
 }
 
 #[test]
-fn pruning_removes_what_is_over_and_nothing_else() {
+fn pruning_removes_expired_rows_and_nothing_else() {
     let folder = Folder::new();
     let mut store = Sqlite::open(&folder.file(), &Options::default()).expect("a store");
     assert_eq!(store.execute(&Work::Commit(vec![put("k", 1, good(b"r"))])), Outcome::Done);
     assert_eq!((store.prune(1_999).expect("done"), store.prune(2_000).expect("done")), (0, 1));
     let server = Postgres::start("pw").expect("it listens");
-    let (mut remote, _) = BlockingClient::take_name(server.address(), login("pw"), 10).expect("a login");
+    let (mut client, _) = BlockingClient::take_name(server.address(), login("pw"), 10).expect("a login");
     let work = Work::Commit(vec![put("k", 1, good(b"r"))]);
-    assert_eq!(remote.execute(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
+    assert_eq!(client.execute(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
     for (before, left) in [(1_999, 1), (2_000, 0)] {
-        assert_eq!(remote.prune(before).expect("sound"), Outcome::Done);
+        assert_eq!(client.prune(before).expect("sound"), Outcome::Done);
         assert_eq!(server.rows(), left);
     }
 }
 
-/// A disk that does not answer until it is told to.
+/// A disk that does not answer until it is released.
 struct Stuck(mpsc::Receiver<()>);
 
 impl worker::Backend for Stuck {
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -20,7 +20,7 @@
 const D: &str = "9b1f03aa5c7e2d44";
 const KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 /// Longest that any test waits for something to become so.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Deadlines short enough to be waited for.
 fn short(text: &mut Value) {
@@ -67,7 +67,7 @@
         match self {
             Store::Sqlite { path, lock } => {
                 let other = Connection::open(path).expect("a second connection");
-                other.busy_timeout(PATIENCE).expect("set");
+                other.busy_timeout(TIMEOUT).expect("set");
                 other.execute_batch("BEGIN IMMEDIATE").expect("the lock");
                 *lock = Some(other);
             }
@@ -98,7 +98,7 @@
             if let Some(row) = row.filter(|r: &(i64, _)| holds(r.0)) {
                 return row;
             }
-            assert!(began.elapsed() < PATIENCE, "no such row of {key}");
+            assert!(began.elapsed() < TIMEOUT, "no such row of {key}");
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn what_cannot_be_recorded_is_refused_at_once_with_when_to_come_back_and_reads_go_on() {
+fn what_cannot_be_recorded_is_rejected_at_once_with_retry_after_and_reads_go_on() {
     for mut store in Store::both() {
         let (mut scene, mut kernel, mut gateway) = serving(&store);
         store.stall();
@@ -240,7 +240,7 @@
         assert_eq!(status(&answer), (1, "503", &b""[..]));
         assert!(answer.field("X-Throttle-Ms").is_some(), "{answer:?}");
         assert!(began.elapsed() < Duration::from_millis(1_000), "{:?}", began.elapsed());
-        // Now that it is known, further ones are told at once, and reads are served.
+        // Now that it is known, further ones are rejected at once, and reads are served.
         let began = Instant::now();
         gateway.send(&try_records(2, "booking", B, &[("HTTP_X_TXN_KEY", "k2")], b"b"));
         assert_eq!(status(&gateway.answer()), (2, "503", &b""[..]));
@@ -254,7 +254,7 @@
         // Once it is back, the same request is a first one and runs.
         let began = Instant::now();
         while scene.counter("record_open") == 1 {
-            assert!(began.elapsed() < PATIENCE, "the store never came back");
+            assert!(began.elapsed() < TIMEOUT, "the store never came back");
             thread::sleep(Duration::from_millis(5));
         }
         book(&mut gateway, 4, D);
@@ -295,7 +295,7 @@
                 "503" => thread::sleep(Duration::from_millis(5)),
                 other => panic!("{key}: {other}"),
             }
-            assert!(began.elapsed() < PATIENCE, "{key} got no result");
+            assert!(began.elapsed() < TIMEOUT, "{key} got no result");
         }
     };
     for (i, fault) in faults.into_iter().enumerate() {
@@ -354,7 +354,7 @@
 fn connect(address: &Mutex<String>) -> Option<Gateway> {
     let address = address.lock().expect("no thread has panicked").clone();
     let stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     Some(Gateway { stream })
 }
 
@@ -371,7 +371,7 @@
         let (mut served, began, mut failures) = (Vec::new(), Instant::now(), 0);
         // Two results: one and its repeat. Some failures in a row are one that stays: its run is in doubt.
         while served.len() < 2 && failures < 3 {
-            assert!(began.elapsed() < PATIENCE, "{key} got no answer that stays");
+            assert!(began.elapsed() < TIMEOUT, "{key} got no answer that stays");
             gateway = gateway.or_else(|| connect(address));
             let Some(to) = gateway.as_mut() else {
                 thread::sleep(Duration::from_millis(2));
@@ -507,7 +507,7 @@
 
 /// Hard case 4, the drain.
 #[test]
-fn a_drain_with_a_write_out_answers_with_the_result_if_it_comes_through_and_ends_in_time_either_way() {
+fn a_drain_with_a_write_in_flight_answers_with_the_result_if_it_is_durable_and_ends_in_time() {
     for comes in [true, false] {
         for mut store in Store::both() {
             let (mut scene, _kernel, mut gateway) = stalled(&mut store, A);
@@ -515,7 +515,7 @@
             scene.signal("-TERM");
             // The drain is under way once checks say so.
             while scene.gateway().check("").status == "200 OK" {
-                assert!(began.elapsed() < PATIENCE, "no drain");
+                assert!(began.elapsed() < TIMEOUT, "no drain");
             }
             if comes {
                 store.release();
@@ -676,7 +676,7 @@
 }
 
 #[test]
-fn a_store_is_looked_at_beside_a_running_node_and_pruned_when_it_is_over() {
+fn a_store_is_read_beside_a_running_node_and_pruned_after_it() {
     for store in Store::both() {
         let (mut scene, mut kernel, mut gateway) = serving(&store);
         book(&mut gateway, 1, A);
