--- a/benches/record.rs
+++ b/benches/record.rs
@@ -136,8 +136,8 @@
             scene.await_good();
             let mut runs: Vec<(f64, u64, u64)> = (0..3)
                 .map(|_| {
-                    let (rate, h) = bookings(&scene, clients, Duration::from_secs(2));
-                    (rate, h.value_at_quantile(0.5), h.value_at_quantile(0.99))
+                    let (rate, histogram) = bookings(&scene, clients, Duration::from_secs(2));
+                    (rate, histogram.value_at_quantile(0.5), histogram.value_at_quantile(0.99))
                 })
                 .collect();
             runs.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -179,12 +179,12 @@
         lock.busy_timeout(Duration::from_secs(5)).expect("set");
         lock.execute_batch("BEGIN IMMEDIATE").expect("the lock");
         // A booking finds out, so that the store is probed all the while.
-        let refused = scene.gateway().book(&txn(), "stall", "b").expect("an answer").0;
-        let held = reads(&scene, Duration::from_secs(2));
+        let status = scene.gateway().book(&txn(), "stall", "b").expect("an answer").0;
+        let stalled = reads(&scene, Duration::from_secs(2));
         drop(lock);
-        let p99 = |h: &Histogram<u64>| h.value_at_quantile(0.99);
-        println!("reads p99: free {} us, store held {} us; booking {refused}", p99(&free), p99(&held));
-        ratios.push(p99(&held) as f64 / p99(&free) as f64);
+        let p99 = |histogram: &Histogram<u64>| histogram.value_at_quantile(0.99);
+        println!("reads p99: free {} us, store held {} us; booking {status}", p99(&free), p99(&stalled));
+        ratios.push(p99(&stalled) as f64 / p99(&free) as f64);
         await_closed();
     }
     ratios.sort_by(f64::total_cmp);
@@ -240,11 +240,11 @@
                         database: "d".into(),
                         node: "n3".into(),
                     };
-                    let (mut remote, _) =
+                    let (mut client, _) =
                         BlockingClient::take_name(server.address(), login, 0).expect("a login");
                     (0..rows).step_by(5_000).for_each(|from| {
                         let batch = Batch { number: from + 1, work: work(from) };
-                        assert_eq!(remote.execute(&batch).expect("sound"), Outcome::Done);
+                        assert_eq!(client.execute(&batch).expect("sound"), Outcome::Done);
                     });
                 }
             }
@@ -274,8 +274,8 @@
     scene.await_good();
     bookings(&scene, clients, Duration::from_millis(500));
     let before = cpu_of(scene.pid());
-    let (_, h) = bookings(&scene, clients, Duration::from_secs(3));
-    (cpu_of(scene.pid()) - before) as f64 * 1000.0 / h.len() as f64
+    let (_, histogram) = bookings(&scene, clients, Duration::from_secs(3));
+    (cpu_of(scene.pid()) - before) as f64 * 1000.0 / histogram.len() as f64
 }
 
 /// Runs with an earlier build in the place of this one. Nothing else in this program runs meanwhile.
@@ -320,14 +320,14 @@
             let mut scene = Store::Off.scene("");
             let _kernel = AutoKernel::serve(&scene.kernel);
             scene.await_good();
-            let (_, h) = bookings(&scene, 1, Duration::from_secs(3));
+            let (_, histogram) = bookings(&scene, 1, Duration::from_secs(3));
             // The node ends by itself, so that strace writes what it has counted.
             let pid = scene.pid();
             let traced =
                 std::fs::read_to_string(format!("/proc/{pid}/task/{pid}/children")).expect("a process");
             std::process::Command::new("kill").args(["-TERM", traced.trim()]).status().expect("kill runs");
             scene.ended_well();
-            h.len()
+            histogram.len()
         });
         println!("{} bookings, one at a time, by {}:", made, std::path::Path::new(&build).display());
         for line in std::fs::read_to_string(&counts).unwrap_or_default().lines() {
@@ -361,7 +361,7 @@
 }
 
 fn main() {
-    let asked: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with("--")).collect();
+    let selected: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with("--")).collect();
     let all: [(&str, fn()); 6] = [
         ("throughput", throughput),
         ("stall", stall),
@@ -372,7 +372,7 @@
     ];
     println!("{} cores", thread::available_parallelism().map_or(0, usize::from));
     for (name, run) in all {
-        if asked.is_empty() || asked.iter().any(|a| a == name) {
+        if selected.is_empty() || selected.iter().any(|a| a == name) {
             println!("\n-- {name}");
             run();
         }
--- a/crates/idempotency/tests/consensus_log.rs
+++ b/crates/idempotency/tests/consensus_log.rs
@@ -74,6 +74,8 @@
     }
 }
 
+/// An operator copies one node's log to another, or a disk damages it. A node that went on with it could vote twice in one
+/// term.
 #[test]
 fn a_file_that_is_damaged_or_not_this_nodes_is_unchanged() {
     let cases = [
@@ -114,6 +116,8 @@
     assert!(message.contains("is a file of another program"), "{message}");
 }
 
+/// The disk fills in the middle of a record. What was acknowledged must be there after a restart, and nothing of the half
+/// that was not.
 #[test]
 fn a_full_disk_loses_no_record_that_was_written() {
     let folder = LogFolder::new("full");
--- a/crates/idempotency/tests/stores.rs
+++ b/crates/idempotency/tests/stores.rs
@@ -98,6 +98,8 @@
     }
 }
 
+/// A stalled store carries out writes long after the node gave up on them, and after later ones of the same key. None of
+/// them may undo what was decided since.
 #[test]
 fn a_row_only_replaces_one_of_an_earlier_sequence_number_or_state() {
     for mut store in Backend::both() {
@@ -167,6 +169,8 @@
     assert_eq!(BlockingClient::read_only(server.address(), login("pw")).expect("a login").1.len(), 2_500);
 }
 
+/// Two processes run under one node's name, as one was believed dead. The first must write nothing from then on, or both
+/// would run the same key.
 #[test]
 fn a_second_process_of_the_same_name_fences_the_first_one() {
     let server = Postgres::start("pw").expect("it listens");
@@ -178,6 +182,7 @@
     assert_eq!(second.execute(&batch(1)).expect("sound"), Outcome::Done);
 }
 
+/// A server refuses a transaction. Whether it may have been made decides if it is made again or looked up first.
 #[test]
 fn a_transaction_that_fails_has_done_nothing_and_says_why() {
     let server = Postgres::start("pw").expect("it listens");
@@ -243,6 +248,7 @@
     }
 }
 
+/// The disk fills while the node serves, and an operator makes space.
 #[test]
 fn a_full_disk_loses_nothing_and_takes_writes_again_once_there_is_space() {
     let folder = Folder::new();
@@ -266,6 +272,7 @@
     assert_eq!(store.execute(&Work::Commit(vec![put("more", 90, good(&big))])), Outcome::Done);
 }
 
+/// An operator names a wrong or damaged file. The node must neither serve from it nor alter it.
 #[test]
 fn a_file_that_cannot_be_used_is_an_error_of_one_line_and_unchanged() {
     let refused = |path: &PathBuf, words: &str| {
@@ -309,6 +316,7 @@
     refused(&text, "is damaged");
 }
 
+/// A disk returns other bytes than were written. A row that is read from them could be served as a booking's result.
 #[test]
 fn a_damaged_file_is_rejected_or_yields_what_was_written() {
     let folder = Folder::new();
@@ -371,6 +379,7 @@
     }
 }
 
+/// A disk does not answer. The event loop must go on, and the end of the process must not wait for the thread.
 #[test]
 fn a_worker_that_is_held_by_the_disk_holds_nobody_else() {
     let (release, held) = mpsc::channel();
--- a/crates/idempotency/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -123,6 +123,8 @@
     }
 }
 
+/// A node is restarted while its wall clock is wrong by a day. If rows expired by that clock, a repeat would run a booking
+/// a second time.
 #[test]
 fn after_a_restart_every_row_binds_for_a_whole_window_whatever_the_clock_says() {
     for (ms, binds) in [(0, true), (29_219, true), (29_221, false)] {
@@ -152,6 +154,8 @@
     }
 }
 
+/// A node is restarted with a lower limit than rows are stored. Keys that it does not remember may have run, so that it
+/// takes no new ones until a whole window has passed.
 #[test]
 fn more_rows_than_the_limit_close_the_table_until_none_of_them_can_bind() {
     let mut harness = Harness { key_table: KeyTable::durable(limits(), 3), now: start() };
@@ -163,6 +167,8 @@
     }
 }
 
+/// A burst ends, and all its rows expire together. Removing them in one transaction would hold up the bookings that come
+/// next.
 #[test]
 fn rows_past_their_window_are_removed_in_small_batches_beside_other_writes() {
     let mut harness = Harness::new(limits(), vec![]);
@@ -180,6 +186,8 @@
     assert_eq!((harness.key_table.metrics().removals, harness.key_table.metrics().bytes > 0), (0, true));
 }
 
+/// More keys come than the table has room for. Dropping an old one would let its repeats run again, so that the new one is
+/// rejected, with when to come back.
 #[test]
 fn an_attempt_over_a_limit_is_rejected_and_nothing_is_dropped() {
     let cases = [
@@ -200,6 +208,8 @@
     }
 }
 
+/// A disk stops answering with one run's intent in flight, one queued and one result to be written. The attempts that have
+/// not begun are rejected at once, and never run when the disk comes through after all.
 #[test]
 fn a_stall_opens_the_breaker_by_the_age_of_the_oldest_write_and_settles_what_waits() {
     let mut harness = Harness::new(limits(), vec![]);
@@ -247,6 +257,8 @@
     assert_eq!(harness.begin("out", 5), RunPermit::Pending);
 }
 
+/// A disk is full. A node that retried its whole queue at every turn would keep it busy; one that gave up would need a
+/// restart.
 #[test]
 fn a_store_that_fails_is_probed_with_one_write_at_growing_intervals() {
     let mut harness = Harness::new(limits(), vec![]);
@@ -274,6 +286,7 @@
     assert_eq!(harness.settled().len(), 1);
 }
 
+/// An operator's backup holds the lock of the file for a moment. That alone must not have bookings rejected.
 #[test]
 fn a_busy_store_is_retried_soon_and_counts_as_stalled_only_by_age() {
     let mut harness = Harness::new(limits(), vec![]);
@@ -288,6 +301,8 @@
     assert_eq!(harness.now.mono.since(start().mono), Micros::millis(250));
 }
 
+/// The link to a database breaks while a commit is in flight. Nobody knows whether it was made, so that each key is looked
+/// up: a result that is stored is served, one that is not is written again.
 #[test]
 fn after_a_broken_link_each_key_is_looked_up_before_anything_is_written() {
     let mut harness = Harness::new(limits(), vec![]);
@@ -320,6 +335,8 @@
     assert_eq!(harness.settled(), [Settlement::ResultDurable(id(2), vec![], Rc::from(*b"rb"))]);
 }
 
+/// A caller's deadline passes while the intent of its run is being written. If the intent stayed, later attempts of the key
+/// would count as repeats of a run that never was.
 #[test]
 fn an_attempt_released_before_its_run_begins_withdraws_its_intent() {
     let mut harness = Harness::new(limits(), vec![]);
@@ -337,6 +354,7 @@
     assert!(matches!(&harness.commit()[..], [Write::Remove { .. }]));
 }
 
+/// An operator reloads other limits; what is over them already stays.
 #[test]
 fn limits_can_change_while_it_serves() {
     let mut harness = Harness::new(limits(), vec![]);
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -134,6 +134,8 @@
     (answer.id, &answer.status[..3], &answer.body)
 }
 
+/// A node is killed right after it answered a booking. The caller's proxy sends the request again, and must get the same
+/// result without a second run.
 #[test]
 fn a_booking_is_durable_before_it_is_answered_and_a_repeat_after_a_kill_gets_the_same() {
     for store in Store::both() {
@@ -158,6 +160,7 @@
     }
 }
 
+/// A node is killed while a booking runs. Nobody knows whether it was made, so that its repeats fail and never run.
 #[test]
 fn a_run_that_a_kill_left_in_doubt_fails_its_repeats_and_never_runs_again() {
     for store in Store::both() {
@@ -179,6 +182,8 @@
     }
 }
 
+/// The store stalls with a result in flight. The caller is answered in time with a failure; a repeat gets the result once
+/// it is durable.
 #[test]
 fn a_result_whose_write_stalls_fails_at_its_due_time_and_is_served_to_a_repeat_once_it_is_durable() {
     for mut store in Store::both() {
@@ -201,6 +206,7 @@
     }
 }
 
+/// The store loses a result, and the node is killed before it can write it again. Only the intent is known afterwards.
 #[test]
 fn a_result_whose_write_never_came_through_is_in_doubt_after_a_kill() {
     for mut store in Store::both() {
@@ -228,6 +234,8 @@
     }
 }
 
+/// The store stalls before any run begins. Keyed requests are rejected with when to come back; requests without a key are
+/// served as always.
 #[test]
 fn what_cannot_be_recorded_is_rejected_at_once_with_retry_after_and_reads_go_on() {
     for mut store in Store::both() {
@@ -325,24 +333,24 @@
 fn burst(
     scene: &mut Scene,
     clients: usize,
-    each: usize,
+    bookings_each: usize,
     trouble: impl FnOnce(&mut Scene, &Mutex<String>),
 ) -> Burst {
     let kernel = AutoKernel::serve(&scene.kernel);
     scene.await_good();
     let address = Mutex::new(scene.address.clone());
-    let over = AtomicBool::new(false);
+    let is_over = AtomicBool::new(false);
     let mut result = Burst { kernel, served: Vec::new(), reads: 0 };
     thread::scope(|scope| {
         let clients: Vec<_> = (0..clients)
             .map(|client| {
-                let (address, over) = (&address, &over);
-                scope.spawn(move || client_of_burst(client, each, address, over))
+                let (address, is_over) = (&address, &is_over);
+                scope.spawn(move || client_of_burst(client, bookings_each, address, is_over))
             })
             .collect();
-        let reader = scope.spawn(|| reads(&address, &over));
+        let reader = scope.spawn(|| reads(&address, &is_over));
         trouble(scene, &address);
-        over.store(true, Ordering::Relaxed);
+        is_over.store(true, Ordering::Relaxed);
         for client in clients {
             result.served.extend(client.join().expect("a client"));
         }
@@ -360,13 +368,13 @@
 
 fn client_of_burst(
     client: usize,
-    each: usize,
+    bookings_each: usize,
     address: &Mutex<String>,
-    over: &AtomicBool,
+    is_over: &AtomicBool,
 ) -> Vec<(String, Vec<Vec<u8>>)> {
     let (mut gateway, mut txn) = (None, (client as u64 + 1) << 32);
     let mut all = Vec::new();
-    for n in (0..).take_while(|n| *n < each || !over.load(Ordering::Relaxed)) {
+    for n in (0..).take_while(|n| *n < bookings_each || !is_over.load(Ordering::Relaxed)) {
         let key = format!("key-{client}-{n}");
         let (mut served, began, mut failures) = (Vec::new(), Instant::now(), 0);
         // Two results: one and its repeat. Some failures in a row are one that stays: its run is in doubt.
@@ -395,9 +403,9 @@
 }
 
 /// Reads all the while; each that the node has taken in must be served.
-fn reads(address: &Mutex<String>, over: &AtomicBool) -> u32 {
+fn reads(address: &Mutex<String>, is_over: &AtomicBool) -> u32 {
     let (mut gateway, mut n) = (None, 0);
-    while !over.load(Ordering::Relaxed) {
+    while !is_over.load(Ordering::Relaxed) {
         gateway = gateway.or_else(|| connect(address));
         let Some(to) = gateway.as_mut() else {
             thread::sleep(Duration::from_millis(2));
@@ -429,6 +437,7 @@
     }
 }
 
+/// An operator restarts the database, or a backup locks the file, three times during a burst.
 #[test]
 fn a_store_that_restarts_during_a_burst_costs_nothing_but_time() {
     for mut store in Store::both() {
@@ -456,7 +465,7 @@
 }
 
 /// Kills the program outright `loops` times at points drawn from a seed, under load.
-fn kills(loops: u32, each: usize, seed: u64) {
+fn kills(loops: u32, bookings_each: usize, seed: u64) {
     // A window that outlasts the test: what was served is looked for at its end.
     let long = |text: &mut Value| {
         short(text);
@@ -465,7 +474,7 @@
     for store in Store::both() {
         let mut scene = Scene::with(Some(&store.script()), long);
         let mut rng = fastrand::Rng::with_seed(seed);
-        let burst = burst(&mut scene, 4, each, |scene, address| {
+        let burst = burst(&mut scene, 4, bookings_each, |scene, address| {
             for _ in 0..loops {
                 thread::sleep(Duration::from_micros(rng.u64(2_000..60_000)));
                 scene.restart();
@@ -480,6 +489,7 @@
     }
 }
 
+/// The node is killed twenty times at random points while clients repeat every booking until it has a result.
 #[test]
 fn a_program_killed_at_random_points_under_load_runs_nothing_twice_and_keeps_what_it_served() {
     kills(20, 20, 7);
@@ -552,9 +562,9 @@
             if drains {
                 scene.signal("-TERM");
             }
-            for (text, said) in cases {
+            for (text, output) in cases {
                 scene.reload_script(&text);
-                scene.await_said(said);
+                scene.await_said(output);
             }
             store.release();
             assert_eq!(status(&gateway.answer()), (1, "200", &b"booked"[..]));
@@ -633,6 +643,7 @@
     }
 }
 
+/// An operator names a damaged file, or a script with an error in it. The start ends with one line that says so.
 #[test]
 fn a_store_that_cannot_be_used_ends_the_start_with_one_line_and_a_script_with_status_two() {
     let path = place("db");
@@ -651,14 +662,14 @@
         ),
         ("record(".into(), "serve", 2, "the script is Starlark"),
     ];
-    for (script, subcommand, code, words) in cases {
+    for (script, subcommand, code, text) in cases {
         let (mut command, config) = program(&config(1, 2, 3), subcommand);
         let settings = place("star");
         std::fs::write(&settings, script).expect("written");
         let out = command.arg("--settings").arg(&settings).output().expect("the program runs");
-        let said = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert_eq!(out.status.code(), Some(code), "{said}");
-        assert!(said.contains(words) && said.lines().count() == 1, "{said}");
+        let output = String::from_utf8_lossy(&out.stderr).into_owned();
+        assert_eq!(out.status.code(), Some(code), "{output}");
+        assert!(output.contains(text) && output.lines().count() == 1, "{output}");
         let _ = (std::fs::remove_file(settings), std::fs::remove_file(config));
     }
 }
@@ -671,8 +682,8 @@
     let out = command.args(arguments).arg("--settings").arg(&settings).env("BALANCER_NAME", "n3").output();
     let out = out.expect("the program runs");
     let _ = (std::fs::remove_file(settings), std::fs::remove_file(config));
-    let said = [out.stdout, out.stderr].concat();
-    (out.status.code(), String::from_utf8_lossy(&said).into_owned())
+    let output = [out.stdout, out.stderr].concat();
+    (out.status.code(), String::from_utf8_lossy(&output).into_owned())
 }
 
 #[test]
@@ -685,9 +696,9 @@
         assert_eq!(status(&gateway.answer()).1, "200");
         gateway.send(&try_records(2, "booking", B, &[("HTTP_X_TXN_KEY", "k2")], b"b"));
         kernel.expect("SCHED", B);
-        let said = "2 rows (1 good, 0 failed, 1 intents), 2 live, 6 bytes of results\n";
-        assert_eq!(record(&store, &["check"]), (Some(0), format!("sound: {said}")));
-        assert_eq!(record(&store, &["stats"]), (Some(0), said.to_string()));
+        let output = "2 rows (1 good, 0 failed, 1 intents), 2 live, 6 bytes of results\n";
+        assert_eq!(record(&store, &["check"]), (Some(0), format!("sound: {output}")));
+        assert_eq!(record(&store, &["stats"]), (Some(0), output.to_string()));
         let (_, stats) = record(&store, &["stats", "--json"]);
         assert_eq!(serde_json::from_str::<Value>(&stats).expect("JSON")["intents"], 1);
         let (_, list) = record(&store, &["list", "--json"]);
@@ -700,10 +711,12 @@
         kernel.reap(B, "good", b"too");
         assert_eq!(status(&gateway.answer()), (2, "200", &b"too"[..]));
         // The window (9 s) is not over, let alone by an hour; a file that is in use is left alone.
-        let (code, said) = record(&store, &["prune"]);
+        let (code, output) = record(&store, &["prune"]);
         match store {
-            Store::Sqlite { .. } => assert!(code == Some(1) && said.contains("another process"), "{said}"),
-            Store::Postgres { .. } => assert_eq!((code, said.as_str()), (Some(0), "0 rows removed\n")),
+            Store::Sqlite { .. } => {
+                assert!(code == Some(1) && output.contains("another process"), "{output}")
+            }
+            Store::Postgres { .. } => assert_eq!((code, output.as_str()), (Some(0), "0 rows removed\n")),
         }
         scene.restart_with(|| {
             assert_eq!(record(&store, &["prune", "--json"]), (Some(0), "{\"removed\":0}\n".to_string()));
