--- a/crates/idempotency/src/consensus_log.rs
+++ b/crates/idempotency/src/consensus_log.rs
@@ -6,7 +6,7 @@
 
 use crate::error::OpenError;
 use crate::row::{Cause, Outcome, Work};
-use crate::sqlite::file::{FileFormat, disable_busy_wait, open_exclusive};
+use crate::sqlite::file::{Checksum, FileFormat, checksum_of, disable_busy_wait, open_exclusive};
 use crate::sqlite::{Options, transaction};
 use gaugestand_admission::log_record::{LogRecord, RecoveredLog};
 use rusqlite::{Connection, params};
@@ -33,11 +33,6 @@
 const HARD_STATE: &str = "state";
 /// The cell of the snapshot.
 const SNAPSHOT: &str = "base";
-/// Length of the checksum of a value, in bytes.
-const CHECKSUM_BYTES: usize = 8;
-
-type Checksum = [u8; CHECKSUM_BYTES];
-
 /// A log that this process owns.
 #[derive(Debug)]
 pub struct ConsensusLog {
@@ -60,9 +55,7 @@
 fn checksum(place: &str, value: &[u8]) -> Checksum {
     let mut hasher = blake3::Hasher::new();
     hasher.update(place.as_bytes()).update(&[0]).update(value);
-    let mut checksum = [0; CHECKSUM_BYTES];
-    checksum.copy_from_slice(&hasher.finalize().as_bytes()[..CHECKSUM_BYTES]);
-    checksum
+    checksum_of(&hasher)
 }
 
 impl ConsensusLog {
--- a/crates/idempotency/src/sqlite/file.rs
+++ b/crates/idempotency/src/sqlite/file.rs
@@ -14,6 +14,19 @@
 /// The write-ahead log is cut back to this many bytes after a checkpoint, so that a burst does not fill the disk for good.
 const MAX_WAL_BYTES: i64 = 4 << 20;
 
+/// Length of a stored checksum, in bytes: enough against damage, which is not aimed.
+const CHECKSUM_BYTES: usize = 8;
+
+/// What shows that a stored value is as it was written.
+pub(crate) type Checksum = [u8; CHECKSUM_BYTES];
+
+/// The checksum of what a hasher has taken in.
+pub(crate) fn checksum_of(hasher: &blake3::Hasher) -> Checksum {
+    let mut checksum = [0; CHECKSUM_BYTES];
+    checksum.copy_from_slice(&hasher.finalize().as_bytes()[..CHECKSUM_BYTES]);
+    checksum
+}
+
 /// What a kind of file is known by, and how it is made.
 pub(crate) struct FileFormat {
     /// What operators call this kind of file.
--- a/crates/idempotency/src/sqlite/mod.rs
+++ b/crates/idempotency/src/sqlite/mod.rs
@@ -12,15 +12,12 @@
 
 use crate::error::OpenError;
 use crate::row::{Cause, Outcome, Recovery, Row, RowState, Work, Write};
-use file::FileFormat;
+use file::{Checksum, FileFormat, checksum_of};
 use rusqlite::{Connection, OptionalExtension, params};
 use std::fs::File;
 use std::path::Path;
 use transaction::cause;
 
-/// Length of the checksum of a row, in bytes.
-const CHECKSUM_BYTES: usize = 8;
-
 /// What operators call a file of this kind.
 pub const KIND: &str = "store of record";
 
@@ -177,7 +174,7 @@
 }
 
 /// What shows that a row is as it was written: a damaged page can hold a value that SQLite finds nothing wrong with.
-fn checksum(row: &Row) -> [u8; CHECKSUM_BYTES] {
+fn checksum(row: &Row) -> Checksum {
     let mut hasher = blake3::Hasher::new();
     hasher.update(row.key.as_bytes());
     hasher.update(&row.holder.to_be_bytes());
@@ -188,9 +185,7 @@
     if let Some(result) = row.state.result() {
         hasher.update(result);
     }
-    let mut checksum = [0; CHECKSUM_BYTES];
-    checksum.copy_from_slice(&hasher.finalize().as_bytes()[..CHECKSUM_BYTES]);
-    checksum
+    checksum_of(&hasher)
 }
 
 /// A row of [`SELECT_ROWS`]; fails if it is not as it was written.
@@ -207,7 +202,7 @@
         sequence: columns.get::<_, i64>(5)? as u64,
         state,
     };
-    if columns.get::<_, [u8; CHECKSUM_BYTES]>(8)? == checksum(&row) {
+    if columns.get::<_, Checksum>(8)? == checksum(&row) {
         return Ok(row);
     }
     let corrupt = rusqlite::ffi::Error::new(rusqlite::ffi::SQLITE_CORRUPT);
--- a/crates/idempotency/tests/error_texts.rs
+++ b/crates/idempotency/tests/error_texts.rs
@@ -1,9 +1,12 @@
 //! The texts of errors: operators read them, and search their logs for them. They are those of the build before the
 //! errors were typed (commit d61e325).
 
+mod server_messages;
+
 use gaugestand_idempotency::error::StoreFile;
 use gaugestand_idempotency::postgres::{Login, Session};
 use gaugestand_idempotency::{OpenError, SessionError};
+use server_messages::{data_row, message};
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -101,22 +104,6 @@
     }
 }
 
-/// A message of the server.
-fn message(tag: u8, body: &[u8]) -> Vec<u8> {
-    let mut message = vec![tag];
-    message.extend((body.len() as u32 + 4).to_be_bytes());
-    message.extend(body);
-    message
-}
-
-/// A row of one column.
-fn data_row(column: &[u8]) -> Vec<u8> {
-    let mut body = 1u16.to_be_bytes().to_vec();
-    body.extend((column.len() as u32).to_be_bytes());
-    body.extend(column);
-    message(b'D', &body)
-}
-
 #[test]
 fn an_error_of_the_server_names_the_step_that_it_ended() {
     let authenticated = message(b'R', &0u32.to_be_bytes());
--- a/crates/idempotency/tests/stored_forms.rs
+++ b/crates/idempotency/tests/stored_forms.rs
@@ -4,6 +4,8 @@
 //! `store-of-record-1.db` by one process that wrote [`rows`] and one probe, `agreed-log-1.db` by one that wrote two log
 //! records, and `postgres-session-1.bin` holds what its session sent, as messages with their lengths before them.
 
+mod server_messages;
+
 use gaugestand_admission::log_record::LogRecord;
 use gaugestand_idempotency::consensus_log::ConsensusLog;
 use gaugestand_idempotency::postgres::{Event, Login, Session};
@@ -11,6 +13,7 @@
 use gaugestand_idempotency::sqlite::{Options, Sqlite, for_each_row, open_read_only};
 use rusqlite::Connection;
 use rusqlite::types::Value;
+use server_messages::{data_row, message};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
@@ -184,22 +187,6 @@
     assert!(before.iter().any(|row| row.starts_with("entry: ")), "{before:#?}");
 }
 
-/// A message of the server.
-fn message(tag: u8, body: &[u8]) -> Vec<u8> {
-    let mut message = vec![tag];
-    message.extend((body.len() as u32 + 4).to_be_bytes());
-    message.extend(body);
-    message
-}
-
-/// A row of one column.
-fn data_row(column: &[u8]) -> Vec<u8> {
-    let mut body = 1u16.to_be_bytes().to_vec();
-    body.extend((column.len() as u32).to_be_bytes());
-    body.extend(column);
-    message(b'D', &body)
-}
-
 /// What the session sent in the build before the renames, in the order of its turns.
 fn sent_before() -> Vec<Vec<u8>> {
     let mut rest = POSTGRES_SESSION;
