--- a/crates/node/src/event_loop/cluster.rs
+++ b/crates/node/src/event_loop/cluster.rs
@@ -138,7 +138,7 @@
         }
         let new = config::with_settings(&self.config, &self.local_settings, &content.settings);
         let new = new.map_err(|e| e.to_string())?;
-        config::follows(&self.config, &new).map_err(|e| e.to_string())?;
+        config::validate_change(&self.config, &new).map_err(|e| e.to_string())?;
         let load =
             self.class_load.load(self.clock.now(), &counts(&self.request_metrics, &self.config.classes));
         let s = &self.config.settings;
@@ -195,8 +195,8 @@
             return None;
         }
         let count = match ruling {
-            Ruling::NoLease => &mut self.counters.fleet_unleased,
-            _ => &mut self.counters.fleet_barred,
+            Ruling::NoLease => &mut self.counters.rejected_without_lease,
+            _ => &mut self.counters.rejected_by_list,
         };
         *count += 1;
         let (status, capacity) = ("503 Service Unavailable", self.engine.capacity());
@@ -260,9 +260,9 @@
 }
 
 /// Requests of each class that have been answered.
-fn counts(figures: &crate::request_metrics::RequestMetrics, names: &[String]) -> BTreeMap<String, u64> {
+fn counts(metrics: &crate::request_metrics::RequestMetrics, names: &[String]) -> BTreeMap<String, u64> {
     let all = |name: &String| {
-        let ends = figures.replies(name);
+        let ends = metrics.replies(name);
         (name.clone(), ends.success + ends.overload + ends.error)
     };
     names.iter().map(all).collect()
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -25,15 +25,15 @@
 use super::connections::{self, ConnectionId, ConnectionTable};
 use super::counters::Counters;
 use super::handover_link::Place;
-use super::health_checks::Checks;
+use super::health_checks::HealthChecks;
 use super::idempotency_store::{self, IdempotencyStore, Owner};
 use super::io::clock::Clock;
 use super::io::{Ready, System};
 use super::kernel::Kernel;
 use super::log::Logs;
-use super::membership_reports::Members;
+use super::membership_reports::MembershipReports;
 use super::peers::{self, Peers};
-use super::request::Fault;
+use super::request::RequestError;
 use super::request_metrics::RequestMetrics;
 use super::store::{self, EndedCall, Store};
 use error::io_error;
@@ -83,7 +83,7 @@
     read_buffer: Vec<u8>,
     kernel: Kernel<S>,
     store: Store<S>,
-    membership: Members<S>,
+    membership: MembershipReports<S>,
     engine: Engine<KeyTable>,
     idempotency_store: IdempotencyStore<S>,
     logs: Logs,
@@ -98,7 +98,7 @@
     attempts: BTreeMap<RequestId, Place>,
     /// Other processes of this node.
     handover: Kindred<S>,
-    health_checks: Checks,
+    health_checks: HealthChecks,
     /// SIGTERM and SIGINT.
     termination_signals: S::Signals,
     /// SIGUSR1.
@@ -139,18 +139,24 @@
         let (idempotency_store, mut key_table) =
             IdempotencyStore::start(store_settings, owner, IDEMPOTENCY_STORE, &system, clock.moment())
                 .map_err(NodeError::IdempotencyStore)?;
-        key_table.set_max_bytes(config.most_kept);
+        key_table.set_max_bytes(config.max_volatile_bytes);
         let peer_keys = (PEER_LISTENER, CONSENSUS_LOG, FIRST_PEER);
         let join =
             |cluster| Peers::start(&system, cluster, &config.name, config.seed, peer_keys).map(Box::new);
-        let peers = config.operators.fleet.as_ref().map(join).transpose().map_err(NodeError::Cluster)?;
+        let peers = config
+            .operators
+            .fleet
+            .as_ref()
+            .map(join)
+            .transpose()
+            .map_err(|error| NodeError::Cluster(error.to_string()))?;
         let admin = Admin::listen(&system, config.admin, ADMIN_LISTENER, FIRST_ADMIN_CALLER, peers.is_some())
             .map_err(io_error("listening at the second address"))?;
         let mut request_metrics = RequestMetrics::default();
         request_metrics.register_classes(&config.classes);
-        let store_connections = store::max_connections_within(config.sockets);
+        let store_connections = store::max_connections_within(config.max_descriptors);
         let reserved = store_connections + reserved_descriptors(&config, key_table.is_durable());
-        let mut connections = ConnectionTable::new(FIRST_CONNECTION, config.sockets - reserved);
+        let mut connections = ConnectionTable::new(FIRST_CONNECTION, config.max_descriptors - reserved);
         let (handover, listener) = Kindred::find(&system, &config)?;
         match listener {
             Some(listener) => connections.listen(listener),
@@ -163,9 +169,10 @@
             clock,
             idempotency_store,
             logs,
-            kernel: Kernel::new(config.kernel, KERNEL, &system, &config.gauges),
+            kernel: Kernel::new(config.kernel, KERNEL, &system, &config.gauge_names),
             store: Store::new(config.store, FIRST_STORE_CONNECTION, store_connections, &system),
-            membership: Members::new(&system, config.members, &config.name).map_err(io_error("members"))?,
+            membership: MembershipReports::new(&system, config.membership, &config.name)
+                .map_err(io_error("members"))?,
             counters: Counters::default(),
             admin,
             request_metrics,
@@ -173,7 +180,7 @@
             keyed_classes: config.keyed.clone(),
             attempts: BTreeMap::new(),
             handover,
-            health_checks: Checks::default(),
+            health_checks: HealthChecks::default(),
             termination_signals,
             counters_signal,
             reload_signal,
@@ -302,7 +309,7 @@
         let expired = self.connections.on_timer(now, &mut self.counters);
         self.on_callers_gone(expired.gone);
         for request in expired.unfinished {
-            self.fail_incomplete(request, Fault::Unfinished);
+            self.fail_incomplete(request, RequestError::Incomplete);
         }
     }
 
@@ -346,7 +353,7 @@
     fn print_counters(&mut self) {
         let key_table = self.engine.idempotency();
         let circuit_open = key_table.breaker_state() != BreakerState::Closed;
-        self.counters.record(key_table.metrics(), circuit_open);
+        self.counters.read_idempotency(key_table.metrics(), circuit_open);
         self.counters.log_lines_dropped = self.logs.dropped();
         self.logs.print(&self.counters.to_string());
     }
@@ -355,7 +362,7 @@
 /// Descriptors that operators, the cluster and the idempotency store may take of the node's.
 fn reserved_descriptors(config: &Config, has_durable_store: bool) -> usize {
     let idempotency = if has_durable_store { idempotency_store::SOCKETS } else { 0 };
-    let admin = if config.admin.is_some() { admin::SOCKETS } else { 0 };
+    let admin = if config.admin.is_some() { admin::RESERVED_DESCRIPTORS } else { 0 };
     let cluster = if config.operators.fleet.is_some() { peers::SOCKETS } else { 0 };
     idempotency + admin + cluster
 }
--- a/crates/node/src/idempotency_store/postgres_link.rs
+++ b/crates/node/src/idempotency_store/postgres_link.rs
@@ -92,7 +92,7 @@
     ) {
         match self.link.ready(now.mono, readable, writable) {
             Some(Change::Up) => {
-                counters.record_links += 1;
+                counters.idempotency_links += 1;
                 self.log_in(now.mono);
             }
             Some(_) => return self.on_down(now.mono, key_table),
