--- /dev/null
+++ b/crates/idempotency/src/postgres/mod.rs
@@ -0,0 +1,412 @@
+//! One connection to PostgreSQL as a state machine: bytes in, bytes and events out.
+//!
+//! It logs in (SCRAM-SHA-256, or whatever asks for no password), finds or makes its tables, takes this node's name
+//! with a new epoch, reads what an earlier incarnation left, and then does one piece of work at a time: pipelined
+//! prepared statements up to one Sync, which the server carries out as one transaction. It owns no socket and no clock.
+//!
+//! Two things make a late or second writer harmless. Each batch begins with a fence that fails unless this incarnation's
+//! epoch still holds the name; and a row only ever replaces one of an earlier sequence number or state.
+//!
+//! It does not bound how long the server takes; after any [`SessionError`] the connection is of no use.
+
+mod codec;
+mod server_error;
+pub mod sql;
+mod startup;
+
+pub use crate::error::SessionError;
+pub use server_error::ServerError;
+
+use crate::error::StartStep;
+use crate::row::{Batch, Cause, Outcome, Recovery, Row, Work, Write};
+use bytes::BytesMut;
+use codec::{Param, decode_int8, decode_row, write_call};
+use fallible_iterator::FallibleIterator;
+use postgres_protocol::authentication::sasl::ScramSha256;
+use postgres_protocol::message::backend::{CommandCompleteBody, DataRowBody, Header, Message};
+use postgres_protocol::message::frontend;
+use sql::Statement;
+use startup::refused;
+use std::fmt;
+use std::mem;
+use std::rc::Rc;
+
+/// Longest message of the server, in bytes: a row takes under 6 KiB; a notice may be long.
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
+/// Rows read in one query at the start, so that no answer takes much memory.
+const PAGE_ROWS: usize = 1_000;
+/// The version of the tables that this program makes and uses.
+pub const SCHEMA_VERSION: i32 = 1;
+/// How the server reports that the fence found the node's row and changed it.
+const FENCE_PASSED: &str = "UPDATE 1";
+
+/// Who logs in, and as which node.
+#[derive(Clone)]
+pub struct Login {
+    /// The role.
+    pub user: String,
+    /// Its password.
+    pub password: Vec<u8>,
+    /// The database.
+    pub database: String,
+    /// Whose rows they are.
+    pub node: String,
+}
+
+impl fmt::Debug for Login {
+    /// Without the password, so that it gets into no log.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "Login({}@{} as {})", self.user, self.database, self.node)
+    }
+}
+
+/// What came of the bytes.
+#[derive(Debug, PartialEq)]
+pub enum Event {
+    /// Work can be done; with what was found, if this is the first connection of this incarnation.
+    Ready(Option<Recovery>),
+    /// The batch of this number is over.
+    Outcome(u64, Outcome),
+}
+
+/// How far a session has come.
+enum Step {
+    /// The server is to say how to log in.
+    AwaitingAuthentication,
+    /// The proof of the password is under way.
+    ProvingPassword(Box<ScramSha256>),
+    /// The proof of the server was good, or none was asked for.
+    Authenticated,
+    /// The version of the tables is being read.
+    ReadingVersion(Option<i32>),
+    /// The tables are being made.
+    CreatingTables,
+    /// Statements are being prepared.
+    Preparing,
+    /// The name is being taken; the new epoch, once it has come.
+    TakingName(Option<u64>),
+    /// Rows are being read.
+    Loading {
+        recovery: Recovery,
+        /// Rows of the present page so far.
+        page_rows: usize,
+        last_key: String,
+    },
+    /// Nothing is in flight.
+    Idle,
+    /// A batch is in flight.
+    Executing(BatchProgress),
+}
+
+/// A batch, and what has come of it so far.
+struct BatchProgress {
+    number: u64,
+    is_lookup: bool,
+    /// Rows that were looked up.
+    rows: Vec<Row>,
+    /// The fence has not passed yet; without it nothing is known to be done.
+    is_unfenced: bool,
+}
+
+impl BatchProgress {
+    /// How the batch ended, if the server reported no error.
+    fn outcome(self) -> Outcome {
+        if self.is_lookup {
+            Outcome::Rows(self.rows)
+        } else if self.is_unfenced {
+            Outcome::Unknown(Cause::Fenced)
+        } else {
+            Outcome::Done
+        }
+    }
+}
+
+/// A session on one connection.
+pub struct Session {
+    login: Rc<Login>,
+    /// The epoch of this incarnation, once it has one.
+    epoch: Option<u64>,
+    max_rows: usize,
+    /// The name is not taken, so that a node that has it goes on undisturbed.
+    is_read_only: bool,
+    step: Step,
+    /// The first error that the server reported in this step.
+    step_error: Option<ServerError>,
+    input: BytesMut,
+    output: BytesMut,
+}
+
+impl fmt::Debug for Session {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "Session({:?}, epoch {:?})", self.login, self.epoch)
+    }
+}
+
+/// A message that cannot be read or written.
+fn unreadable(error: impl fmt::Display) -> SessionError {
+    SessionError::Unreadable(error.to_string())
+}
+
+fn login_error(error: impl fmt::Display) -> SessionError {
+    SessionError::Login(error.to_string())
+}
+
+impl Session {
+    /// A session on a connection that was just made. `epoch` is that of an earlier connection of this incarnation, if
+    /// there was one; else the name is taken, and up to `max_rows` rows are read.
+    pub fn new(login: Rc<Login>, epoch: Option<u64>, max_rows: usize) -> Result<Self, SessionError> {
+        let mut output = BytesMut::new();
+        let parameters = [
+            ("user", login.user.as_str()),
+            ("database", login.database.as_str()),
+            ("application_name", "gaugestand"),
+            ("client_encoding", "UTF8"),
+        ];
+        frontend::startup_message(parameters, &mut output).map_err(login_error)?;
+        Ok(Session {
+            login,
+            epoch,
+            max_rows,
+            is_read_only: false,
+            step: Step::AwaitingAuthentication,
+            step_error: None,
+            input: BytesMut::new(),
+            output,
+        })
+    }
+
+    /// A session that reads a node's rows beside that node, or removes old ones; it can make no batch.
+    pub fn read_only(login: Rc<Login>) -> Result<Self, SessionError> {
+        Ok(Session { is_read_only: true, ..Session::new(login, None, usize::MAX)? })
+    }
+
+    /// The epoch of this incarnation, once the name is taken.
+    pub fn epoch(&self) -> Option<u64> {
+        self.epoch
+    }
+
+    /// Takes what is to be sent.
+    pub fn output(&mut self) -> Vec<u8> {
+        self.output.split().to_vec()
+    }
+
+    /// Takes in what was read.
+    pub fn receive(&mut self, bytes: &[u8]) -> Result<Vec<Event>, SessionError> {
+        self.input.extend_from_slice(bytes);
+        let mut events = Vec::new();
+        loop {
+            match Header::parse(&self.input).map_err(unreadable)? {
+                // Guards against a length that would have memory set aside for what never comes.
+                Some(header) if header.len().max(0) as usize > MAX_MESSAGE_BYTES => {
+                    return Err(SessionError::TooLong);
+                }
+                Some(_) => {}
+                None => return Ok(events),
+            }
+            let Some(message) = Message::parse(&mut self.input).map_err(unreadable)? else {
+                return Ok(events);
+            };
+            events.extend(self.on_message(message)?);
+        }
+    }
+
+    /// Begins a batch; false if another is in flight or the session is not ready.
+    pub fn submit(&mut self, batch: &Batch) -> Result<bool, SessionError> {
+        if !matches!(self.step, Step::Idle) {
+            return Ok(false);
+        }
+        let is_lookup = match &batch.work {
+            // A consensus log is a file's alone.
+            Work::LogRecord(_) => return Ok(false),
+            Work::Lookup(keys) => {
+                self.send_lookup(keys)?;
+                true
+            }
+            Work::Commit(writes) => {
+                self.send_commit(writes)?;
+                false
+            }
+        };
+        self.begin_batch(batch.number, is_lookup, !is_lookup);
+        Ok(true)
+    }
+
+    /// Begins the removal of rows that are past their window at `now`, in microseconds of Unix time; ends as a batch of
+    /// this number.
+    pub fn prune(&mut self, number: u64, now: u64) -> Result<(), SessionError> {
+        let node = self.login.node.clone();
+        self.call(Statement::Prune, &[Param::Text(&node), Param::Int8(now as i64)])?;
+        self.begin_batch(number, false, false);
+        Ok(())
+    }
+
+    fn begin_batch(&mut self, number: u64, is_lookup: bool, is_unfenced: bool) {
+        frontend::sync(&mut self.output);
+        self.step_error = None;
+        self.step = Step::Executing(BatchProgress { number, is_lookup, rows: Vec::new(), is_unfenced });
+    }
+
+    fn send_lookup(&mut self, keys: &[String]) -> Result<(), SessionError> {
+        let node = self.login.node.clone();
+        for key in keys {
+            self.call(Statement::Lookup, &[Param::Text(&node), Param::Text(key)])?;
+        }
+        Ok(())
+    }
+
+    fn send_commit(&mut self, writes: &[Write]) -> Result<(), SessionError> {
+        let node = self.login.node.clone();
+        let epoch = self.epoch.unwrap_or_default() as i64;
+        self.call(Statement::Fence, &[Param::Text(&node), Param::Int8(epoch)])?;
+        writes.iter().try_for_each(|write| self.send_write(&node, write))
+    }
+
+    fn send_write(&mut self, node: &str, write: &Write) -> Result<(), SessionError> {
+        match write {
+            Write::Put(row) => self.send_put(node, row),
+            Write::Remove { key, sequence } => {
+                let params = [Param::Text(node), Param::Text(key), Param::Int8(*sequence as i64)];
+                self.call(Statement::Remove, &params)
+            }
+            // The fence is a write, and all that a probe needs.
+            Write::Probe => Ok(()),
+        }
+    }
+
+    fn send_put(&mut self, node: &str, row: &Row) -> Result<(), SessionError> {
+        let params = [
+            Param::Text(node),
+            Param::Text(&row.key),
+            Param::Bytes(&row.holder.to_be_bytes()),
+            Param::Bytes(&row.fingerprint.to_be_bytes()),
+            Param::Int8(row.ingress as i64),
+            Param::Int8(row.expires as i64),
+            Param::Int8(row.sequence as i64),
+            Param::Int2(row.state.code()),
+            row.state.result().map_or(Param::Null, Param::Bytes),
+        ];
+        self.call(Statement::Put, &params)
+    }
+
+    fn call(&mut self, statement: Statement, params: &[Param<'_>]) -> Result<(), SessionError> {
+        write_call(statement, params, &mut self.output)
+    }
+}
+
+/// What the server sends.
+impl Session {
+    fn on_message(&mut self, message: Message) -> Result<Option<Event>, SessionError> {
+        match message {
+            Message::ParameterStatus(_)
+            | Message::NoticeResponse(_)
+            | Message::NotificationResponse(_)
+            | Message::BackendKeyData(_)
+            | Message::ParseComplete
+            | Message::BindComplete
+            | Message::RowDescription(_)
+            | Message::ParameterDescription(_)
+            | Message::NoData
+            | Message::EmptyQueryResponse => Ok(None),
+            Message::ErrorResponse(body) => self.on_error(ServerError::parse(&body)?).map(|()| None),
+            Message::DataRow(body) => self.on_row(&body).map(|()| None),
+            Message::CommandComplete(body) => self.on_command_complete(&body).map(|()| None),
+            Message::ReadyForQuery(_) => self.on_ready(),
+            other => self.on_authentication(other).map(|()| None),
+        }
+    }
+
+    fn on_error(&mut self, error: ServerError) -> Result<(), SessionError> {
+        match &self.step {
+            // The server ends the connection for a reason of its own, as nothing is in flight.
+            Step::Idle => Err(SessionError::Ended(error)),
+            Step::AwaitingAuthentication | Step::ProvingPassword(_) | Step::Authenticated => {
+                Err(SessionError::LoginRefused(error))
+            }
+            Step::ReadingVersion(_)
+            | Step::CreatingTables
+            | Step::Preparing
+            | Step::TakingName(_)
+            | Step::Loading { .. }
+            | Step::Executing(_) => {
+                self.step_error.get_or_insert(error);
+                Ok(())
+            }
+        }
+    }
+
+    fn on_row(&mut self, body: &DataRowBody) -> Result<(), SessionError> {
+        let column = |range: Option<std::ops::Range<usize>>| range.and_then(|range| body.buffer().get(range));
+        let columns: Vec<Option<&[u8]>> =
+            body.ranges().map(|range| Ok(column(range))).collect().map_err(unreadable)?;
+        let first = columns.first().copied().flatten();
+        match &mut self.step {
+            Step::ReadingVersion(version) => {
+                // This one comes as text: it was asked for with a simple query.
+                let text = first.and_then(|text| std::str::from_utf8(text).ok());
+                *version = text.and_then(|text| text.parse().ok());
+            }
+            // The lock that is taken with the tables gives a row with nothing in it.
+            Step::CreatingTables => {}
+            Step::TakingName(epoch) => *epoch = first.and_then(decode_int8).map(|number| number as u64),
+            Step::Loading { recovery, page_rows, last_key } => {
+                let row = decode_row(&columns)?;
+                last_key.clone_from(&row.key);
+                *page_rows += 1;
+                recovery.found += 1;
+                if recovery.found as usize > self.max_rows {
+                    recovery.rows = Vec::new();
+                } else {
+                    recovery.rows.push(row);
+                }
+            }
+            Step::Executing(batch) if batch.is_lookup => batch.rows.push(decode_row(&columns)?),
+            _ => return Err(SessionError::UnexpectedRow),
+        }
+        Ok(())
+    }
+
+    fn on_command_complete(&mut self, body: &CommandCompleteBody) -> Result<(), SessionError> {
+        if let Step::Executing(batch) = &mut self.step {
+            // The first to complete is the fence; it must have found the node's row.
+            let tag = body.tag().map_err(unreadable)?;
+            batch.is_unfenced &= tag != FENCE_PASSED;
+        }
+        Ok(())
+    }
+
+    /// The server is through with all that was in flight.
+    fn on_ready(&mut self) -> Result<Option<Event>, SessionError> {
+        let step = mem::replace(&mut self.step, Step::Idle);
+        let error = self.step_error.take();
+        match step {
+            Step::Authenticated => self.read_version()?,
+            Step::ReadingVersion(version) => self.on_version(version, error)?,
+            Step::CreatingTables => {
+                refused(StartStep::CreateTables, error)?;
+                self.read_version()?;
+            }
+            Step::Preparing => {
+                refused(StartStep::Prepare, error)?;
+                return self.on_prepared();
+            }
+            Step::TakingName(epoch) => {
+                refused(StartStep::TakeName, error)?;
+                let epoch = epoch.ok_or(SessionError::NoEpoch)?;
+                self.load_page(Recovery { epoch, ..Recovery::default() }, String::new())?;
+            }
+            Step::Loading { recovery, page_rows, last_key } => {
+                refused(StartStep::LoadRows, error)?;
+                return self.on_page(recovery, page_rows, last_key);
+            }
+            Step::Executing(batch) => {
+                let number = batch.number;
+                let outcome = error.map_or_else(|| batch.outcome(), |error| error.outcome());
+                return Ok(Some(Event::Outcome(number, outcome)));
+            }
+            Step::AwaitingAuthentication | Step::ProvingPassword(_) | Step::Idle => {
+                return Err(SessionError::ReadyOutOfTurn);
+            }
+        }
+        Ok(None)
+    }
+}
--- a/crates/node/src/config/error.rs
+++ b/crates/node/src/config/error.rs
@@ -1,5 +1,6 @@
 //! What is wrong with a configuration: one line, for the operator.
 
+use crate::idempotency_store::PasswordError;
 use gaugestand_admission::SettingsError;
 use std::io;
 use std::path::PathBuf;
@@ -21,9 +22,9 @@
     /// The operators' script.
     #[error("{0}")]
     Script(#[from] gaugestand_settings::SettingsError),
-    /// The password file that the script names; with what is wrong with it.
-    #[error("{0}")]
-    PasswordFile(String),
+    /// The password file that the script names cannot be used.
+    #[error(transparent)]
+    PasswordFile(#[from] PasswordError),
     /// A setting of the script that cannot change without a restart.
     #[error("{}{setting} cannot change while the node serves, as {reason}; restart it", prefix(.script))]
     FixedSetting {
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -80,8 +80,7 @@
     if let Some(Backend::Postgres { password_file, .. }) =
         operators.record.as_ref().map(|settings| &settings.backend)
     {
-        idempotency_store::password(password_file)
-            .map_err(|error| ConfigError::PasswordFile(error.to_string()))?;
+        idempotency_store::password(password_file)?;
     }
     let config = load_environment()?;
     check_descriptors(config.max_descriptors, &operators)?;
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -3,7 +3,7 @@
 //! Names as printed are the operators' and do not change; where the code's term is another one, the printed name stands behind
 //! it.
 
-use gaugestand_idempotency::Figures;
+use gaugestand_idempotency::TableMetrics;
 use std::fmt;
 
 /// The name that a counter is printed under.
@@ -36,18 +36,18 @@
 
 impl Counters {
     /// Takes in the state of the idempotency table and its store.
-    pub fn read_idempotency(&mut self, figures: Figures, circuit_open: bool) {
+    pub fn read_idempotency(&mut self, metrics: TableMetrics, circuit_open: bool) {
         self.idempotency_circuit_open = circuit_open.into();
-        self.idempotency_entries = figures.entries as u64;
-        self.idempotency_bytes = figures.bytes as u64;
-        self.idempotency_writes_waiting = figures.writes as u64;
-        self.idempotency_removals_waiting = figures.removals as u64;
-        self.idempotency_commits = figures.commits;
-        self.idempotency_writes_committed = figures.committed;
-        self.idempotency_failures = figures.failures;
-        self.idempotency_circuit_openings = figures.opened;
-        self.idempotency_rejections = figures.turned_away;
-        self.idempotency_in_doubt = figures.in_doubt;
+        self.idempotency_entries = metrics.entries as u64;
+        self.idempotency_bytes = metrics.bytes as u64;
+        self.idempotency_writes_waiting = metrics.writes as u64;
+        self.idempotency_removals_waiting = metrics.removals as u64;
+        self.idempotency_commits = metrics.commits;
+        self.idempotency_writes_committed = metrics.committed;
+        self.idempotency_failures = metrics.failures;
+        self.idempotency_circuit_openings = metrics.opened;
+        self.idempotency_rejections = metrics.rejected;
+        self.idempotency_in_doubt = metrics.in_doubt;
     }
 }
 
--- a/crates/node/src/event_loop/cluster.rs
+++ b/crates/node/src/event_loop/cluster.rs
@@ -260,9 +260,9 @@
 }
 
 /// Requests of each class that have been answered.
-fn counts(figures: &crate::request_metrics::RequestMetrics, names: &[String]) -> BTreeMap<String, u64> {
+fn counts(metrics: &crate::request_metrics::RequestMetrics, names: &[String]) -> BTreeMap<String, u64> {
     let all = |name: &String| {
-        let ends = figures.replies(name);
+        let ends = metrics.replies(name);
         (name.clone(), ends.success + ends.overload + ends.error)
     };
     names.iter().map(all).collect()
--- a/crates/node/src/event_loop/error.rs
+++ b/crates/node/src/event_loop/error.rs
@@ -1,5 +1,6 @@
 //! Why the node could not start or go on.
 
+use crate::idempotency_store;
 use gaugestand_admission::SettingsError;
 use std::io;
 
@@ -14,7 +15,7 @@
     Settings(SettingsError),
     /// The idempotency store cannot be opened.
     #[error("{0}")]
-    IdempotencyStore(String),
+    IdempotencyStore(idempotency_store::StartError),
     /// The cluster cannot be joined: its log cannot be opened, or its address cannot be listened at.
     #[error("{0}")]
     Cluster(String),
--- a/crates/node/src/event_loop/handover/predecessor.rs
+++ b/crates/node/src/event_loop/handover/predecessor.rs
@@ -30,7 +30,7 @@
         tracing::info!("a new process of this node has come");
         let moment = self.clock.moment();
         let idempotency = self.engine.idempotency();
-        idempotency.mirror(true);
+        idempotency.set_replicating(true);
         let fingerprint_secret = idempotency.secret();
         let hello = Frame::Hello { moment, fingerprint_secret, draining: self.draining };
         if let Some(link) = &mut self.handover.successor_link {
@@ -44,7 +44,7 @@
     pub(super) fn stop_replication(&mut self) {
         self.handover.successor_link = None;
         self.handover.replication = Replication::default();
-        self.engine.idempotency().mirror(false);
+        self.engine.idempotency().set_replicating(false);
         self.connections.reserve_descriptors(0);
     }
 
@@ -83,7 +83,7 @@
         }
         let Some(link) = &mut self.handover.successor_link else { return };
         while link.has_room() {
-            let keys = self.engine.idempotency().copies(KEYS_PER_FRAME);
+            let keys = self.engine.idempotency().take_replicated(KEYS_PER_FRAME);
             if keys.is_empty() {
                 break;
             }
@@ -108,7 +108,7 @@
     /// Whether a key has changed that the successor has not been sent.
     fn is_replication_behind(&mut self) -> bool {
         let is_unwritten = self.handover.successor_link.as_ref().is_some_and(|link| !link.is_flushed());
-        is_unwritten || self.engine.idempotency().is_behind()
+        is_unwritten || self.engine.idempotency().is_replication_behind()
     }
 
     pub(super) fn flush_successor_link(&mut self) {
@@ -160,7 +160,7 @@
         self.handover.inherited_kernels.iter_mut().for_each(|inherited| inherited.kernel.unlink());
         let Some(link) = &mut self.handover.successor_link else { return };
         loop {
-            let keys = self.engine.idempotency().copies(KEYS_PER_FRAME);
+            let keys = self.engine.idempotency().take_replicated(KEYS_PER_FRAME);
             if keys.is_empty() {
                 break;
             }
@@ -220,7 +220,7 @@
         self.request_metrics.record_handed_over(self.open_attempts());
         self.attempts.clear();
         self.engine.retire();
-        self.engine.idempotency().mirror(false);
+        self.engine.idempotency().set_replicating(false);
         self.connections.release_all();
         self.handover.inherited_kernels.clear();
         self.handover.listener = None;
--- a/crates/node/src/event_loop/handover/successor.rs
+++ b/crates/node/src/event_loop/handover/successor.rs
@@ -56,10 +56,10 @@
                 self.clock.read(&self.system);
                 // The clock has advanced to the predecessor's: no operator has waited for that long.
                 self.admin.restart(self.clock.now());
-                self.engine.idempotency().begin_copy(fingerprint_secret);
+                self.engine.idempotency().begin_replica(fingerprint_secret);
             }
             Frame::Keys(keys) if is_waiting => {
-                keys.into_iter().for_each(|key| self.engine.idempotency().adopt(key));
+                keys.into_iter().for_each(|key| self.engine.idempotency().apply_replicated(key));
             }
             Frame::KeysComplete if is_waiting => self.on_handover_event(Event::KeysComplete),
             Frame::Connection(connection) if is_waiting => {
@@ -125,7 +125,7 @@
         );
         let now = self.clock.moment();
         let window = longest_dedup_window(&self.config);
-        self.engine.idempotency().orphaned(now, keys_complete, window);
+        self.engine.idempotency().on_predecessor_lost(now, keys_complete, window);
         self.drop_received_state();
         self.enter_service();
         if let Some(BackendStart { cold, age }) = self.handover.backend_start {
@@ -159,7 +159,7 @@
         self.drop_received_state();
         let idempotency = self.engine.idempotency();
         let fingerprint_secret = idempotency.secret();
-        idempotency.begin_copy(fingerprint_secret);
+        idempotency.begin_replica(fingerprint_secret);
         self.handover.next_search = self.clock.now();
     }
 
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -26,7 +26,7 @@
 use super::counters::Counters;
 use super::handover_link::FrontAttempt;
 use super::health_checks::HealthChecks;
-use super::idempotency_store::{self, Keeper};
+use super::idempotency_store::{self, IdempotencyStore, Owner};
 use super::io::clock::Clock;
 use super::io::{Ready, System};
 use super::kernel::Kernel;
@@ -42,7 +42,7 @@
 use gaugestand_admission::engine::{CallOutcome, Engine, EngineEvent, RunOutcome};
 use gaugestand_admission::handover::Event as HandoverEvent;
 use gaugestand_admission::time::Micros;
-use gaugestand_idempotency::{Breaker, KeyTable};
+use gaugestand_idempotency::{BreakerState, KeyTable};
 use handover::HandoverState;
 use keys::*;
 use reload::longest_dedup_window;
@@ -85,7 +85,7 @@
     store: Store<S>,
     membership: MembershipReports<S>,
     engine: Engine<KeyTable>,
-    idempotency_store: Keeper<S>,
+    idempotency_store: IdempotencyStore<S>,
     logs: Logs,
     counters: Counters,
     admin: Admin<S>,
@@ -134,12 +134,12 @@
         let reload_signal = signals(RELOAD, &[SIGHUP])?;
         let clock = Clock::new(&system);
         // The idempotency store is read before anybody can connect.
-        let owner = (config.name.as_str(), config.seed, longest_dedup_window(&config));
+        let owner = Owner { name: &config.name, seed: config.seed, window: longest_dedup_window(&config) };
         let store_settings = config.operators.record.as_ref();
         let (idempotency_store, mut key_table) =
-            Keeper::start(store_settings, owner, IDEMPOTENCY_STORE, &system, clock.moment())
-                .map_err(|error| NodeError::IdempotencyStore(error.to_string()))?;
-        key_table.set_most(config.max_volatile_bytes);
+            IdempotencyStore::start(store_settings, owner, IDEMPOTENCY_STORE, &system, clock.moment())
+                .map_err(NodeError::IdempotencyStore)?;
+        key_table.set_max_bytes(config.max_volatile_bytes);
         let peer_keys = (PEER_LISTENER, CONSENSUS_LOG, FIRST_PEER);
         let join =
             |cluster| Peers::start(&system, cluster, &config.name, config.seed, peer_keys).map(Box::new);
@@ -352,8 +352,8 @@
 
     fn print_counters(&mut self) {
         let key_table = self.engine.idempotency();
-        let circuit_open = key_table.breaker() != Breaker::Closed;
-        self.counters.read_idempotency(key_table.figures(), circuit_open);
+        let circuit_open = key_table.breaker_state() != BreakerState::Closed;
+        self.counters.read_idempotency(key_table.metrics(), circuit_open);
         self.counters.log_lines_dropped = self.logs.dropped();
         self.logs.write(&self.counters.to_string());
     }
--- a/crates/node/src/event_loop/reload.rs
+++ b/crates/node/src/event_loop/reload.rs
@@ -84,7 +84,7 @@
     /// Those of the operators' own settings that can change while the node serves. None of this can fail: a password file
     /// that cannot be read leaves the password as it was.
     fn apply_operator_settings(&mut self, config: &Config) {
-        self.engine.idempotency().set_most(config.max_volatile_bytes);
+        self.engine.idempotency().set_max_bytes(config.max_volatile_bytes);
         let Some(stored) = &config.operators.record else { return };
         if let Backend::Postgres { password_file, .. } = &stored.backend
             && let Ok(password) = idempotency_store::password(password_file)
--- a/crates/node/src/handover_link/frame.rs
+++ b/crates/node/src/handover_link/frame.rs
@@ -5,7 +5,7 @@
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::{CallOutcome, EngineSnapshot};
 use gaugestand_admission::time::{Micros, Moment};
-use gaugestand_idempotency::Copy;
+use gaugestand_idempotency::ReplicatedEntry;
 use serde::{Deserialize, Serialize};
 
 /// The longest frame, in bytes. An engine with ten thousand open attempts takes a few megabytes; a longer frame is damaged,
@@ -29,7 +29,7 @@
         draining: bool,
     },
     /// Keys as they are now.
-    Keys(Vec<Copy>),
+    Keys(Vec<ReplicatedEntry>),
     /// All keys were sent. From now on a change of a key is sent before the command that it is about.
     #[serde(rename = "Synced")]
     KeysComplete,
--- a/crates/simulation/src/system.rs
+++ b/crates/simulation/src/system.rs
@@ -5,6 +5,7 @@
 use crate::network::{Network, Side};
 use gaugestand_admission::log_record::RecoveredLog;
 use gaugestand_admission::time::{Micros, Moment};
+use gaugestand_idempotency::OpenError;
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
 use gaugestand_idempotency::sqlite::Options;
 use gaugestand_node::io::{
@@ -53,12 +54,12 @@
         Ok(VirtualSignals { net: self.0.clone(), key })
     }
 
-    fn store(&self, path: &Path, _: &Options, _: usize, _: usize) -> Result<(NoWorker, Recovery), String> {
-        Err(format!("{}: there is no disk in this world yet", path.display()))
+    fn store(&self, path: &Path, _: &Options, _: usize, _: usize) -> Result<(NoWorker, Recovery), OpenError> {
+        Err(OpenError::NoDisk(path.to_path_buf()))
     }
 
-    fn consensus_log(&self, path: &Path, _: &str, _: usize) -> Result<(NoWorker, RecoveredLog), String> {
-        Err(format!("{}: there is no disk in this world yet", path.display()))
+    fn consensus_log(&self, path: &Path, _: &str, _: usize) -> Result<(NoWorker, RecoveredLog), OpenError> {
+        Err(OpenError::NoDisk(path.to_path_buf()))
     }
 
     fn listen_for_handover(&self, _: &Path, _: usize) -> io::Result<NoSecondProcess> {
