--- a/crates/cluster/src/consensus.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -8,7 +8,7 @@
 use crate::diff;
 use crate::lease::{self, Acts, Effect, Member, Terms, Version};
 use crate::log_storage::{LogStorage, raft_id, version_of};
-use crate::members::{Change, Members, Number, Refused, Seen};
+use crate::membership::{Change, Members, Number, Refused, Seen};
 use crate::wire::{Answer, Ask, Body, Check, Checked, Entry as Versioned, Forward, MOST_CONTENT};
 use gaugestand_admission::log_record::{Found, LogRecord};
 use gaugestand_admission::time::Micros;
--- a/crates/cluster/src/log_storage.rs
+++ b/crates/cluster/src/log_storage.rs
@@ -1,7 +1,7 @@
 //! The log in memory: what the consensus library reads, and what of it goes to the disk.
 
 use crate::lease::Version;
-use crate::members::{Members, Role};
+use crate::membership::{Members, Role};
 use crate::wire::{Base, Entry as Versioned};
 use gaugestand_admission::log_record::{Found, LogRecord};
 use prost::Message as _;
--- a/crates/cluster/tests/consensus.rs
+++ b/crates/cluster/tests/consensus.rs
@@ -8,7 +8,7 @@
 use gaugestand_admission::time::Micros;
 use gaugestand_cluster::consensus::{Consensus, Event, Refusal, Setup, Step};
 use gaugestand_cluster::lease::{Acts, Defect, Member, Terms, Version};
-use gaugestand_cluster::members::{Change, Members};
+use gaugestand_cluster::membership::{Change, Members};
 use std::collections::BTreeMap;
 
 const LEASE: Micros = Micros::millis(600);
--- a/crates/node/src/event_loop/cluster.rs
+++ b/crates/node/src/event_loop/cluster.rs
@@ -11,7 +11,7 @@
 use gaugestand_cluster::consensus::Refusal;
 use gaugestand_cluster::diff::Content;
 use gaugestand_cluster::lease::Version;
-use gaugestand_cluster::members::Change as Membership;
+use gaugestand_cluster::membership::Change as Membership;
 use gaugestand_cluster::validation::{Class, Load, Problem, Room, problem};
 use gaugestand_cluster::version_gate::{self, Ruling};
 use serde_json::{Value, json};
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -13,7 +13,7 @@
 use gaugestand_cluster::consensus::{Asked, Consensus, Event, Refusal, Setup, Step};
 use gaugestand_cluster::diff::Content;
 use gaugestand_cluster::lease::{Acts, Member, Terms, Version};
-use gaugestand_cluster::members::{Change as Membership, MOST_MEMBERS, Members, Role};
+use gaugestand_cluster::membership::{Change as Membership, MOST_MEMBERS, Members, Role};
 use gaugestand_cluster::version_gate::{self, Ruling};
 use gaugestand_cluster::wire::{Body, MOST_MESSAGE, Stamp, Unfit};
 use gaugestand_idempotency::row::{Batch, Outcome, Work};
@@ -404,7 +404,7 @@
     /// How the fleet stands, as this node sees it.
     pub fn status(&self, now: Micros) -> Value {
         let all = self.consensus.members();
-        let member = |node: &gaugestand_cluster::members::Node| {
+        let member = |node: &gaugestand_cluster::membership::Node| {
             let peer = self.peers.get(&node.number);
             let (me, heard) = (node.number == self.stamp.me, peer.is_some_and(|p| p.over.is_some()));
             let address = peer.and_then(|p| p.address).unwrap_or(if me { self.own } else { node.address });
