--- a/crates/node/src/event_loop/cluster.rs
+++ b/crates/node/src/event_loop/cluster.rs
@@ -8,12 +8,12 @@
 use gaugestand_admission::idempotency::IdempotencyTable as _;
 use gaugestand_admission::time::Micros;
 use gaugestand_admission::{Effect, Span};
-use gaugestand_cluster::consensus::Refusal;
+use gaugestand_cluster::Version;
+use gaugestand_cluster::consensus::{ProposalError, Unacceptable};
 use gaugestand_cluster::diff::Content;
-use gaugestand_cluster::lease::Version;
-use gaugestand_cluster::membership::Change as Membership;
-use gaugestand_cluster::validation::{Class, Load, Problem, Room, problem};
-use gaugestand_cluster::version_gate::{self, Ruling};
+use gaugestand_cluster::membership::MembershipChange;
+use gaugestand_cluster::validation::{ClassLoad, ClassSettings, KeyMemory, validate};
+use gaugestand_cluster::version_gate::{self, GateDecision};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -44,24 +44,24 @@
     }
 
     /// Requests a second since the earlier of the two counts.
-    fn load(&self, now: Micros, counts: &BTreeMap<String, u64>) -> Vec<Load> {
+    fn load(&self, now: Micros, counts: &BTreeMap<String, u64>) -> Vec<ClassLoad> {
         let Some((since, was)) = self.before.as_ref().or(self.last.as_ref()) else { return Vec::new() };
         let secs = (now.since(*since).0 as f64 / 1e6).max(1.0);
         let rate = |(name, n): (&String, &u64)| {
             let more = n.saturating_sub(was.get(name).copied().unwrap_or(0));
-            Load { name: name.clone(), rate: more as f64 / secs }
+            ClassLoad { name: name.clone(), rate: more as f64 / secs }
         };
         counts.iter().map(rate).collect()
     }
 }
 
 /// The classes of a configuration, as a version is looked at.
-fn classes(config: &Config) -> Vec<Class> {
+fn classes(config: &Config) -> Vec<ClassSettings> {
     let secs = |s: Span| s.0 as f64 / 1e9;
-    let of = |(name, c): (&String, &gaugestand_admission::Class)| Class {
+    let of = |(name, c): (&String, &gaugestand_admission::Class)| ClassSettings {
         name: name.clone(),
         keyed: c.effect == Effect::Keyed,
-        window_s: secs(c.dedup_window),
+        dedup_window_s: secs(c.dedup_window),
         priority_weight: c.priority_weight,
     };
     config.classes.iter().zip(&config.settings.classes).map(of).collect()
@@ -102,7 +102,7 @@
         while let Some(news) = self.peers.as_mut().and_then(|f| f.news(now, &mut self.counters)) {
             match news {
                 News::Check(asked, bytes, force) => {
-                    let verdict = self.could_act(&bytes, force);
+                    let verdict = self.could_act(&bytes, force).map_err(Unacceptable);
                     if let Some(peers) = &mut self.peers {
                         peers.checked(now, asked, verdict);
                     }
@@ -130,7 +130,7 @@
     fn could_act(&mut self, bytes: &[u8], force: bool) -> Result<(), String> {
         let content = content_of(bytes)?;
         let lists = self.peers.as_ref().map(|f| f.lists()).unwrap_or_default();
-        if let Some(name) = version_gate::unknown_list(&content, lists) {
+        if let Some(name) = version_gate::disabled_list(&content, lists) {
             return Err(format!(
                 "lists.{name}: fleet(lists = ...) of this node does not name lists of that form"
             ));
@@ -140,12 +140,12 @@
         config::follows(&self.config, &new).map_err(|e| e.to_string())?;
         let load = self.pace.load(self.clock.now(), &counts(&self.figures, &self.config.classes));
         let s = &self.config.settings;
-        let room = Room { keys_kb: KEYS_SHARE * s.memory_kb, entry_kb: s.entry_kb };
-        match problem(&classes(&self.config), &classes(&new), &load, room) {
-            None => Ok(()),
-            Some(Problem::Starves(_)) if force => Ok(()),
-            Some(Problem::Starves(why)) => Err(format!("{why}; --force if that is meant")),
-            Some(Problem::Unfit(why)) => Err(why),
+        let memory = KeyMemory { available_kb: KEYS_SHARE * s.memory_kb, entry_kb: s.entry_kb };
+        match validate(&classes(&self.config), &classes(&new), &load, memory) {
+            Ok(()) => Ok(()),
+            Err(error) if error.can_be_forced() && force => Ok(()),
+            Err(error) if error.can_be_forced() => Err(format!("{error}; --force if that is meant")),
+            Err(error) => Err(error.to_string()),
         }
     }
 
@@ -185,15 +185,15 @@
         let keyed = t.repeat_key.as_deref();
         let ruling = peers.rule(moment.mono, keyed.is_some(), t.row, t.router);
         let (no_retry_elsewhere, retry_after) = match ruling {
-            Ruling::Pass => return None,
-            Ruling::Barred => (true, Micros(0)),
-            Ruling::OverShare | Ruling::NoLease => (false, peers.retry_after()),
+            GateDecision::Pass => return None,
+            GateDecision::Blocked => (true, Micros(0)),
+            GateDecision::OverGatewayLimit | GateDecision::NoLease => (false, peers.retry_after()),
         };
         if keyed.is_some_and(|key| self.engine.idempotency().knows(key, moment)) {
             return None;
         }
         let count = match ruling {
-            Ruling::NoLease => &mut self.counters.fleet_unleased,
+            GateDecision::NoLease => &mut self.counters.fleet_unleased,
             _ => &mut self.counters.fleet_barred,
         };
         *count += 1;
@@ -231,13 +231,13 @@
                 let Ok(address) = address.parse() else {
                     return Some("error JOIN takes a name and an address, as in n4=10.0.0.4:7000\n".into());
                 };
-                peers.change(now, caller, Membership::Join { name: name.into(), address });
+                peers.change(now, caller, MembershipChange::Join { name: name.into(), address });
                 return None;
             }
             ("REMOVE", Some(name)) => match peers.number(name) {
                 Some(number) => {
                     let force = words.next() == Some("force");
-                    peers.change(now, caller, Membership::Leave { number, force });
+                    peers.change(now, caller, MembershipChange::Remove { id: number, force });
                     return None;
                 }
                 None => Err("no node of the fleet has that name"),
@@ -266,7 +266,7 @@
     names.iter().map(all).collect()
 }
 
-fn answer(end: Result<Version, Refusal>) -> String {
+fn answer(end: Result<Version, ProposalError>) -> String {
     match end {
         Ok(version) => format!("done {}\n", json!({"version": version})),
         Err(why) => format!("error {why}\n"),
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -10,12 +10,15 @@
 use gaugestand_admission::RequestId;
 use gaugestand_admission::log_record::LogRecord;
 use gaugestand_admission::time::Micros;
-use gaugestand_cluster::consensus::{Asked, Consensus, Event, Refusal, Setup, Step};
+use gaugestand_cluster::consensus::{
+    Command, Consensus, ConsensusConfig, Event, ProposalError, Unacceptable, ValidationId,
+};
 use gaugestand_cluster::diff::Content;
-use gaugestand_cluster::lease::{Acts, Member, Terms, Version};
-use gaugestand_cluster::membership::{Change as Membership, MOST_MEMBERS, Members, Role};
-use gaugestand_cluster::version_gate::{self, Ruling};
-use gaugestand_cluster::wire::{Body, MOST_MESSAGE, Stamp, Unfit};
+use gaugestand_cluster::lease::{ActiveVersion, LeaseConfig};
+use gaugestand_cluster::membership::{MAX_MEMBERS, Membership, MembershipChange, Role};
+use gaugestand_cluster::version_gate::{self, EnabledLists, GateDecision};
+use gaugestand_cluster::wire::{FrameCodec, FrameError, MAX_MESSAGE_BYTES, Payload};
+use gaugestand_cluster::{NodeId, Version};
 use gaugestand_idempotency::row::{Batch, Outcome, Work};
 use gaugestand_settings::{Fleet, Lists};
 use serde_json::{Value, json};
@@ -25,7 +28,7 @@
 use std::rc::Rc;
 
 /// Links that this node makes, at most: to all others.
-const MOST_MADE: usize = MOST_MEMBERS - 1;
+const MOST_MADE: usize = MAX_MEMBERS - 1;
 /// Connections that have not said yet who they are, and those that have.
 const MOST_GUESTS: usize = 8 + MOST_MADE;
 /// Keys that links are watched under.
@@ -46,25 +49,25 @@
 const REPEAT: Micros = Micros::millis(10_000);
 
 /// Terms with the defect that the environment names.
-#[cfg(feature = "planted")]
-fn planted(terms: Terms) -> Result<Terms, String> {
+#[cfg(feature = "injected-defects")]
+fn with_injected_defect(lease: LeaseConfig) -> Result<LeaseConfig, String> {
     use gaugestand_cluster::lease::Defect;
-    let Ok(name) = std::env::var("GAUGESTAND_PLANTED") else { return Ok(terms) };
-    let defect = Defect::named(&name).ok_or_else(|| {
-        let known: Vec<&str> = Defect::NAMED.iter().map(|d| d.0).collect();
+    let Ok(name) = std::env::var("GAUGESTAND_PLANTED") else { return Ok(lease) };
+    let defect = Defect::from_name(&name).ok_or_else(|| {
+        let known: Vec<&str> = Defect::BY_NAME.iter().map(|d| d.0).collect();
         format!("GAUGESTAND_PLANTED: there is no defect {name:?}; there are {}", known.join(", "))
     })?;
     tracing::warn!(name, "a defect is planted: this build is for checks alone");
-    Ok(terms.planted(defect))
+    Ok(lease.with_defect(defect))
 }
 
 /// What the node has to do for the fleet.
 #[derive(Debug)]
 pub enum News {
     /// Say whether it could act on this content, with [`Fellows::checked`].
-    Check(Asked, Rc<[u8]>, bool),
+    Check(ValidationId, Rc<[u8]>, bool),
     /// Answer the operator who has this ticket.
-    Answer(u64, Result<Version, Refusal>),
+    Answer(u64, Result<Version, ProposalError>),
 }
 
 /// A connection with another node.
@@ -74,9 +77,9 @@
     since: Micros,
     greeted: bool,
     /// Whom this node made it to.
-    to: Option<Member>,
+    to: Option<NodeId>,
     /// Who it is, and which life of it, once it has said so.
-    who: Option<(Member, u64)>,
+    who: Option<(NodeId, u64)>,
 }
 
 /// Another node.
@@ -110,16 +113,16 @@
 pub struct Peers<S: System> {
     system: S,
     consensus: Consensus,
-    stamp: Stamp,
+    codec: FrameCodec,
     name: String,
     /// As the script has them: of version 0, and where this node reaches them.
     script: Vec<(String, SocketAddr)>,
     /// Where this node says that it listens.
     own: SocketAddr,
-    peers: BTreeMap<Member, Peer>,
+    peers: BTreeMap<NodeId, Peer>,
     /// This node is out of the fleet since this version at the latest.
     removed: Option<Version>,
-    lists: version_gate::Lists,
+    lists: EnabledLists,
     lease: Micros,
     listener: S::Listener,
     first_key: usize,
@@ -130,7 +133,7 @@
     /// The first of them is with the worker.
     flying: bool,
     write_again: Micros,
-    steps: VecDeque<Step>,
+    steps: VecDeque<Command>,
     rng: fastrand::Rng,
     /// The version that the node has put into effect, with its content.
     applied: Option<Version>,
@@ -147,10 +150,10 @@
     look_at: Micros,
 }
 
-fn lists(lists: Lists) -> version_gate::Lists {
-    version_gate::Lists {
-        barred: matches!(lists, Lists::Barred | Lists::Both),
-        shares: matches!(lists, Lists::Shares | Lists::Both),
+fn lists(lists: Lists) -> EnabledLists {
+    EnabledLists {
+        blocked: matches!(lists, Lists::Barred | Lists::Both),
+        gateway_limits: matches!(lists, Lists::Shares | Lists::Both),
     }
 }
 
@@ -174,7 +177,7 @@
     ) -> Result<Self, String> {
         let at = settings.members.iter().position(|m| m.0 == me);
         let (number, own) = match (at, settings.number) {
-            (Some(at), None) => (at as Member, settings.members[at].1),
+            (Some(at), None) => (at as NodeId, settings.members[at].1),
             (Some(_), Some(_)) => {
                 return Err(format!("fleet: `number` is for a node that joins; {me:?} is one of `members`"));
             }
@@ -190,10 +193,10 @@
             }
         };
         let lease = Micros::millis(settings.contradict_ms);
-        let terms = Terms::new(settings.members.len(), lease, settings.drift_ppm);
-        let terms = terms.map_err(|e| format!("fleet: its times make no sense: {e:?}"))?;
-        #[cfg(feature = "planted")]
-        let terms = planted(terms)?;
+        let terms = LeaseConfig::new(settings.members.len(), lease, settings.drift_ppm);
+        let terms = terms.map_err(|error| format!("fleet: its times make no sense: {error}"))?;
+        #[cfg(feature = "injected-defects")]
+        let terms = with_injected_defect(terms)?;
         let names: Vec<String> = settings.members.iter().map(|m| m.0.clone()).collect();
         let owner = format!("node {me} of fleet {:?} ({})", settings.name, names.join(", "));
         let (writer, found) = system.consensus_log(&settings.path, &owner, writer_key)?;
@@ -201,16 +204,22 @@
         let listener =
             system.listen(listener, listener_key).map_err(|e| format!("fleet: {listener}: {e}"))?;
         let me = number;
-        let stamp =
-            Stamp { fleet: settings.name.clone(), terms: fingerprint(settings), me, life: found.life };
-        let first = Members::first(&settings.members).map_err(|e| format!("fleet: `members`: {e}"))?;
-        let (setup, mut steps) = (Setup { me, members: first, terms, life: found.life }, Vec::new());
-        let consensus = Consensus::new(system.moment().mono, setup, &found, &mut steps)
+        let codec = FrameCodec {
+            cluster: settings.name.clone(),
+            config_fingerprint: fingerprint(settings),
+            node_id: me,
+            incarnation: found.life,
+        };
+        let first = Membership::initial(&settings.members).map_err(|e| format!("fleet: `members`: {e}"))?;
+        let consensus_config =
+            ConsensusConfig { node_id: me, initial_membership: first, lease: terms, incarnation: found.life };
+        let mut steps = Vec::new();
+        let consensus = Consensus::new(system.moment().mono, consensus_config, &found, &mut steps)
             .map_err(|e| format!("agreed log {}: {e}; nothing was changed", settings.path.display()))?;
         let mut peers = Peers {
             system: system.clone(),
             consensus,
-            stamp,
+            codec,
             name: settings.name.clone(),
             script: settings.members.clone(),
             own,
@@ -242,15 +251,15 @@
 
     /// Takes in who is in the fleet now. A node that is not in it yet keeps those that it was told of.
     fn meet(&mut self, now: Micros) {
-        let members = self.consensus.members().clone();
-        for node in members.nodes().iter().filter(|n| n.number != self.stamp.me) {
+        let members = self.consensus.membership().clone();
+        for node in members.members().iter().filter(|n| n.id != self.codec.node_id) {
             // Where a node reaches those of its script is its own.
-            let own_way = self.script.get(usize::from(node.number)).map(|s| s.1);
-            let peer = self.peers.entry(node.number).or_insert_with(|| Peer::new(String::new()));
+            let own_way = self.script.get(usize::from(node.id)).map(|s| s.1);
+            let peer = self.peers.entry(node.id).or_insert_with(|| Peer::new(String::new()));
             peer.name.clone_from(&node.name);
             peer.address = Some(own_way.unwrap_or(node.address));
         }
-        let gone: Vec<Member> = self.peers.keys().copied().filter(|n| members.has_gone(*n)).collect();
+        let gone: Vec<NodeId> = self.peers.keys().copied().filter(|n| members.was_removed(*n)).collect();
         for number in gone {
             for slot in 0..KEYS {
                 let channel = self.channels[slot].as_ref();
@@ -267,14 +276,14 @@
     }
 
     /// Whether a node may speak to this one.
-    fn admits(&self, from: Member, life: u64) -> Result<(), Unfit> {
-        let members = self.consensus.members();
-        if members.has_gone(from) {
-            return Err(Unfit::Gone(from, life));
+    fn admits(&self, from: NodeId, life: u64) -> Result<(), FrameError> {
+        let members = self.consensus.membership();
+        if members.was_removed(from) {
+            return Err(FrameError::RemovedSender { node: from, incarnation: life });
         }
         // One that has not been let in does not know everybody.
-        let known = members.get(from).is_some() || members.get(self.stamp.me).is_none();
-        if known { Ok(()) } else { Err(Unfit::Stranger(u32::from(from))) }
+        let known = members.get(from).is_some() || members.get(self.codec.node_id).is_none();
+        if known { Ok(()) } else { Err(FrameError::UnknownSender(u32::from(from))) }
     }
 
     /// Where it listens.
@@ -296,7 +305,7 @@
 
     /// The version to put into effect now, if it is another one than before, with its content; none for version 0.
     pub fn due(&self, now: Micros) -> Option<(Version, Option<Rc<[u8]>>)> {
-        let Acts::On(version) = self.consensus.acts(now) else { return None };
+        let ActiveVersion::Leased(version) = self.consensus.active_version(now) else { return None };
         let known = self.applied == Some(version) || self.unusable.as_ref().is_some_and(|u| u.0 == version);
         if known { None } else { Some((version, self.consensus.content(version))) }
     }
@@ -321,16 +330,18 @@
     }
 
     /// What a request gets by this clock, which was read for it.
-    pub fn rule(&self, now: Micros, keyed: bool, subject: Option<u64>, gateway: u64) -> Ruling {
-        let acts = match self.consensus.acts(now) {
+    pub fn rule(&self, now: Micros, keyed: bool, subject: Option<u64>, gateway: u64) -> GateDecision {
+        let acts = match self.consensus.active_version(now) {
             // One that has not been put into effect yet, or cannot be: until then the one before holds without a lease.
-            Acts::On(version) if self.applied != Some(version) => Acts::Within(self.applied.unwrap_or(0)),
+            ActiveVersion::Leased(version) if self.applied != Some(version) => {
+                ActiveVersion::Unleased(self.applied.unwrap_or(0))
+            }
             acts => acts,
         };
-        let subject = subject.filter(|_| self.lists.barred).map(|s| format!("{s:016x}"));
+        let subject = subject.filter(|_| self.lists.blocked).map(|s| format!("{s:016x}"));
         let open = self.by_gateway.get(&gateway).copied().unwrap_or(0);
         let request = version_gate::Request { keyed, subject: subject.as_deref(), gateway, open };
-        version_gate::rule(acts, self.content.as_ref(), self.lists, request)
+        version_gate::check(acts, self.content.as_ref(), self.lists, request)
     }
 
     /// After which time a refusal for want of a lease asks to come back: one is had again, or is not, by then.
@@ -368,31 +379,31 @@
         expect: Option<Version>,
         force: bool,
     ) {
-        self.step(now, Event::Propose { ticket, content, expect, force });
+        self.step(now, Event::Propose { ticket, content, expected_version: expect, force });
     }
 
     /// An operator wants the members to change.
-    pub fn change(&mut self, now: Micros, ticket: u64, change: Membership) {
-        self.step(now, Event::Change { ticket, change });
+    pub fn change(&mut self, now: Micros, ticket: u64, change: MembershipChange) {
+        self.step(now, Event::ChangeMembership { ticket, change });
     }
 
     /// The number of the node of this name.
-    pub fn number(&self, name: &str) -> Option<Member> {
-        self.consensus.members().nodes().iter().find(|n| n.name == name).map(|n| n.number)
+    pub fn number(&self, name: &str) -> Option<NodeId> {
+        self.consensus.membership().members().iter().find(|n| n.name == name).map(|n| n.id)
     }
 
     /// What came of a check.
-    pub fn checked(&mut self, now: Micros, asked: Asked, verdict: Result<(), String>) {
-        self.step(now, Event::Checked(asked, verdict));
+    pub fn checked(&mut self, now: Micros, validation: ValidationId, result: Result<(), Unacceptable>) {
+        self.step(now, Event::Validated { validation, result });
     }
 
     /// This node leaves service.
     pub fn leave(&mut self, now: Micros) {
-        self.step(now, Event::Leave);
+        self.step(now, Event::Draining);
     }
 
     /// Which lists versions may hold.
-    pub fn lists(&self) -> version_gate::Lists {
+    pub fn lists(&self) -> EnabledLists {
         self.lists
     }
 
@@ -403,18 +414,19 @@
 
     /// How the fleet stands, as this node sees it.
     pub fn status(&self, now: Micros) -> Value {
-        let all = self.consensus.members();
-        let member = |node: &gaugestand_cluster::membership::Node| {
-            let peer = self.peers.get(&node.number);
-            let (me, heard) = (node.number == self.stamp.me, peer.is_some_and(|p| p.over.is_some()));
+        let all = self.consensus.membership();
+        let member = |node: &gaugestand_cluster::membership::Member| {
+            let peer = self.peers.get(&node.id);
+            let (me, heard) = (node.id == self.codec.node_id, peer.is_some_and(|p| p.over.is_some()));
             let address = peer.and_then(|p| p.address).unwrap_or(if me { self.own } else { node.address });
-            json!({"name": node.name, "number": node.number, "address": address.to_string(), "me": me,
+            json!({"name": node.name, "number": node.id, "address": address.to_string(), "me": me,
                 "heard": me || heard, "votes": node.role == Role::Voter})
         };
-        let members: Vec<Value> = all.nodes().iter().map(member).collect();
+        let members: Vec<Value> = all.members().iter().map(member).collect();
         let leader = self.consensus.leader().and_then(|l| all.get(l)).map(|n| &n.name);
-        let lease = self.consensus.lease().map_or(0, |(_, until)| until.since(now).0 / 1_000);
-        let acts = matches!(self.consensus.acts(now), Acts::On(v) if self.applied == Some(v));
+        let lease = self.consensus.lease().map_or(0, |lease| lease.expires_at.since(now).0 / 1_000);
+        let acts =
+            matches!(self.consensus.active_version(now), ActiveVersion::Leased(v) if self.applied == Some(v));
         let mut open: BTreeMap<Version, (usize, u64)> = BTreeMap::new();
         for o in self.open.values() {
             let (n, oldest) = open.entry(o.version).or_default();
@@ -426,9 +438,9 @@
             .collect();
         json!({
             "fleet": self.name, "leader": leader, "term": self.consensus.term(), "members": members,
-            "heard": self.consensus.heard(), "majority": all.voters().count() / 2 + 1, "removed": self.removed,
-            "in_fleet": all.get(self.stamp.me).is_some(),
-            "last": self.consensus.last_agreed(), "in_effect": self.applied, "acts": acts, "lease_ms": lease,
+            "heard": self.consensus.reachable_count(), "majority": all.voters().count() / 2 + 1, "removed": self.removed,
+            "in_fleet": all.get(self.codec.node_id).is_some(),
+            "last": self.consensus.last_committed(), "in_effect": self.applied, "acts": acts, "lease_ms": lease,
             "unusable": self.unusable.as_ref().map(|(version, why)| json!({"version": version, "why": why})),
             "unwritten": self.pages.len(), "open": open,
         })
@@ -436,7 +448,7 @@
 
     /// Versions that are kept, oldest first, with their sizes.
     pub fn history(&self) -> Value {
-        let all = self.consensus.agreed();
+        let all = self.consensus.committed_versions();
         all.map(|(version, content)| json!({"version": version, "bytes": content.len()})).collect()
     }
 
@@ -470,7 +482,7 @@
     }
 
     fn greet(&mut self, slot: usize) {
-        let hello = self.stamp.hello(env!("CARGO_PKG_VERSION"));
+        let hello = self.codec.hello(env!("CARGO_PKG_VERSION"));
         if let Some(channel) = self.channels[slot].as_mut().filter(|c| !c.greeted) {
             channel.greeted = true;
             channel.link.send(frame(&hello));
@@ -499,10 +511,10 @@
             let Some(length) = input.first_chunk::<LENGTH>().map(|l| u32::from_le_bytes(*l) as usize) else {
                 return;
             };
-            let read = if length > MOST_MESSAGE {
-                Err(Unfit::Unreadable)
+            let read = if length > MAX_MESSAGE_BYTES {
+                Err(FrameError::Malformed)
             } else if let Some(message) = input.get(LENGTH..LENGTH + length) {
-                self.stamp.open(message)
+                self.codec.decode(message)
             } else {
                 return;
             };
@@ -516,9 +528,11 @@
                 }
                 Err(unfit) => {
                     counters.fellow_unfit += 1;
-                    if let (Unfit::Gone(_, life), Some(channel)) = (&unfit, self.channels[slot].as_mut()) {
-                        let told = Body::Gone(self.consensus.last_agreed());
-                        channel.link.send(frame(&self.stamp.seal(told, *life)));
+                    if let (FrameError::RemovedSender { incarnation: life, .. }, Some(channel)) =
+                        (&unfit, self.channels[slot].as_mut())
+                    {
+                        let told = Payload::Removed(self.consensus.last_committed());
+                        channel.link.send(frame(&self.codec.encode(told, *life)));
                         let _ = channel.link.flush(now);
                     }
                     if self.said.is_none_or(|t| now.since(t) >= REPEAT) {
@@ -531,27 +545,27 @@
         }
     }
 
-    fn hear(&mut self, now: Micros, slot: usize, from: Member, body: Body) -> Result<(), Unfit> {
-        if let Body::Hello(hello) = &body {
-            self.admits(from, hello.life)?;
+    fn hear(&mut self, now: Micros, slot: usize, from: NodeId, body: Payload) -> Result<(), FrameError> {
+        if let Payload::Hello(hello) = &body {
+            self.admits(from, hello.incarnation)?;
         }
         let Some(channel) = self.channels[slot].as_mut() else { return Ok(()) };
         match (channel.who, body) {
-            (_, Body::Gone(version)) => {
+            (_, Payload::Removed(version)) => {
                 if self.removed.replace(version).is_none() {
                     tracing::error!(
                         version,
                         "this node is in the fleet no more; stop it, or let it join anew"
                     );
                 }
-                Err(Unfit::Stale)
+                Err(FrameError::Stale)
             }
-            (None, Body::Hello(hello)) => {
+            (None, Payload::Hello(hello)) => {
                 // A link that this node made leads to one node.
                 if channel.to.is_some_and(|to| to != from) {
-                    return Err(Unfit::Stranger(u32::from(from)));
+                    return Err(FrameError::UnknownSender(u32::from(from)));
                 }
-                channel.who = Some((from, hello.life));
+                channel.who = Some((from, hello.incarnation));
                 let peer = self.peers.entry(from).or_insert_with(|| Peer::new(format!("node {from}")));
                 // The newest link counts: an older one may be half dead.
                 let before = peer.over.replace(slot);
@@ -559,14 +573,14 @@
                 if let Some(before) = before.filter(|b| *b != slot) {
                     self.channels[before] = None;
                 }
-                self.step(now, Event::Linked(from, true));
+                self.step(now, Event::LinkUp(from));
                 Ok(())
             }
-            (Some((who, _)), body) if who == from && !matches!(body, Body::Hello(_)) => {
-                self.step(now, Event::Heard(from, body));
+            (Some((who, _)), body) if who == from && !matches!(body, Payload::Hello(_)) => {
+                self.step(now, Event::Received { from, payload: body });
                 Ok(())
             }
-            _ => Err(Unfit::Stale),
+            _ => Err(FrameError::Stale),
         }
     }
 
@@ -581,7 +595,7 @@
         let Some(peer) = self.peers.get_mut(&who).filter(|p| p.over == Some(slot)) else { return };
         peer.over = None;
         tracing::warn!(peer = peer.name, "its link is gone, which proves nothing");
-        self.step(now, Event::Linked(who, false));
+        self.step(now, Event::LinkDown(who));
     }
 
     // ---- The log's file ------------------------------------------------------------------------------
@@ -599,7 +613,7 @@
                 Outcome::Done => {
                     self.pages.pop_front();
                     counters.fleet_pages += 1;
-                    self.step(now, Event::Written(number));
+                    self.step(now, Event::Persisted(number));
                 }
                 Outcome::NotDone(cause) | Outcome::Unknown(cause) => {
                     if self.write_again <= now {
@@ -632,13 +646,13 @@
     fn step(&mut self, now: Micros, event: Event) {
         self.stirred = true;
         let mut out = Vec::new();
-        self.consensus.step(now, event, &mut out);
+        self.consensus.on_event(now, event, &mut out);
         self.steps.extend(out);
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: Micros) {
-        let due: Vec<(Member, SocketAddr)> = self
+        let due: Vec<(NodeId, SocketAddr)> = self
             .unmade()
             .filter(|(_, p)| now >= p.again)
             .filter_map(|(n, p)| Some((n, p.address?)))
@@ -661,16 +675,16 @@
                 self.lost(now, slot);
             }
         }
-        if self.consensus.wake(now) <= now {
-            self.step(now, Event::Tick);
+        if self.consensus.next_timer(now) <= now {
+            self.step(now, Event::Timer);
         }
         self.write(now);
     }
 
     /// Nodes to which this one is to make a link: the lower number makes it.
-    fn unmade(&self) -> impl Iterator<Item = (Member, &Peer)> {
-        let made = |number: Member| self.channels.iter().flatten().any(|c| c.to == Some(number));
-        let mine = self.peers.range(self.stamp.me..).map(|(number, peer)| (*number, peer));
+    fn unmade(&self) -> impl Iterator<Item = (NodeId, &Peer)> {
+        let made = |number: NodeId| self.channels.iter().flatten().any(|c| c.to == Some(number));
+        let mine = self.peers.range(self.codec.node_id..).map(|(number, peer)| (*number, peer));
         // Who was told that it is out has nobody to speak to.
         let is_in = self.removed.is_none();
         mine.filter(move |(number, peer)| is_in && peer.address.is_some() && !made(*number))
@@ -680,23 +694,25 @@
     pub fn news(&mut self, now: Micros, counters: &mut Counters) -> Option<News> {
         while let Some(step) = self.steps.pop_front() {
             match step {
-                Step::Send(to, body) => self.send(to, body, counters),
-                Step::Write(number, page) => {
+                Command::Send { to, payload: body } => self.send(to, body, counters),
+                Command::Persist { sequence: number, record: page } => {
                     self.pages.push_back((number, page));
                     self.write(now);
                 }
-                Step::Check(asked, content, force) => return Some(News::Check(asked, content, force)),
-                Step::Agreed(version, _) => {
+                Command::Validate { validation, content, force } => {
+                    return Some(News::Check(validation, content, force));
+                }
+                Command::Committed { version, .. } => {
                     tracing::info!(version, "the fleet has agreed on a version");
                     self.meet(now);
                 }
-                Step::Answer(ticket, end) => return Some(News::Answer(ticket, end)),
+                Command::Answer { ticket, result: end } => return Some(News::Answer(ticket, end)),
             }
         }
         None
     }
 
-    fn send(&mut self, to: Member, body: Body, counters: &mut Counters) {
+    fn send(&mut self, to: NodeId, body: Payload, counters: &mut Counters) {
         let Some(slot) = self.peers.get(&to).and_then(|p| p.over) else { return };
         let Some(channel) = self.channels[slot].as_mut() else { return };
         let Some((_, life)) = channel.who else { return };
@@ -704,7 +720,7 @@
             counters.fellow_dropped += 1;
             return;
         }
-        channel.link.send(frame(&self.stamp.seal(body, life)));
+        channel.link.send(frame(&self.codec.encode(body, life)));
     }
 
     /// Ends a turn: writes what can be written.
@@ -732,7 +748,7 @@
         let links = links.map(|c| c.since.plus(GREETING));
         let again = self.unmade().map(|(_, peer)| peer.again);
         let write = (!self.flying && !self.pages.is_empty()).then_some(self.write_again);
-        let all = links.chain(again).chain(write).chain([self.consensus.wake(now)]);
+        let all = links.chain(again).chain(write).chain([self.consensus.next_timer(now)]);
         all.min().unwrap_or(now)
     }
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,8 +1,8 @@
 //! The sub-commands about what the fleet agrees on: each asks one node, at its second address.
 
 use crate::Failure;
-use gaugestand_cluster::diff::{self, Content, Kind};
-use gaugestand_cluster::wire::MOST_CONTENT;
+use gaugestand_cluster::diff::{self, Compatibility, Content};
+use gaugestand_cluster::wire::MAX_CONTENT_BYTES;
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -136,12 +136,12 @@
         Task::Show(version) => println!("{}", ask(at, &format!("SHOW {version}"))?),
         Task::Diff(a, b) => {
             let all = diff::differences(&content(at, *a)?, &content(at, *b)?);
-            let verdict = diff::verdict(&all);
+            let verdict = diff::overall(&all);
             if whom.json {
                 println!("{}", serde_json::json!({"verdict": verdict, "differences": all}));
                 return Ok(());
             }
-            all.iter().for_each(|d| println!("{}: {}", d.at, word(d.kind)));
+            all.iter().for_each(|d| println!("{}: {}", d.path, word(d.compatibility)));
             println!("together: {}", word(verdict));
         }
         Task::Propose { file, expect, force } => {
@@ -149,8 +149,8 @@
             let text = fs::read_to_string(file).map_err(|e| told(&e))?;
             let content: Content = serde_json::from_str(&text).map_err(|e| told(&e))?;
             let one_line = serde_json::to_string(&content).map_err(|e| told(&e))?;
-            if one_line.len() > MOST_CONTENT {
-                return Err(told(&format!("{} bytes, {MOST_CONTENT} at most", one_line.len())));
+            if one_line.len() > MAX_CONTENT_BYTES {
+                return Err(told(&format!("{} bytes, {MAX_CONTENT_BYTES} at most", one_line.len())));
             }
             let expect = expect.map_or("-".into(), |v| v.to_string());
             let force = if *force { "force" } else { "-" };
@@ -198,12 +198,12 @@
     Ok(if whom.json { text.to_string() } else { format!("version {} is agreed", json(text)?["version"]) })
 }
 
-fn word(kind: Kind) -> &'static str {
+fn word(kind: Compatibility) -> &'static str {
     match kind {
-        Kind::Harmless => "harmless",
-        Kind::OlderStricter => "the older one is stricter",
-        Kind::NewerStricter => "the newer one is stricter",
-        Kind::Contradicting => "they contradict each other",
+        Compatibility::Compatible => "harmless",
+        Compatibility::OlderStricter => "the older one is stricter",
+        Compatibility::NewerStricter => "the newer one is stricter",
+        Compatibility::Conflicting => "they contradict each other",
     }
 }
 
