--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! The command line of the booking node.
 #![deny(unsafe_code)]
 
-mod fleet;
+mod cluster_command;
 mod record;
 
 use bpaf::{OptionParser, Parser, construct, long, positional, pure};
@@ -32,7 +32,7 @@
     /// Look after a store of record.
     Record(Task, Which),
     /// What the fleet agrees on.
-    Fleet(fleet::Task, fleet::Whom),
+    Fleet(cluster_command::Task, cluster_command::Whom),
     /// Print the version.
     Version,
 }
@@ -114,45 +114,49 @@
             long("admin").help("A node's second address; else BALANCER_ADMIN_ADDR, else the configuration's");
         let admin = admin.argument("ADDRESS").optional();
         let json = long("json").help("Print JSON, for programs").switch();
-        construct!(fleet::Whom { admin, json })
+        construct!(cluster_command::Whom { admin, json })
     };
     let force = || long("force").help("Even if it starves a keyed class").switch();
     let number = |name: &'static str| positional::<u64>(name);
-    let command = |task: Box<dyn Parser<fleet::Task>>, descr: &'static str, name: &'static str| {
+    let command = |task: Box<dyn Parser<cluster_command::Task>>, descr: &'static str, name: &'static str| {
         let whom = whom();
         // What stands without a name goes last: help cannot be printed otherwise.
         let both = construct!(whom, task).map(|(whom, task)| Command::Fleet(task, whom));
         both.to_options().descr(descr).command(name)
     };
-    let status =
-        command(pure(fleet::Task::Status).boxed(), "How the fleet stands, as this node sees it", "status");
-    let history = command(pure(fleet::Task::History).boxed(), "Versions that are kept", "history");
-    let show = command(number("VERSION").map(fleet::Task::Show).boxed(), "A version's content", "show");
+    let status = command(
+        pure(cluster_command::Task::Status).boxed(),
+        "How the fleet stands, as this node sees it",
+        "status",
+    );
+    let history = command(pure(cluster_command::Task::History).boxed(), "Versions that are kept", "history");
+    let show =
+        command(number("VERSION").map(cluster_command::Task::Show).boxed(), "A version's content", "show");
     let diff = {
         let (a, b) = (number("A"), number("B"));
-        let task = construct!(fleet::Task::Diff(a, b)).boxed();
+        let task = construct!(cluster_command::Task::Diff(a, b)).boxed();
         command(task, "How two versions differ, and whether they contradict each other", "diff")
     };
     let propose = {
         let expect = long("expect").help("Only if this is the last version").argument("VERSION").optional();
         let (force, file) = (force(), positional("FILE").help("JSON with settings and lists"));
-        let task = construct!(fleet::Task::Propose { expect, force, file }).boxed();
+        let task = construct!(cluster_command::Task::Propose { expect, force, file }).boxed();
         command(task, "Make a file the next version", "propose")
     };
     let rollback = {
         let (force, version) = (force(), number("VERSION"));
-        let task = construct!(fleet::Task::Rollback { force, version }).boxed();
+        let task = construct!(cluster_command::Task::Rollback { force, version }).boxed();
         command(task, "Make an old content the next version", "rollback")
     };
     let join = {
         let member =
             positional::<String>("NAME=ADDRESS").help("The node, and where it listens for the others");
-        let task = construct!(fleet::Task::Join { member }).boxed();
+        let task = construct!(cluster_command::Task::Join { member }).boxed();
         command(task, "Let a node in: as a learner, then with a vote", "join")
     };
     let remove = {
         let (force, name) = (force(), positional::<String>("NAME").help("The node"));
-        let task = construct!(fleet::Task::Remove { force, name }).boxed();
+        let task = construct!(cluster_command::Task::Remove { force, name }).boxed();
         command(task, "Take a node out", "remove")
     };
     construct!([status, history, show, diff, propose, rollback, join, remove])
@@ -211,7 +215,7 @@
         }
         Command::CheckConfig { settings, json } => check(settings, json),
         Command::Record(task, which) => record::run(&task, which),
-        Command::Fleet(task, whom) => fleet::run(&task, &whom),
+        Command::Fleet(task, whom) => cluster_command::run(&task, &whom),
         Command::Serve { settings } => serve(settings),
     };
     let (problem, status) = match done {
