--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -135,7 +135,7 @@
     /// The settings of the node's own file, while a version has others.
     local: serde_json::Value,
     /// Ends of requests by class at two moments, for the present load.
-    pace: cluster::Pace,
+    pace: cluster::LoadSamples,
 }
 
 /// The earliest of these, or the longest wait. Nothing is looked at again at once: what is overdue then waits for
@@ -168,9 +168,14 @@
             + if key_table.is_durable() { idempotency_store::SOCKETS } else { 0 }
             + if config.admin.is_some() { admin::SOCKETS } else { 0 }
             + if config.operators.fleet.is_some() { peers::SOCKETS } else { 0 };
-        let keys = (PEER_LISTENER, CONSENSUS_LOG, FIRST_PEER);
+        let keys = peers::PollKeys {
+            listener: PEER_LISTENER,
+            log_writer: CONSENSUS_LOG,
+            first_connection: FIRST_PEER,
+        };
         let join = |fleet| Peers::start(&system, fleet, &config.name, config.seed, keys).map(Box::new);
-        let peers = config.operators.fleet.as_ref().map(join).transpose().map_err(NodeError::Fleet)?;
+        let peers = config.operators.fleet.as_ref().map(join).transpose();
+        let peers = peers.map_err(|error| NodeError::Fleet(error.to_string()))?;
         let admin = Admin::listen(&system, config.admin, ADMIN, FIRST_CALLER, peers.is_some())
             .map_err(io_error("listening at the second address"))?;
         let mut figures = Figures::default();
@@ -206,7 +211,7 @@
             last_looks: 0,
             peers,
             local: config.file["settings"].clone(),
-            pace: cluster::Pace::default(),
+            pace: cluster::LoadSamples::default(),
             config,
             system,
             table,
--- /dev/null
+++ b/crates/node/src/event_loop/cluster/class_load.rs
@@ -0,0 +1,70 @@
+//! The present load of each class, from counts of answered requests at two times.
+
+use super::super::{Node, System};
+use crate::request_metrics::Figures;
+use gaugestand_admission::time::Micros;
+use gaugestand_cluster::validation::ClassLoad;
+use std::collections::BTreeMap;
+
+/// From one sample to the next: long enough that a burst does not decide over a proposal, short against an operator's work.
+const SAMPLE_INTERVAL: Micros = Micros::millis(10_000);
+/// Shortest time, in seconds, that a rate is computed over: a shorter one would make a rate of a single request.
+const MIN_RATE_SECONDS: f64 = 1.0;
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// Answered requests by class, at one time.
+#[derive(Debug)]
+struct Sample {
+    at: Micros,
+    counts: BTreeMap<String, u64>,
+}
+
+/// The last two samples.
+#[derive(Debug, Default)]
+pub(in super::super) struct LoadSamples {
+    previous: Option<Sample>,
+    last: Option<Sample>,
+}
+
+impl LoadSamples {
+    /// Takes a sample if one is due.
+    fn sample(&mut self, now: Micros, counts: impl FnOnce() -> BTreeMap<String, u64>) {
+        if self.last.as_ref().is_none_or(|last| now.since(last.at) >= SAMPLE_INTERVAL) {
+            self.previous = self.last.replace(Sample { at: now, counts: counts() });
+        }
+    }
+
+    /// Requests per second of each class since the earlier sample.
+    fn load(&self, now: Micros, counts: &BTreeMap<String, u64>) -> Vec<ClassLoad> {
+        let Some(sample) = self.previous.as_ref().or(self.last.as_ref()) else { return Vec::new() };
+        let seconds = (now.since(sample.at).0 as f64 / MICROS_PER_SECOND).max(MIN_RATE_SECONDS);
+        let load = |(name, count): (&String, &u64)| {
+            let answered = count.saturating_sub(sample.counts.get(name).copied().unwrap_or(0));
+            ClassLoad { name: name.clone(), rate: answered as f64 / seconds }
+        };
+        counts.iter().map(load).collect()
+    }
+}
+
+/// Requests of each class that have been answered.
+fn answered(metrics: &Figures, classes: &[String]) -> BTreeMap<String, u64> {
+    let count = |name: &String| {
+        let ends = metrics.of(name);
+        (name.clone(), ends.success + ends.overload + ends.error)
+    };
+    classes.iter().map(count).collect()
+}
+
+impl<S: System> Node<S> {
+    /// Takes a sample of the load if one is due.
+    pub(super) fn sample_load(&mut self, now: Micros) {
+        let metrics = &self.figures;
+        let classes = &self.config.classes;
+        self.pace.sample(now, || answered(metrics, classes));
+    }
+
+    /// The present load of each class.
+    pub(super) fn class_load(&self, now: Micros) -> Vec<ClassLoad> {
+        self.pace.load(now, &answered(&self.figures, &self.config.classes))
+    }
+}
--- /dev/null
+++ b/crates/node/src/event_loop/cluster/settings.rs
@@ -0,0 +1,100 @@
+//! A version's settings: putting them into effect, validating proposed ones, and reload beside them.
+//!
+//! Settings of the cluster replace those of the node's own file, but for `extra`, which describes the node's machine and
+//! stays its own.
+
+use super::super::{Config, Node, System, config};
+use gaugestand_admission::{Class, Effect, Span};
+use gaugestand_cluster::diff::Content;
+use gaugestand_cluster::validation::{ClassSettings, KeyMemory, validate};
+use gaugestand_cluster::version_gate;
+use serde_json::Value;
+
+/// Share of the memory for requests that idempotency keys may take; the admission controller uses the same.
+const KEY_MEMORY_SHARE: f64 = 0.5;
+const NANOS_PER_SECOND: f64 = 1e9;
+
+/// The classes of a configuration, as a validation needs them.
+fn class_settings(config: &Config) -> Vec<ClassSettings> {
+    let seconds = |span: Span| span.0 as f64 / NANOS_PER_SECOND;
+    let settings = |(name, class): (&String, &Class)| ClassSettings {
+        name: name.clone(),
+        keyed: class.effect == Effect::Keyed,
+        dedup_window_s: seconds(class.dedup_window),
+        priority_weight: class.priority_weight,
+    };
+    config.classes.iter().zip(&config.settings.classes).map(settings).collect()
+}
+
+fn parse_content(bytes: &[u8]) -> Result<Content, String> {
+    serde_json::from_slice(bytes).map_err(|error| format!("its content cannot be read: {error}"))
+}
+
+/// The settings that are the cluster's: all but the node's own `extra`.
+fn shared_settings(settings: &Value) -> Value {
+    let mut shared = settings.clone();
+    if let Some(fields) = shared.as_object_mut() {
+        fields.remove("extra");
+    }
+    shared
+}
+
+impl<S: System> Node<S> {
+    /// Replaces the present settings by those of a version; on an error nothing has changed.
+    pub(super) fn put_into_effect(&mut self, bytes: Option<&[u8]>) -> Result<Option<Content>, String> {
+        let content = bytes.map(parse_content).transpose()?;
+        let settings = content.as_ref().map_or(&Value::Null, |content| &content.settings);
+        let new =
+            config::with_settings(&self.config, &self.local, settings).map_err(|error| error.to_string())?;
+        if new.file["settings"] != self.config.file["settings"] {
+            self.config = new;
+            self.take_settings();
+        }
+        Ok(content)
+    }
+
+    /// Whether this node could act on a proposed content, or why not, in words for the operator.
+    pub(super) fn validate_content(&mut self, bytes: &[u8], force: bool) -> Result<(), String> {
+        let content = parse_content(bytes)?;
+        let enabled = self.peers.as_ref().map(|peers| peers.enabled_lists()).unwrap_or_default();
+        if let Some(name) = version_gate::disabled_list(&content, enabled) {
+            return Err(format!(
+                "lists.{name}: fleet(lists = ...) of this node does not name lists of that form"
+            ));
+        }
+        let new = config::with_settings(&self.config, &self.local, &content.settings);
+        let new = new.map_err(|error| error.to_string())?;
+        config::follows(&self.config, &new).map_err(|error| error.to_string())?;
+        let load = self.class_load(self.clock.now());
+        let settings = &self.config.settings;
+        let memory =
+            KeyMemory { available_kb: KEY_MEMORY_SHARE * settings.memory_kb, entry_kb: settings.entry_kb };
+        match validate(&class_settings(&self.config), &class_settings(&new), &load, memory) {
+            Err(error) if error.can_be_forced() && force => Ok(()),
+            Err(error) if error.can_be_forced() => Err(format!("{error}; --force if that is meant")),
+            result => result.map_err(|error| error.to_string()),
+        }
+    }
+
+    /// The configuration, read again from its file. The settings of the cluster are not the file's to change.
+    pub(in super::super) fn read_configuration(&mut self) -> Result<Config, String> {
+        if self.peers.is_none() {
+            return config::reload(&self.config).map_err(|error| error.to_string());
+        }
+        let own = config::with_settings(&self.config, &self.local, &Value::Null)
+            .map_err(|error| error.to_string())?;
+        let new = config::reload(&own).map_err(|error| error.to_string())?;
+        let new_settings = &new.file["settings"];
+        let active = self.peers.as_ref().and_then(|peers| peers.settings()).cloned();
+        let Some(active) = active else {
+            self.local = new_settings.clone();
+            return Ok(new);
+        };
+        // A change of the rest would have no effect, and would look as if it had.
+        if shared_settings(new_settings) != shared_settings(&self.local) {
+            return Err("settings: are the fleet's; 'gaugestand fleet propose' changes them".into());
+        }
+        self.local = new_settings.clone();
+        config::with_settings(&new, &self.local, &active).map_err(|error| error.to_string())
+    }
+}
--- /dev/null
+++ b/crates/node/src/peers/links.rs
@@ -0,0 +1,310 @@
+//! Links to the other nodes: who connects to whom, who is let in, and what is done with their messages.
+//!
+//! Of two nodes the one with the lower number connects. Both say hello first; what comes before, or from a node that is no
+//! member, ends the connection and nothing else. The newest connection with a node counts.
+
+use super::connection::{Connection, Identified, Peer, first_message, frame};
+use super::{KEYS, MAX_INCOMING, MAX_OUTGOING, Peers};
+use crate::counters::Counters;
+use crate::io::link::{Change, Link};
+use crate::io::{Listener, Ready, System};
+use gaugestand_admission::time::Micros;
+use gaugestand_cluster::consensus::Event;
+use gaugestand_cluster::wire::{FrameError, Hello, Payload};
+use gaugestand_cluster::{NodeId, Version};
+use std::io;
+use std::net::SocketAddr;
+
+/// Bytes that may wait for one node; further messages are dropped. Some contents and a catch-up of the log fit in.
+const MAX_QUEUED_BYTES: usize = 2 << 20;
+/// From the end of a connection to the next attempt; up to half as much again is added at random, so that nodes that lost
+/// each other do not meet in step.
+const RECONNECT_DELAY: Micros = Micros::millis(100);
+/// Shortest time between two log lines about rejected messages: a stranger can send many.
+const WARNING_INTERVAL: Micros = Micros::millis(10_000);
+
+impl<S: System> Peers<S> {
+    /// Whether a poller key is that of one of its connections.
+    pub fn has_key(&self, key: usize) -> bool {
+        (self.first_key..self.first_key + KEYS).contains(&key)
+    }
+
+    // ---- Members -----------------------------------------------------------------------------------------
+
+    /// Takes over the committed membership. A node that has not joined yet keeps the nodes that it was configured with.
+    pub(super) fn update_peers(&mut self, now: Micros) {
+        let membership = self.consensus.membership().clone();
+        for member in membership.members().iter().filter(|member| member.id != self.codec.node_id) {
+            // Where a node reaches those of its configuration is its own matter.
+            let configured = self.configured.get(usize::from(member.id)).map(|(_, address)| *address);
+            let peer = self.peers.entry(member.id).or_insert_with(|| Peer::new(String::new()));
+            peer.name.clone_from(&member.name);
+            peer.address = Some(configured.unwrap_or(member.address));
+        }
+        let removed = self.peers.keys().copied().filter(|id| membership.was_removed(*id));
+        let removed: Vec<NodeId> = removed.collect();
+        for id in removed {
+            self.disconnect_removed(now, id);
+            self.peers.remove(&id);
+        }
+    }
+
+    fn disconnect_removed(&mut self, now: Micros, id: NodeId) {
+        for index in 0..KEYS {
+            let Some(connection) = self.connections[index].as_mut() else { continue };
+            if connection.belongs_to(id) {
+                // What it has not read yet tells it of its removal; else it learns that when it connects again.
+                let _ = connection.link.flush(now);
+                self.disconnect(now, index);
+            }
+        }
+    }
+
+    /// Whether a node may talk to this one.
+    fn check_member(&self, from: NodeId, incarnation: u64) -> Result<(), FrameError> {
+        let membership = self.consensus.membership();
+        if membership.was_removed(from) {
+            return Err(FrameError::RemovedSender { node: from, incarnation });
+        }
+        // A node that has not joined yet does not know all members.
+        let has_joined = membership.get(self.codec.node_id).is_some();
+        if has_joined && membership.get(from).is_none() {
+            return Err(FrameError::UnknownSender(u32::from(from)));
+        }
+        Ok(())
+    }
+
+    // ---- Connecting --------------------------------------------------------------------------------------
+
+    /// Nodes that this one has to connect to: those with a higher number and no connection yet.
+    fn unconnected(&self) -> impl Iterator<Item = (NodeId, &Peer)> {
+        let is_connecting =
+            |id: NodeId| self.connections.iter().flatten().any(|connection| connection.target == Some(id));
+        let higher = self.peers.range(self.codec.node_id..).map(|(id, peer)| (*id, peer));
+        // After its removal this node has nobody to talk to.
+        let is_member = self.removed_by.is_none();
+        higher.filter(move |(id, peer)| is_member && peer.address.is_some() && !is_connecting(*id))
+    }
+
+    pub(super) fn connect_due(&mut self, now: Micros) {
+        let due = self.unconnected().filter(|(_, peer)| now >= peer.reconnect_at);
+        let due: Vec<(NodeId, SocketAddr)> = due.filter_map(|(id, peer)| Some((id, peer.address?))).collect();
+        for (id, address) in due {
+            let Some(index) = (0..MAX_OUTGOING).find(|index| self.connections[*index].is_none()) else {
+                break;
+            };
+            let link = Link::new(address, self.first_key + index, &self.system);
+            let connection = self.connections[index].insert(Connection::new(link, now, Some(id)));
+            if connection.link.connect(now).is_some() {
+                self.disconnect(now, index);
+            }
+        }
+    }
+
+    /// Accepts connections that wait.
+    pub fn accept(&mut self, now: Micros) {
+        self.has_work = true;
+        for _ in 0..MAX_INCOMING {
+            let Some(index) = self.index_for_incoming() else { return };
+            self.connections[index] = None;
+            let key = self.first_key + index;
+            match self.listener.accept(key) {
+                Ok(stream) => {
+                    let link = Link::accepted(stream, self.own_address, key, &self.system);
+                    self.connections[index] = Some(Connection::new(link, now, None));
+                    self.send_hello(index);
+                }
+                Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
+                Err(_) => return,
+            }
+        }
+    }
+
+    /// A free place for a connection that comes in, or that of the one which has not identified itself for longest.
+    fn index_for_incoming(&self) -> Option<usize> {
+        let incoming = MAX_OUTGOING..KEYS;
+        let free = incoming.clone().find(|index| self.connections[*index].is_none());
+        free.or_else(|| {
+            let connections = incoming.filter_map(|index| Some((index, self.connections[index].as_ref()?)));
+            let unidentified = connections.filter(|(_, connection)| connection.identified.is_none());
+            unidentified.min_by_key(|(_, connection)| connection.opened_at).map(|(index, _)| index)
+        })
+    }
+
+    fn send_hello(&mut self, index: usize) {
+        let hello = self.codec.hello(env!("CARGO_PKG_VERSION"));
+        if let Some(connection) = self.connections[index].as_mut().filter(|connection| !connection.hello_sent)
+        {
+            connection.hello_sent = true;
+            connection.link.send(frame(&hello));
+        }
+    }
+
+    /// Closes connections that have not identified themselves in time, or were not made in time.
+    pub(super) fn close_timed_out(&mut self, now: Micros) {
+        for index in 0..KEYS {
+            let Some(connection) = self.connections[index].as_mut() else { continue };
+            let is_late = connection.identification_deadline().is_some_and(|deadline| now >= deadline);
+            if is_late || connection.link.tick(now).is_some() {
+                self.disconnect(now, index);
+            }
+        }
+    }
+
+    pub(super) fn identification_deadlines(&self) -> impl Iterator<Item = Micros> {
+        self.connections.iter().flatten().filter_map(Connection::identification_deadline)
+    }
+
+    pub(super) fn reconnect_times(&self) -> impl Iterator<Item = Micros> {
+        self.unconnected().map(|(_, peer)| peer.reconnect_at)
+    }
+
+    /// Drops a connection. That proves nothing about its node: it may run, and hear others.
+    fn disconnect(&mut self, now: Micros, index: usize) {
+        let Some(connection) = self.connections[index].take() else { return };
+        let jitter = Micros(self.rng.u64(..RECONNECT_DELAY.0 / 2));
+        if let Some(peer) = connection.target.and_then(|target| self.peers.get_mut(&target)) {
+            peer.reconnect_at = now.plus(RECONNECT_DELAY).plus(jitter);
+        }
+        let Some(Identified { node, .. }) = connection.identified else { return };
+        let peer = self.peers.get_mut(&node).filter(|peer| peer.connection == Some(index));
+        let Some(peer) = peer else { return };
+        peer.connection = None;
+        tracing::warn!(peer = peer.name, "its link is gone, which proves nothing");
+        self.step(now, Event::LinkDown(node));
+    }
+
+    // ---- Messages ----------------------------------------------------------------------------------------
+
+    /// The poller reports one of its connections.
+    pub fn ready(&mut self, now: Micros, event: Ready, counters: &mut Counters) {
+        let index = event.key.checked_sub(self.first_key).filter(|index| *index < KEYS);
+        let Some(index) = index else { return };
+        self.has_work = true;
+        let Some(connection) = self.connections[index].as_mut() else { return };
+        match connection.link.ready(now, event.readable, event.writable) {
+            Some(Change::Up) => {
+                connection.opened_at = now;
+                self.send_hello(index);
+            }
+            Some(Change::Broken | Change::Unreachable) => return self.disconnect(now, index),
+            None => {}
+        }
+        self.read_messages(now, index, counters);
+    }
+
+    fn read_messages(&mut self, now: Micros, index: usize, counters: &mut Counters) {
+        while let Some(connection) = self.connections[index].as_mut() {
+            let received = match first_message(connection.link.input()) {
+                Ok(None) => return,
+                Ok(Some((length, message))) => {
+                    self.codec.decode(message).map(|(from, payload)| (length, from, payload))
+                }
+                Err(error) => Err(error),
+            };
+            let handled = received.and_then(|(length, from, payload)| {
+                self.on_message(now, index, from, payload).map(|()| length)
+            });
+            match handled {
+                Ok(length) => {
+                    counters.fellow_messages += 1;
+                    if let Some(connection) = self.connections[index].as_mut() {
+                        connection.link.consume(length);
+                    }
+                }
+                Err(error) => {
+                    counters.fellow_unfit += 1;
+                    return self.reject(now, index, &error);
+                }
+            }
+        }
+    }
+
+    /// Ends a connection for a message that is not accepted.
+    fn reject(&mut self, now: Micros, index: usize, error: &FrameError) {
+        if let FrameError::RemovedSender { incarnation, .. } = error
+            && let Some(connection) = self.connections[index].as_mut()
+        {
+            let removed = Payload::Removed(self.consensus.last_committed());
+            connection.link.send(frame(&self.codec.encode(removed, *incarnation)));
+            let _ = connection.link.flush(now);
+        }
+        if self.last_warning.is_none_or(|last| now.since(last) >= WARNING_INTERVAL) {
+            self.last_warning = Some(now);
+            tracing::warn!(problem = %error, "a link of the fleet is ended");
+        }
+        self.disconnect(now, index);
+    }
+
+    fn on_message(
+        &mut self,
+        now: Micros,
+        index: usize,
+        from: NodeId,
+        payload: Payload,
+    ) -> Result<(), FrameError> {
+        if let Payload::Hello(hello) = &payload {
+            self.check_member(from, hello.incarnation)?;
+        }
+        let Some(connection) = self.connections[index].as_mut() else { return Ok(()) };
+        match (connection.identified, payload) {
+            (_, Payload::Removed(version)) => {
+                self.on_removed(version);
+                Err(FrameError::Stale)
+            }
+            (None, Payload::Hello(hello)) => self.on_hello(now, index, from, &hello),
+            (Some(Identified { node, .. }), payload)
+                if node == from && !matches!(payload, Payload::Hello(_)) =>
+            {
+                self.step(now, Event::Received { from, payload });
+                Ok(())
+            }
+            _ => Err(FrameError::Stale),
+        }
+    }
+
+    fn on_removed(&mut self, version: Version) {
+        if self.removed_by.replace(version).is_none() {
+            tracing::error!(version, "this node is in the fleet no more; stop it, or let it join anew");
+        }
+    }
+
+    fn on_hello(&mut self, now: Micros, index: usize, from: NodeId, hello: &Hello) -> Result<(), FrameError> {
+        let Some(connection) = self.connections[index].as_mut() else { return Ok(()) };
+        // A connection that this node made leads to one node only.
+        if connection.target.is_some_and(|target| target != from) {
+            return Err(FrameError::UnknownSender(u32::from(from)));
+        }
+        connection.identified = Some(Identified { node: from, incarnation: hello.incarnation });
+        let peer = self.peers.entry(from).or_insert_with(|| Peer::new(format!("node {from}")));
+        // The newest connection counts: an older one may be half-open.
+        let replaced = peer.connection.replace(index);
+        tracing::info!(peer = peer.name, "linked");
+        if let Some(replaced) = replaced.filter(|replaced| *replaced != index) {
+            self.connections[replaced] = None;
+        }
+        self.step(now, Event::LinkUp(from));
+        Ok(())
+    }
+
+    /// Sends a message, or drops it: without a connection, or if too much waits on it.
+    pub(super) fn send(&mut self, to: NodeId, payload: Payload, counters: &mut Counters) {
+        let Some(index) = self.peers.get(&to).and_then(|peer| peer.connection) else { return };
+        let Some(connection) = self.connections[index].as_mut() else { return };
+        let Some(Identified { incarnation, .. }) = connection.identified else { return };
+        if connection.link.waiting() > MAX_QUEUED_BYTES {
+            counters.fellow_dropped += 1;
+            return;
+        }
+        connection.link.send(frame(&self.codec.encode(payload, incarnation)));
+    }
+
+    pub(super) fn flush_connections(&mut self, now: Micros) {
+        for index in 0..KEYS {
+            let Some(connection) = self.connections[index].as_mut() else { continue };
+            if connection.link.flush(now).is_some() {
+                self.disconnect(now, index);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/peers/open_attempts.rs
@@ -0,0 +1,78 @@
+//! Attempts that this node has open: by gateway for its limits, by version for operators.
+
+use super::Peers;
+use crate::io::System;
+use gaugestand_admission::RequestId;
+use gaugestand_admission::time::Micros;
+use gaugestand_cluster::Version;
+use std::collections::BTreeMap;
+
+/// An open attempt.
+#[derive(Clone, Copy, Debug)]
+struct OpenAttempt {
+    /// The version in effect when it came.
+    version: Version,
+    gateway: u64,
+    since: Micros,
+}
+
+/// All open attempts.
+#[derive(Debug, Default)]
+pub(super) struct OpenAttempts {
+    by_id: BTreeMap<RequestId, OpenAttempt>,
+    by_gateway: BTreeMap<u64, usize>,
+}
+
+/// Open attempts that came under one version.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct OpenUnderVersion {
+    pub count: usize,
+    pub oldest_ms: u64,
+}
+
+impl OpenAttempts {
+    fn start(&mut self, now: Micros, id: RequestId, gateway: u64, version: Version) {
+        let attempt = OpenAttempt { version, gateway, since: now };
+        if self.by_id.insert(id, attempt).is_none() {
+            *self.by_gateway.entry(gateway).or_default() += 1;
+        }
+    }
+
+    fn finish(&mut self, id: RequestId) {
+        let Some(attempt) = self.by_id.remove(&id) else { return };
+        if let Some(count) = self.by_gateway.get_mut(&attempt.gateway) {
+            *count -= 1;
+            if *count == 0 {
+                self.by_gateway.remove(&attempt.gateway);
+            }
+        }
+    }
+
+    /// How many attempts of this gateway are open.
+    pub fn of_gateway(&self, gateway: u64) -> usize {
+        self.by_gateway.get(&gateway).copied().unwrap_or(0)
+    }
+
+    pub fn by_version(&self, now: Micros) -> BTreeMap<Version, OpenUnderVersion> {
+        let mut versions: BTreeMap<Version, OpenUnderVersion> = BTreeMap::new();
+        for attempt in self.by_id.values() {
+            let open = versions.entry(attempt.version).or_default();
+            open.count += 1;
+            open.oldest_ms = open.oldest_ms.max(now.since(attempt.since).0 / 1_000);
+        }
+        versions
+    }
+}
+
+impl<S: System> Peers<S> {
+    /// An attempt came in.
+    pub fn taken(&mut self, now: Micros, id: RequestId, gateway: u64) {
+        let version = self.applied.version.unwrap_or(0);
+        self.attempts.start(now, id, gateway, version);
+    }
+
+    /// Nothing of an attempt is left.
+    pub fn forget(&mut self, id: RequestId) {
+        self.attempts.finish(id);
+    }
+}
