--- a/src/cluster_command.rs
+++ b/src/cluster_command.rs
@@ -1,32 +1,43 @@
-//! The sub-commands about what the fleet agrees on: each asks one node, at its second address.
+//! The sub-command `gaugestand fleet`: operators look at and change what the cluster has committed.
+//!
+//! Each task is one or a few calls to one node, at its second address; that node forwards a proposal to the leader. A task
+//! changes nothing on its own: if a call fails for want of an answer, it may be done yet, and the message says so.
+
+mod admin_client;
+mod report;
 
 use crate::Failure;
-use gaugestand_cluster::diff::{self, Compatibility, Content};
+use admin_client::AdminClient;
+use gaugestand_cluster::diff::{self, Content};
 use gaugestand_cluster::wire::MAX_CONTENT_BYTES;
-use serde_json::Value;
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream};
-use std::path::PathBuf;
-use std::time::Duration;
-use std::{env, fs};
-
-/// A node answers within this, however long others take.
-const PATIENCE: Duration = Duration::from_secs(8);
-/// Longest answer: a version, or a long history.
-const MOST_ANSWER: u64 = 4 << 20;
+use serde_json::{Value, json};
+use std::fs;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::{Duration, Instant};
+
+/// How long a node that was asked may lag behind the leader after a join; far longer than a link to it takes.
+const MEMBERSHIP_TIMEOUT: Duration = Duration::from_secs(8);
+/// From one look at the membership to the next.
+const MEMBERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What is to be done.
 #[derive(Clone, Debug)]
 pub enum Task {
-    /// How the fleet stands, as this node sees it.
+    /// Print the state of the cluster, as the node sees it.
     Status,
-    /// Versions that are kept.
+    /// Print which versions are kept.
     History,
-    /// One version's content.
+    /// Print one version's content.
     Show(u64),
-    /// How two versions differ, and what that means.
-    Diff(u64, u64),
-    /// Make this file the next version.
+    /// Print how two versions differ, and what that means.
+    Diff {
+        /// The older version.
+        old: u64,
+        /// The newer version.
+        new: u64,
+    },
+    /// Propose a file as the next version.
     Propose {
         /// Its content: JSON with `settings` and `lists`.
         file: PathBuf,
@@ -35,19 +46,19 @@
         /// Even if it starves a keyed class.
         force: bool,
     },
-    /// Let a node in.
+    /// Let a node join.
     Join {
         /// Its name and address, as in `n4=10.0.0.4:7000`.
         member: String,
     },
-    /// Take a node out.
+    /// Remove a node.
     Remove {
         /// Its name.
         name: String,
         /// Even if the rest could not outlast its next loss.
         force: bool,
     },
-    /// Make an old content the next version.
+    /// Propose the content of an earlier version as the next one.
     Rollback {
         /// Which.
         version: u64,
@@ -56,200 +67,167 @@
     },
 }
 
-/// Whom to ask, and how to print.
+/// Which node to ask, and how to print.
 #[derive(Clone, Debug)]
-pub struct Whom {
-    /// A node's second address; else BALANCER_ADMIN_ADDR, else the configuration's.
+pub struct Target {
+    /// The node's second address; else BALANCER_ADMIN_ADDR, else the configuration's.
     pub admin: Option<SocketAddr>,
-    /// For programs.
+    /// Print JSON, for programs.
     pub json: bool,
 }
 
-fn failed(why: impl std::fmt::Display) -> Failure {
-    Failure::Start(why.to_string())
+/// Why a task failed.
+#[derive(Debug, thiserror::Error)]
+enum ClusterCommandError {
+    #[error("give --admin ADDRESS, a node's second address")]
+    NoAddress,
+    #[error("{0}: is not an address and a port")]
+    InvalidAddress(String),
+    #[error("{address}: {error}; is the node up, and its second address on?")]
+    Connection { address: SocketAddr, error: std::io::Error },
+    #[error("{0}: no answer in time; it may be done yet: see 'gaugestand fleet status'")]
+    NoAnswer(SocketAddr),
+    /// The node's own words.
+    #[error("{0}")]
+    Rejected(String),
+    #[error("the answer cannot be read: {0}")]
+    MalformedAnswer(serde_json::Error),
+    #[error("version {version} cannot be read: {error}")]
+    MalformedVersion { version: u64, error: serde_json::Error },
+    #[error("{}: {error}", file.display())]
+    ContentFile { file: PathBuf, error: ContentFileError },
 }
 
-fn address(whom: &Whom) -> Result<SocketAddr, Failure> {
-    if let Some(admin) = whom.admin {
-        return Ok(admin);
-    }
-    let told = env::var("BALANCER_ADMIN_ADDR").ok().or_else(|| {
-        let text = fs::read_to_string(env::var("BALANCER_CONFIG").ok()?).ok()?;
-        serde_json::from_str::<Value>(&text).ok()?["admin_addr"].as_str().map(String::from)
-    });
-    let told = told.ok_or_else(|| failed("give --admin ADDRESS, a node's second address"))?;
-    told.parse().map_err(|_| failed(format!("{told}: is not an address and a port")))
+/// What is wrong with a file that is to be proposed.
+#[derive(Debug, thiserror::Error)]
+enum ContentFileError {
+    #[error(transparent)]
+    Read(#[from] std::io::Error),
+    #[error(transparent)]
+    Malformed(#[from] serde_json::Error),
+    #[error("{0} bytes, {max} at most", max = MAX_CONTENT_BYTES)]
+    TooLong(usize),
 }
 
-/// Asks a node; what it answers after `done`.
-fn ask(at: SocketAddr, call: &str) -> Result<String, Failure> {
-    let talk = || {
-        let mut stream = TcpStream::connect_timeout(&at, PATIENCE)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
-        stream.write_all(format!("FLEET {call}\n").as_bytes())?;
-        let mut answer = String::new();
-        stream.take(MOST_ANSWER).read_to_string(&mut answer)?;
-        Ok::<_, std::io::Error>(answer)
-    };
-    let answer =
-        talk().map_err(|e| failed(format!("{at}: {e}; is the node up, and its second address on?")))?;
-    match (answer.strip_prefix("done "), answer.strip_prefix("error ")) {
-        (Some(done), _) => Ok(done.trim_end().to_string()),
-        (None, Some(why)) => Err(failed(why.trim_end())),
-        (None, None) => {
-            Err(failed(format!("{at}: no answer in time; it may be done yet: see 'gaugestand fleet status'")))
-        }
+impl From<ClusterCommandError> for Failure {
+    fn from(error: ClusterCommandError) -> Self {
+        Failure::Start(error.to_string())
     }
 }
 
-fn json(text: &str) -> Result<Value, Failure> {
-    serde_json::from_str(text).map_err(|e| failed(format!("the answer cannot be read: {e}")))
+/// Carries out a task, and prints what came of it.
+pub fn run(task: &Task, target: &Target) -> Result<(), Failure> {
+    Ok(carry_out(task, target)?)
 }
 
-fn content(at: SocketAddr, version: u64) -> Result<Content, Failure> {
-    let text = ask(at, &format!("SHOW {version}"))?;
-    serde_json::from_str(&text).map_err(|e| failed(format!("version {version} cannot be read: {e}")))
-}
-
-/// Does it.
-pub fn run(task: &Task, whom: &Whom) -> Result<(), Failure> {
-    let at = address(whom)?;
+fn carry_out(task: &Task, target: &Target) -> Result<(), ClusterCommandError> {
+    let client = AdminClient::new(target.admin)?;
     match task {
         Task::Status => {
-            let text = ask(at, "STATUS")?;
-            if whom.json {
-                println!("{text}");
+            let status = client.call("STATUS")?;
+            if target.json {
+                println!("{status}");
             } else {
-                print!("{}", status(&json(&text)?));
+                print!("{}", report::status(&parse(&status)?));
             }
         }
         Task::History => {
-            let text = ask(at, "HISTORY")?;
-            if whom.json {
-                println!("{text}");
-                return Ok(());
-            }
-            for version in json(&text)?.as_array().into_iter().flatten() {
-                println!("{}  {} bytes", version["version"], version["bytes"]);
-            }
-        }
-        Task::Show(version) => println!("{}", ask(at, &format!("SHOW {version}"))?),
-        Task::Diff(a, b) => {
-            let all = diff::differences(&content(at, *a)?, &content(at, *b)?);
-            let verdict = diff::overall(&all);
-            if whom.json {
-                println!("{}", serde_json::json!({"verdict": verdict, "differences": all}));
-                return Ok(());
+            let history = client.call("HISTORY")?;
+            if target.json {
+                println!("{history}");
+            } else {
+                print!("{}", report::history(&parse(&history)?));
             }
-            all.iter().for_each(|d| println!("{}: {}", d.path, word(d.compatibility)));
-            println!("together: {}", word(verdict));
         }
+        Task::Show(version) => println!("{}", client.call(&format!("SHOW {version}"))?),
+        Task::Diff { old, new } => print_diff(&client, target, *old, *new)?,
         Task::Propose { file, expect, force } => {
-            let told = |why: &dyn std::fmt::Display| failed(format!("{}: {why}", file.display()));
-            let text = fs::read_to_string(file).map_err(|e| told(&e))?;
-            let content: Content = serde_json::from_str(&text).map_err(|e| told(&e))?;
-            let one_line = serde_json::to_string(&content).map_err(|e| told(&e))?;
-            if one_line.len() > MAX_CONTENT_BYTES {
-                return Err(told(&format!("{} bytes, {MAX_CONTENT_BYTES} at most", one_line.len())));
-            }
-            let expect = expect.map_or("-".into(), |v| v.to_string());
+            let content = read_content(file)
+                .map_err(|error| ClusterCommandError::ContentFile { file: file.clone(), error })?;
+            let expected = expect.map_or("-".to_string(), |version| version.to_string());
             let force = if *force { "force" } else { "-" };
-            println!("{}", agreed(whom, &ask(at, &format!("PROPOSE {expect} {force} {one_line}"))?)?);
+            print_committed(target, &client.call(&format!("PROPOSE {expected} {force} {content}"))?)?;
         }
         Task::Join { member } => {
-            let text = ask(at, &format!("JOIN {member}"))?;
-            println!("{}", agreed(whom, &text)?);
-            let name = member.split('=').next().unwrap_or_default();
-            if !whom.json {
-                println!("{}", joined(at, name, json(&text)?["version"].as_u64())?);
+            let answer = client.call(&format!("JOIN {member}"))?;
+            print_committed(target, &answer)?;
+            if !target.json {
+                let name = member.split('=').next().unwrap_or_default();
+                println!("{}", how_to_start(&client, name, parse(&answer)?["version"].as_u64())?);
             }
         }
         Task::Remove { name, force } => {
             let force = if *force { " force" } else { "" };
-            println!("{}", agreed(whom, &ask(at, &format!("REMOVE {name}{force}"))?)?);
+            print_committed(target, &client.call(&format!("REMOVE {name}{force}"))?)?;
         }
         Task::Rollback { version, force } => {
             let force = if *force { " force" } else { "" };
-            println!("{}", agreed(whom, &ask(at, &format!("ROLLBACK {version}{force}"))?)?);
+            print_committed(target, &client.call(&format!("ROLLBACK {version}{force}"))?)?;
         }
     }
     Ok(())
 }
 
-/// What to do with a node that was let in: the one that is asked may hear of it a moment after the one that led.
-fn joined(at: SocketAddr, name: &str, version: Option<u64>) -> Result<String, Failure> {
-    let mut status = json(&ask(at, "STATUS")?)?;
-    let began = std::time::Instant::now();
-    while status["last"].as_u64() < version && began.elapsed() < PATIENCE {
-        std::thread::sleep(Duration::from_millis(20));
-        status = json(&ask(at, "STATUS")?)?;
-    }
-    let members = status["members"].as_array().into_iter().flatten();
-    let number = members.into_iter().find(|m| m["name"] == name).map(|m| m["number"].clone());
-    Ok(match number {
-        Some(number) => format!(
-            "{name} is node {number}: start it with the fleet(...) of the others, and number = {number} and its own listen and path"
-        ),
-        None => format!("{name}: see its number with 'gaugestand fleet status'"),
-    })
+fn parse(answer: &str) -> Result<Value, ClusterCommandError> {
+    serde_json::from_str(answer).map_err(ClusterCommandError::MalformedAnswer)
 }
 
-fn agreed(whom: &Whom, text: &str) -> Result<String, Failure> {
-    Ok(if whom.json { text.to_string() } else { format!("version {} is agreed", json(text)?["version"]) })
+fn print_committed(target: &Target, answer: &str) -> Result<(), ClusterCommandError> {
+    if target.json {
+        println!("{answer}");
+    } else {
+        println!("version {} is agreed", parse(answer)?["version"]);
+    }
+    Ok(())
 }
 
-fn word(kind: Compatibility) -> &'static str {
-    match kind {
-        Compatibility::Compatible => "harmless",
-        Compatibility::OlderStricter => "the older one is stricter",
-        Compatibility::NewerStricter => "the newer one is stricter",
-        Compatibility::Conflicting => "they contradict each other",
+fn print_diff(client: &AdminClient, target: &Target, old: u64, new: u64) -> Result<(), ClusterCommandError> {
+    let old = fetch_content(client, old)?;
+    let new = fetch_content(client, new)?;
+    let differences = diff::differences(&old, &new);
+    let overall = diff::overall(&differences);
+    if target.json {
+        println!("{}", json!({"verdict": overall, "differences": differences}));
+    } else {
+        print!("{}", report::differences(&differences, overall));
     }
+    Ok(())
 }
 
-/// A node's view in words.
-fn status(s: &Value) -> String {
-    let text = |v: &Value| v.as_str().unwrap_or("nobody").to_string();
-    let mut out =
-        format!("fleet {}, led by {} (term {})\n", text(&s["fleet"]), text(&s["leader"]), s["term"]);
-    out += &format!(
-        "heard: {} of {}, majority {}\n",
-        s["heard"],
-        s["members"].as_array().map_or(0, Vec::len),
-        s["majority"]
-    );
-    for member in s["members"].as_array().into_iter().flatten() {
-        let votes = if member["votes"] == false { ", has no vote yet" } else { "" };
-        let how = match (member["me"].as_bool(), member["heard"].as_bool()) {
-            (Some(true), _) => "this node",
-            (_, Some(true)) => "heard",
-            _ => "not heard",
-        };
-        out += &format!("  {} {} {how}{votes}\n", text(&member["name"]), text(&member["address"]));
-    }
-    if let Some(version) = s["removed"].as_u64() {
-        out += &format!("this node is in the fleet no more, by version {version} at the latest\n");
-    } else if s["in_fleet"] == false {
-        out += "this node has not been let in: 'gaugestand fleet join' at one that is\n";
-    }
-    let acts = match (s["in_effect"].as_u64(), s["acts"].as_bool()) {
-        (None, _) => "has had none since its start: keyed requests are refused".to_string(),
-        (Some(0), Some(true)) => "there is none yet: each node's own file".to_string(),
-        (Some(v), Some(true)) => format!("{v}, for {} ms unless renewed", s["lease_ms"]),
-        (Some(v), _) => format!("{v}, without a lease: what a newer one may contradict is refused"),
-    };
-    out += &format!("version in effect: {acts}\nlast agreed: {}\n", s["last"]);
-    if let Some(bad) = s["unusable"].as_object() {
-        out += &format!("version {} cannot be acted on here: {}\n", bad["version"], text(&bad["why"]));
-    }
-    if s["unwritten"].as_u64().is_some_and(|n| n > 0) {
-        out += &format!("{} pages of the agreed log wait to be written\n", s["unwritten"]);
+fn fetch_content(client: &AdminClient, version: u64) -> Result<Content, ClusterCommandError> {
+    let content = client.call(&format!("SHOW {version}"))?;
+    serde_json::from_str(&content).map_err(|error| ClusterCommandError::MalformedVersion { version, error })
+}
+
+/// The content of a file in one line, as a call takes it.
+fn read_content(file: &Path) -> Result<String, ContentFileError> {
+    let text = fs::read_to_string(file)?;
+    let content: Content = serde_json::from_str(&text)?;
+    let line = serde_json::to_string(&content)?;
+    if line.len() > MAX_CONTENT_BYTES {
+        return Err(ContentFileError::TooLong(line.len()));
     }
-    for open in s["open"].as_array().into_iter().flatten() {
-        out += &format!(
-            "open under {}: {}, the oldest for {} ms\n",
-            open["version"], open["open"], open["oldest_ms"]
-        );
+    Ok(line)
+}
+
+/// How to start a node that was let in. The node that is asked may learn of the new membership after the leader.
+fn how_to_start(
+    client: &AdminClient,
+    name: &str,
+    version: Option<u64>,
+) -> Result<String, ClusterCommandError> {
+    let mut status = parse(&client.call("STATUS")?)?;
+    let started = Instant::now();
+    while status["last"].as_u64() < version && started.elapsed() < MEMBERSHIP_TIMEOUT {
+        std::thread::sleep(MEMBERSHIP_POLL_INTERVAL);
+        status = parse(&client.call("STATUS")?)?;
     }
-    out
+    let mut members = status["members"].as_array().into_iter().flatten();
+    let number = members.find(|member| member["name"] == name).map(|member| &member["number"]);
+    Ok(match number {
+        Some(number) => format!(
+            "{name} is node {number}: start it with the fleet(...) of the others, and number = {number} and its own listen and path"
+        ),
+        None => format!("{name}: see its number with 'gaugestand fleet status'"),
+    })
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -31,8 +31,8 @@
     },
     /// Look after a store of record.
     Record(Task, Which),
-    /// What the fleet agrees on.
-    Fleet(cluster_command::Task, cluster_command::Whom),
+    /// Look at and change what the cluster has committed.
+    Cluster(cluster_command::Task, cluster_command::Target),
     /// Print the version.
     Version,
 }
@@ -101,27 +101,27 @@
         .to_options()
         .descr("Look after a store of record, beside a running node where it only reads")
         .command("record");
-    let fleet = fleet_commands();
+    let fleet = cluster_commands();
     let version = pure(Command::Version).to_options().descr("Print the version").command("version");
     construct!([serve, check, record, fleet, version])
         .to_options()
         .descr("A booking node: FastCGI requests in, admission decided, work done by the kernel")
 }
 
-fn fleet_commands() -> impl Parser<Command> {
-    let whom = || {
+fn cluster_commands() -> impl Parser<Command> {
+    let target = || {
         let admin =
             long("admin").help("A node's second address; else BALANCER_ADMIN_ADDR, else the configuration's");
         let admin = admin.argument("ADDRESS").optional();
         let json = long("json").help("Print JSON, for programs").switch();
-        construct!(cluster_command::Whom { admin, json })
+        construct!(cluster_command::Target { admin, json })
     };
     let force = || long("force").help("Even if it starves a keyed class").switch();
     let number = |name: &'static str| positional::<u64>(name);
     let command = |task: Box<dyn Parser<cluster_command::Task>>, descr: &'static str, name: &'static str| {
-        let whom = whom();
+        let target = target();
         // What stands without a name goes last: help cannot be printed otherwise.
-        let both = construct!(whom, task).map(|(whom, task)| Command::Fleet(task, whom));
+        let both = construct!(target, task).map(|(target, task)| Command::Cluster(task, target));
         both.to_options().descr(descr).command(name)
     };
     let status = command(
@@ -133,8 +133,9 @@
     let show =
         command(number("VERSION").map(cluster_command::Task::Show).boxed(), "A version's content", "show");
     let diff = {
-        let (a, b) = (number("A"), number("B"));
-        let task = construct!(cluster_command::Task::Diff(a, b)).boxed();
+        let old = number("A");
+        let new = number("B");
+        let task = construct!(cluster_command::Task::Diff { old, new }).boxed();
         command(task, "How two versions differ, and whether they contradict each other", "diff")
     };
     let propose = {
@@ -215,7 +216,7 @@
         }
         Command::CheckConfig { settings, json } => check(settings, json),
         Command::Record(task, which) => record::run(&task, which),
-        Command::Fleet(task, whom) => cluster_command::run(&task, &whom),
+        Command::Cluster(task, target) => cluster_command::run(&task, &target),
         Command::Serve { settings } => serve(settings),
     };
     let (problem, status) = match done {
