--- a/crates/simulation/src/fakes/gateway.rs
+++ b/crates/simulation/src/fakes/gateway.rs
@@ -1,23 +1,27 @@
-//! A gateway on a real socket: one connection, one request at a time.
+//! A gateway on a real socket: one connection, one request at a time. It sends no more than the node needs, and knows no
+//! retries: what a node answers is what a test sees.
 
 use super::fastcgi::{self, Answer, Reader};
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// What a try came to.
+/// What an attempt was answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// With this result.
+pub enum Reply {
+    /// It ran, with this result.
     Served(Vec<u8>),
     /// It never ran; another node may take it.
-    Refused,
+    Rejected,
     /// It never ran, and no node takes it.
-    Barred,
-    /// It failed.
+    Blocked,
+    /// It failed, with this status.
     Failed(u16),
 }
 
+/// Bytes that are read at a time: more than an answer has.
+const READ_BYTES: usize = 8 * 1024;
+
 /// A connection to a node.
 #[derive(Debug)]
 pub struct Gateway {
@@ -26,30 +30,30 @@
 }
 
 impl Gateway {
-    /// Connects; an answer that takes longer than this is an error.
-    pub fn connect(to: &str, patience: Duration) -> io::Result<Self> {
+    /// Connects. An answer that takes longer than `timeout` is an error.
+    pub fn connect(to: &str, timeout: Duration) -> io::Result<Self> {
         let stream = TcpStream::connect(to)?;
-        stream.set_read_timeout(Some(patience))?;
+        stream.set_read_timeout(Some(timeout))?;
         stream.set_nodelay(true)?;
         Ok(Gateway { stream, reader: Reader::default() })
     }
 
-    /// A read about nothing in particular.
-    pub fn read(&mut self, txn: u64) -> io::Result<Verdict> {
-        self.ask(txn, "quote", ("HTTP_X_SHED_ORDER", "0.5".into()), b"q")
+    /// A read without a subject.
+    pub fn read(&mut self, txn: u64) -> io::Result<Reply> {
+        self.exchange(txn, "quote", ("HTTP_X_SHED_ORDER", "0.5".into()), b"q")
     }
 
     /// A read about a subject.
-    pub fn read_about(&mut self, txn: u64, subject: u64) -> io::Result<Verdict> {
-        self.ask(txn, "quote", ("HTTP_X_ROW", format!("{subject:016x}")), b"q")
+    pub fn read_about(&mut self, txn: u64, subject: u64) -> io::Result<Reply> {
+        self.exchange(txn, "quote", ("HTTP_X_ROW", format!("{subject:016x}")), b"q")
     }
 
-    /// A try of a keyed request.
-    pub fn book(&mut self, txn: u64, key: &str, body: &[u8]) -> io::Result<Verdict> {
-        self.ask(txn, "booking", ("HTTP_X_TXN_KEY", key.to_string()), body)
+    /// An attempt of a keyed request.
+    pub fn book(&mut self, txn: u64, key: &str, body: &[u8]) -> io::Result<Reply> {
+        self.exchange(txn, "booking", ("HTTP_X_TXN_KEY", key.to_string()), body)
     }
 
-    fn ask(&mut self, txn: u64, class: &str, field: (&str, String), body: &[u8]) -> io::Result<Verdict> {
+    fn exchange(&mut self, txn: u64, class: &str, field: (&str, String), body: &[u8]) -> io::Result<Reply> {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
         let params = [
             ("REQUEST_METHOD", "POST".to_string()),
@@ -61,25 +65,25 @@
             field,
         ];
         self.stream.write_all(&fastcgi::request(1, &params, body))?;
-        let mut chunk = [0; 8 * 1024];
+        let mut chunk = [0; READ_BYTES];
         loop {
-            let n = self.stream.read(&mut chunk)?;
-            if n == 0 {
+            let length = self.stream.read(&mut chunk)?;
+            if length == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            let read = self.reader.take(&chunk[..n]).map_err(io::Error::other)?;
+            let read = self.reader.take(&chunk[..length]).map_err(io::Error::other)?;
             if let Some(answer) = read.into_iter().next() {
-                return Ok(verdict(answer));
+                return Ok(reply(answer));
             }
         }
     }
 }
 
-fn verdict(answer: Answer) -> Verdict {
+fn reply(answer: Answer) -> Reply {
     match answer.status {
-        200 => Verdict::Served(answer.body),
-        429 | 503 if answer.give_up => Verdict::Barred,
-        429 | 503 | 0 => Verdict::Refused,
-        other => Verdict::Failed(other),
+        200 => Reply::Served(answer.body),
+        429 | 503 if answer.give_up => Reply::Blocked,
+        429 | 503 | 0 => Reply::Rejected,
+        other => Reply::Failed(other),
     }
 }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -13,6 +13,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
+/// Reads that `fleet --faults rest` measures: enough for a figure of two places.
+const IDLE_COST_READS: u64 = 200_000;
+
 #[derive(Clone, Debug)]
 enum Command {
     /// Play many worlds.
@@ -145,11 +148,17 @@
 
 /// What a fleet costs that nothing is asked of, and what a request costs in it.
 fn rest(nodes: usize, secs: u64, program: Option<PathBuf>) -> Result<bool, String> {
-    let (mean, most, with, without) = process_cluster::rest(&node_program(program)?, nodes, secs, 200_000)?;
+    let program = node_program(program)?;
+    let cost = process_cluster::measure_idle_cost(&program, nodes, secs, IDLE_COST_READS);
+    let cost = cost.map_err(|error| error.to_string())?;
     println!(
-        "{nodes} processes at rest: {mean:.1} ms of CPU a second each, {most:.1} at most; a read {with:.2} us of CPU, \
-         {without:.2} on its own ({:.3})",
-        with / without
+        "{nodes} processes at rest: {:.1} ms of CPU a second each, {:.1} at most; a read {:.2} us of CPU, \
+         {:.2} on its own ({:.3})",
+        cost.mean_ms,
+        cost.max_ms,
+        cost.read_us,
+        cost.standalone_read_us,
+        cost.read_us / cost.standalone_read_us
     );
     Ok(true)
 }
@@ -166,10 +175,11 @@
     let (mut violations, first) = (0, seeds.start);
     let mut digest = blake3::Hasher::new();
     for seed in seeds {
-        let plan = process_cluster::plan(seed, nodes, secs.saturating_mul(1000));
+        let plan = process_cluster::fault_plan(seed, nodes, secs.saturating_mul(1000));
         // Of the plan: when real processes do what is not the seed's.
         digest.update(format!("{plan:?}").as_bytes());
-        let outcome = process_cluster::play(&program, nodes, seed, &plan, most)?;
+        let outcome = process_cluster::run(&program, nodes, seed, &plan, most);
+        let outcome = outcome.map_err(|error| error.to_string())?;
         println!("seed {seed}, {nodes} processes: {outcome}");
         // The same thing seen again and again is told a few times.
         for v in outcome.violations.iter().take(5) {
--- /dev/null
+++ b/crates/simulation/src/process_cluster/idle_cost.rs
@@ -0,0 +1,71 @@
+//! What a cluster costs that nothing is asked of, and what a read costs in it.
+
+use super::processes::Size;
+use super::{ProcessCluster, ProcessClusterError, blocking_content};
+use std::path::Path;
+use std::thread;
+use std::time::Duration;
+
+/// Names the folders of these runs, apart from those of seeds.
+const CLUSTER_SERIAL: u64 = 9_000_000;
+const STANDALONE_SERIAL: u64 = 9_000_001;
+/// Reads go to the cluster and to the standalone process in turns, so that other load on the machine falls on both.
+const ROUNDS: u64 = 10;
+const MICROS_PER_MILLI: f64 = 1_000.0;
+
+/// CPU times.
+#[derive(Clone, Copy, Debug)]
+pub struct IdleCost {
+    /// Of an idle process, in milliseconds a second: the mean.
+    pub mean_ms: f64,
+    /// Of an idle process, in milliseconds a second: the highest.
+    pub max_ms: f64,
+    /// Of a read at a process of the cluster, in microseconds.
+    pub read_us: f64,
+    /// Of a read at a process without a cluster, in microseconds.
+    pub standalone_read_us: f64,
+}
+
+/// Measures a cluster of so many processes for so many seconds, then with so many reads.
+pub fn measure_idle_cost(
+    program: &Path,
+    processes: usize,
+    seconds: u64,
+    reads: u64,
+) -> Result<IdleCost, ProcessClusterError> {
+    let cluster = ProcessCluster::start(program, processes, CLUSTER_SERIAL)?;
+    let version = cluster.commit(0, &blocking_content(1))?;
+    cluster.await_active(&(0..processes).collect::<Vec<_>>(), version)?;
+    let cpu_ms = |process| cluster.cpu_ms(process).unwrap_or(0);
+    let before: Vec<u64> = (0..processes).map(cpu_ms).collect();
+    thread::sleep(Duration::from_secs(seconds));
+    let used = |process: usize| (cpu_ms(process) - before[process]) as f64 / seconds as f64;
+    let each: Vec<f64> = (0..processes).map(used).collect();
+    let size = Size { members: 1, spares: 0, standalone: true };
+    let standalone = ProcessCluster::prepare(program, size, STANDALONE_SERIAL, |_, _| ())?;
+    let mut read_ms = 0;
+    let mut standalone_read_ms = 0;
+    for round in 0..ROUNDS {
+        let first = 1 + round * reads;
+        read_ms += cpu_ms_of_reads(&cluster, first, reads / ROUNDS)?;
+        standalone_read_ms += cpu_ms_of_reads(&standalone, first, reads / ROUNDS)?;
+    }
+    let micros_per_read = |ms: u64| ms as f64 * MICROS_PER_MILLI / reads as f64;
+    Ok(IdleCost {
+        mean_ms: each.iter().sum::<f64>() / processes as f64,
+        max_ms: each.iter().copied().fold(0.0, f64::max),
+        read_us: micros_per_read(read_ms),
+        standalone_read_us: micros_per_read(standalone_read_ms),
+    })
+}
+
+/// CPU time of the first process for so many reads, numbered from `first` on, in milliseconds.
+fn cpu_ms_of_reads(cluster: &ProcessCluster, first: u64, reads: u64) -> Result<u64, ProcessClusterError> {
+    let cpu_ms = || cluster.cpu_ms(0).ok_or(ProcessClusterError::NotRunning);
+    let mut gateway = cluster.gateway(0)?;
+    let before = cpu_ms()?;
+    for request in first..first + reads {
+        gateway.read(request).map_err(ProcessClusterError::io("a read"))?;
+    }
+    Ok(cpu_ms()? - before)
+}
