--- a/crates/cluster/src/consensus/event.rs
+++ b/crates/cluster/src/consensus/event.rs
@@ -90,7 +90,7 @@
         /// Accept a content that starves a keyed class.
         force: bool,
     },
-    /// A version is committed. Whether it is active is told by [`Consensus::active_version`](super::Consensus).
+    /// A version is committed. [`Consensus::active_version`](super::Consensus::active_version) says whether it is active.
     Committed {
         /// Its number.
         version: Version,
--- a/crates/cluster/src/consensus/messages.rs
+++ b/crates/cluster/src/consensus/messages.rs
@@ -41,9 +41,9 @@
             }),
             Payload::ValidationResult(result) => {
                 let validation = ValidationId { requested_by: self.config.node_id, id: result.id };
-                let verdict =
+                let accepted =
                     if result.problem.is_empty() { Ok(()) } else { Err(Unacceptable(result.problem)) };
-                self.on_validated(now, from, validation, verdict, commands);
+                self.on_validated(now, from, validation, accepted, commands);
             }
             Payload::ForwardedProposal(forwarded) => self.on_forwarded(now, from, forwarded, commands),
             Payload::ProposalResult(result) => self.on_proposal_result(result, commands),
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -9,7 +9,7 @@
 //! - `proposals` takes proposals from their arrival to their answer.
 //! - `membership_changes` promotes learners and hands over leadership.
 //! - `messages` dispatches messages of other nodes.
-//! - `leases` passes events and commands of the [`lease`](crate::lease) rules.
+//! - `leases` passes events and commands of the [`lease`] rules.
 
 mod error;
 mod event;
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -135,7 +135,7 @@
     /// The settings of the node's own file, while a version has others.
     local: serde_json::Value,
     /// Ends of requests by class at two moments, for the present load.
-    pace: cluster::LoadSamples,
+    load_samples: cluster::LoadSamples,
 }
 
 /// The earliest of these, or the longest wait. Nothing is looked at again at once: what is overdue then waits for
@@ -211,7 +211,7 @@
             last_looks: 0,
             peers,
             local: config.file["settings"].clone(),
-            pace: cluster::LoadSamples::default(),
+            load_samples: cluster::LoadSamples::default(),
             config,
             system,
             table,
@@ -337,7 +337,7 @@
         for (conn, fcgi) in look.unfinished {
             self.fail_unread(conn, fcgi, Fault::Unfinished);
         }
-        self.pass_fleet();
+        self.run_cluster_tasks();
         let mut verdicts = Vec::new();
         let mut wake = vec![self.engine.on_timer(self.clock.moment(), &mut verdicts)];
         self.carry_out(verdicts);
@@ -345,7 +345,7 @@
         if self.stop.is_some_and(|stop| now.plus(STOP_LISTENING) >= stop) {
             self.table.stop_listening(now, &mut self.counters);
         }
-        let up = self.engine.healthy() && self.knows_the_version();
+        let up = self.engine.healthy() && self.knows_active_version();
         if self.engine.is_up() {
             wake.push(self.members.tick(now, up, &mut self.counters));
         }
@@ -368,7 +368,7 @@
             self.admin.wake(),
             self.kin.wake(),
             leaving,
-            self.peers.as_ref().map(|f| f.wake()),
+            self.peers.as_ref().map(|peers| peers.next_timer()),
         ]);
         next_turn(now, wake)
     }
@@ -436,7 +436,7 @@
                     self.admin.answer(place, answer);
                 }
             }
-            key if cluster::is_key(key) => self.take_fleet(event),
+            key if cluster::is_key(key) => self.on_cluster_event(event),
             key if self.store.has_key(key) => {
                 let ended = self.store.ready(now, event, &mut self.counters);
                 self.calls_ended(ended);
@@ -470,7 +470,7 @@
         // All is answered some time before the end, so that it is also written by then.
         let by = Micros(stop.0.saturating_sub(STOP_LISTENING.0));
         if let Some(peers) = &mut self.peers {
-            peers.leave(self.clock.now());
+            peers.start_drain(self.clock.now());
         }
         self.report(EngineEvent::Drain { notice, stop: by });
     }
@@ -533,7 +533,7 @@
     /// What a caller is answered, unless that comes later.
     fn tell(&mut self, place: usize, said: Said) -> Option<String> {
         Some(match said {
-            Said::Whole(Call::Fleet(words)) => return self.tell_of_fleet(place, &words),
+            Said::Whole(Call::Fleet(words)) => return self.operator_call(place, &words),
             Said::Whole(Call::Ping) => match self.takes_clients() {
                 Ok(()) => "done\n".into(),
                 Err(why) => format!("error {why}\n"),
@@ -564,7 +564,7 @@
             (self.table.address().is_some(), "it does not listen"),
             (up, "its kernel is not up"),
             (self.engine.idempotency().is_ready(), "keys are not in place"),
-            (self.knows_the_version(), "no majority has told it which version holds"),
+            (self.knows_active_version(), "no majority has told it which version holds"),
         ];
         steps.into_iter().find(|step| !step.0).map_or(Ok(()), |(_, why)| Err(why))
     }
@@ -692,7 +692,7 @@
     }
 
     fn admit(&mut self, conn: ConnId, fcgi: u16, keeps: bool, t: AttemptParams, body: Vec<u8>) {
-        if let Some(refusal) = self.fleet_refuses(&t) {
+        if let Some(refusal) = self.reject_by_version(&t) {
             self.counters.answers_refused += 1;
             self.figures.turned_down(self.slots.name(t.class), End::Overload);
             return self.respond(conn, fcgi, keeps, &refusal);
@@ -733,7 +733,7 @@
         let place = Place { id, conn, fcgi, class, body, call: Vec::new(), call_notice: 0, open: true };
         self.attempts.insert(t.id, place);
         if let Some(peers) = &mut self.peers {
-            peers.taken(self.clock.now(), t.id, t.router);
+            peers.attempt_started(self.clock.now(), t.id, t.router);
         }
         self.carry_out(verdicts);
     }
@@ -809,7 +809,7 @@
 
     fn check(&mut self, conn: ConnId, fcgi: u16, keeps: bool, deep: bool) {
         self.counters.checks_read += 1;
-        let good = self.engine.healthy() && self.knows_the_version();
+        let good = self.engine.healthy() && self.knows_active_version();
         if !(good && deep) {
             return self.answer_check(conn, fcgi, keeps, good);
         }
@@ -1002,7 +1002,7 @@
                     self.attempts.remove(&id);
                     self.store.forget(id);
                     if let Some(peers) = &mut self.peers {
-                        peers.forget(id);
+                        peers.attempt_finished(id);
                     }
                 }
                 EngineCommand::ReadGauges => {
--- a/crates/node/src/event_loop/cluster/class_load.rs
+++ b/crates/node/src/event_loop/cluster/class_load.rs
@@ -60,11 +60,11 @@
     pub(super) fn sample_load(&mut self, now: Micros) {
         let metrics = &self.figures;
         let classes = &self.config.classes;
-        self.pace.sample(now, || answered(metrics, classes));
+        self.load_samples.sample(now, || answered(metrics, classes));
     }
 
     /// The present load of each class.
     pub(super) fn class_load(&self, now: Micros) -> Vec<ClassLoad> {
-        self.pace.load(now, &answered(&self.figures, &self.config.classes))
+        self.load_samples.load(now, &answered(&self.figures, &self.config.classes))
     }
 }
--- a/crates/node/src/event_loop/cluster/mod.rs
+++ b/crates/node/src/event_loop/cluster/mod.rs
@@ -28,23 +28,23 @@
 
 impl<S: System> Node<S> {
     /// Whether this node knows which version is active, or belongs to no cluster.
-    pub(super) fn knows_the_version(&self) -> bool {
+    pub(super) fn knows_active_version(&self) -> bool {
         self.peers.as_ref().is_none_or(|peers| peers.is_ready())
     }
 
     /// The poller reports something of the cluster.
-    pub(super) fn take_fleet(&mut self, event: Ready) {
+    pub(super) fn on_cluster_event(&mut self, event: Ready) {
         let now = self.clock.now();
         let Some(peers) = &mut self.peers else { return };
         match event.key {
             CONSENSUS_LOG => peers.on_log_written(now, &mut self.counters),
             PEER_LISTENER => peers.accept(now),
-            _ => peers.ready(now, event, &mut self.counters),
+            _ => peers.on_ready(now, event, &mut self.counters),
         }
     }
 
     /// Does what is due for the cluster by now: messages, records, validations, the active version.
-    pub(super) fn pass_fleet(&mut self) {
+    pub(super) fn run_cluster_tasks(&mut self) {
         let now = self.clock.now();
         let Some(peers) = self.peers.as_mut().filter(|peers| peers.is_due(now)) else { return };
         peers.on_timer(now);
@@ -73,7 +73,7 @@
 
     /// The response that rejects an attempt for what the cluster's version says, or may say. An attempt the result of which
     /// this node has stored is not rejected: it gets that result, and does not run.
-    pub(super) fn fleet_refuses(&mut self, params: &AttemptParams) -> Option<Response<'static>> {
+    pub(super) fn reject_by_version(&mut self, params: &AttemptParams) -> Option<Response<'static>> {
         let peers = self.peers.as_ref()?;
         // Read for this attempt: the process may have been paused since this iteration began.
         let moment = self.system.moment();
--- a/crates/node/src/event_loop/cluster/operator_calls.rs
+++ b/crates/node/src/event_loop/cluster/operator_calls.rs
@@ -111,7 +111,7 @@
 
 impl<S: System> Node<S> {
     /// Carries out a call about the cluster. Returns its answer; none if that comes later, or if the caller is gone.
-    pub(in super::super) fn tell_of_fleet(&mut self, place: usize, line: &str) -> Option<String> {
+    pub(in super::super) fn operator_call(&mut self, place: usize, line: &str) -> Option<String> {
         let now = self.clock.now();
         let caller = self.admin.caller(place)?;
         let answer = match &mut self.peers {
@@ -136,11 +136,11 @@
         OperatorCall::Status => return Ok(Some(peers.status(now).to_string())),
         OperatorCall::History => return Ok(Some(peers.history().to_string())),
         OperatorCall::Show(version) => {
-            let content = kept_content(peers, version)?;
+            let content = retained_content(peers, version)?;
             return Ok(Some(String::from_utf8_lossy(&content).into_owned()));
         }
         OperatorCall::Rollback { version, force } => {
-            let content = kept_content(peers, version)?;
+            let content = retained_content(peers, version)?;
             peers.propose(now, caller, content.to_vec(), None, force);
         }
         OperatorCall::Join { name, address } => {
@@ -158,7 +158,7 @@
     Ok(None)
 }
 
-fn kept_content<S: System>(
+fn retained_content<S: System>(
     peers: &Peers<S>,
     version: Option<Version>,
 ) -> Result<Rc<[u8]>, OperatorCallError> {
--- a/crates/node/src/peers/links.rs
+++ b/crates/node/src/peers/links.rs
@@ -1,4 +1,4 @@
-//! Links to the other nodes: who connects to whom, who is let in, and what is done with their messages.
+//! Links to the other nodes: which node connects, which are accepted, and what is done with their messages.
 //!
 //! Of two nodes the one with the lower number connects. Both say hello first; what comes before, or from a node that is no
 //! member, ends the connection and nothing else. The newest connection with a node counts.
@@ -177,7 +177,7 @@
     // ---- Messages ----------------------------------------------------------------------------------------
 
     /// The poller reports one of its connections.
-    pub fn ready(&mut self, now: Micros, event: Ready, counters: &mut Counters) {
+    pub fn on_ready(&mut self, now: Micros, event: Ready, counters: &mut Counters) {
         let index = event.key.checked_sub(self.first_key).filter(|index| *index < KEYS);
         let Some(index) = index else { return };
         self.has_work = true;
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -132,7 +132,7 @@
     }
 
     /// When to call [`Peers::on_timer`] again although nothing came.
-    pub fn wake(&self) -> Micros {
+    pub fn next_timer(&self) -> Micros {
         if self.has_work { Micros(0) } else { self.next_timer }
     }
 
--- a/crates/node/src/peers/open_attempts.rs
+++ b/crates/node/src/peers/open_attempts.rs
@@ -66,13 +66,13 @@
 
 impl<S: System> Peers<S> {
     /// An attempt came in.
-    pub fn taken(&mut self, now: Micros, id: RequestId, gateway: u64) {
+    pub fn attempt_started(&mut self, now: Micros, id: RequestId, gateway: u64) {
         let version = self.applied.version.unwrap_or(0);
         self.attempts.start(now, id, gateway, version);
     }
 
     /// Nothing of an attempt is left.
-    pub fn forget(&mut self, id: RequestId) {
+    pub fn attempt_finished(&mut self, id: RequestId) {
         self.attempts.finish(id);
     }
 }
--- a/crates/node/src/peers/proposals.rs
+++ b/crates/node/src/peers/proposals.rs
@@ -32,7 +32,7 @@
     }
 
     /// This node is about to leave service: another node has to lead.
-    pub fn leave(&mut self, now: Micros) {
+    pub fn start_drain(&mut self, now: Micros) {
         self.step(now, Event::Draining);
     }
 
--- a/crates/node/src/peers/startup.rs
+++ b/crates/node/src/peers/startup.rs
@@ -80,7 +80,7 @@
 }
 
 impl Identity {
-    /// By name among the first members; a node that joins later is told its number.
+    /// By name among the first members; a node that joins later has its number configured.
     fn find(settings: &Fleet, name: &str) -> Result<Self, PeersError> {
         let place = settings.members.iter().position(|(member, _)| member == name);
         match (place, settings.number) {
--- a/crates/simulation/src/process_cluster/check.rs
+++ b/crates/simulation/src/process_cluster/check.rs
@@ -69,7 +69,7 @@
 
 /// What the processes keep after a run.
 #[derive(Default)]
-struct KeptVersions {
+struct RetainedVersions {
     /// By version.
     contents: BTreeMap<u64, String>,
     /// Versions by the proposal that their content is of.
@@ -87,9 +87,9 @@
         activation_delays: activation_delays(&record, cluster.len()),
         ..Outcome::default()
     };
-    let kept = kept_versions(cluster, record.proposals, &mut outcome.violations);
-    check_accepted(&record, &kept, &mut outcome.violations);
-    check_overlaps(cluster, &record, &kept, max_overlap, &mut outcome);
+    let retained = retained_versions(cluster, record.proposals, &mut outcome.violations);
+    check_accepted(&record, &retained, &mut outcome.violations);
+    check_overlaps(cluster, &record, &retained, max_overlap, &mut outcome);
     // What the run itself has noted comes first.
     let mut violations = record.violations;
     violations.append(&mut outcome.violations);
@@ -98,39 +98,43 @@
 }
 
 /// Collects the versions of all processes: each number has to have the same content everywhere.
-fn kept_versions(cluster: &ProcessCluster, proposals: u64, violations: &mut Vec<Violation>) -> KeptVersions {
-    let mut kept = KeptVersions::default();
+fn retained_versions(
+    cluster: &ProcessCluster,
+    proposals: u64,
+    violations: &mut Vec<Violation>,
+) -> RetainedVersions {
+    let mut retained = RetainedVersions::default();
     for process in 0..cluster.len() {
         for version in 1..=MAX_VERSIONS + 1 {
             let Ok(addresses) = cluster.addresses(process) else { break };
             let Ok(answer) = exchange(addresses.admin, &format!("FLEET SHOW {version}\n")) else { break };
             let Some(content) = answer.strip_prefix("done ") else {
                 // Compacted here, or one that there is not.
-                if kept.contents.contains_key(&version) || version == 1 {
+                if retained.contents.contains_key(&version) || version == 1 {
                     continue;
                 }
                 break;
             };
-            let known = kept.contents.entry(version).or_insert_with(|| content.to_string());
+            let known = retained.contents.entry(version).or_insert_with(|| content.to_string());
             if known != content {
                 let seen = format!("version {version} is {known} and at {} {content}", cluster.name(process));
                 violations.push(Violation { rule: "one content a number", seen });
             }
             let blocks = |proposal: &u64| content.contains(&format!("{:016x}", subject(*proposal)));
             if let Some(proposal) = (1..=proposals).find(blocks) {
-                kept.by_proposal.insert(proposal, version);
+                retained.by_proposal.insert(proposal, version);
             }
         }
     }
-    kept
+    retained
 }
 
 /// An accepted proposal is the version that its answer named.
-fn check_accepted(record: &Record, kept: &KeptVersions, violations: &mut Vec<Violation>) {
+fn check_accepted(record: &Record, retained: &RetainedVersions, violations: &mut Vec<Violation>) {
     for (proposal, accepted) in &record.accepted {
         let version = accepted.version;
         // The oldest may have been compacted.
-        if kept.contents.contains_key(&version) && kept.by_proposal.get(proposal) != Some(&version) {
+        if retained.contents.contains_key(&version) && retained.by_proposal.get(proposal) != Some(&version) {
             let seen = format!("proposal {proposal} was told that it is version {version}");
             violations.push(Violation { rule: "what was agreed stays", seen });
         }
@@ -141,11 +145,11 @@
 fn check_overlaps(
     cluster: &ProcessCluster,
     record: &Record,
-    kept: &KeptVersions,
+    retained: &RetainedVersions,
     max_overlap: Duration,
     outcome: &mut Outcome,
 ) {
-    let version = |observation: &Observation| kept.by_proposal.get(&observation.proposal).copied();
+    let version = |observation: &Observation| retained.by_proposal.get(&observation.proposal).copied();
     let observations = record.observations.iter();
     let mut observations: Vec<(u64, Observation)> =
         observations.filter_map(|observation| Some((version(observation)?, *observation))).collect();
--- a/src/cluster_command.rs
+++ b/src/cluster_command.rs
@@ -210,7 +210,7 @@
     Ok(line)
 }
 
-/// How to start a node that was let in. The node that is asked may learn of the new membership after the leader.
+/// How to start a node that has joined. The node that is called may learn of the new membership after the leader.
 fn how_to_start(
     client: &AdminClient,
     name: &str,
