--- a/crates/node/src/peers/links.rs
+++ b/crates/node/src/peers/links.rs
@@ -170,7 +170,7 @@
         let peer = self.peers.get_mut(&node).filter(|peer| peer.connection == Some(index));
         let Some(peer) = peer else { return };
         peer.connection = None;
-        tracing::warn!(peer = peer.name, "its link is gone, which proves nothing");
+        tracing::warn!(fellow = peer.name, "its link is gone, which proves nothing");
         self.step(now, Event::LinkDown(node));
     }
 
@@ -279,7 +279,8 @@
         let peer = self.peers.entry(from).or_insert_with(|| Peer::new(format!("node {from}")));
         // The newest connection counts: an older one may be half-open.
         let replaced = peer.connection.replace(index);
-        tracing::info!(peer = peer.name, "linked");
+        // Operators search the log by this key, which is older than the code's term.
+        tracing::info!(fellow = peer.name, "linked");
         if let Some(replaced) = replaced.filter(|replaced| *replaced != index) {
             self.connections[replaced] = None;
         }
