--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -19,7 +19,7 @@
 /// What a call about the cluster starts with.
 const CLUSTER_PREFIX: &str = "FLEET ";
 /// Most bytes of such a line: a version's content goes in one.
-const MAX_CLUSTER_LINE_BYTES: usize = gaugestand_cluster::wire::MOST_CONTENT + MAX_LINE_BYTES;
+const MAX_CLUSTER_LINE_BYTES: usize = gaugestand_cluster::wire::MAX_CONTENT_BYTES + MAX_LINE_BYTES;
 /// Most bytes read at a time of such a line.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// Bytes that are read and dropped at a time of what comes after the line.
--- a/crates/node/src/event_loop/admin_calls.rs
+++ b/crates/node/src/event_loop/admin_calls.rs
@@ -36,7 +36,7 @@
     /// The answer to a caller, unless the cluster has to be asked first: then it comes later.
     fn answer_admin_call(&mut self, caller: usize, input: CallerInput) -> Option<String> {
         Some(match input {
-            CallerInput::Call(Call::Cluster(words)) => return self.tell_of_fleet(caller, &words),
+            CallerInput::Call(Call::Cluster(words)) => return self.operator_call(caller, &words),
             CallerInput::Call(Call::Ping) => match self.check_readiness() {
                 Ok(()) => "done\n".into(),
                 Err(error) => format!("error {error}\n"),
@@ -69,7 +69,7 @@
             (self.connections.address().is_some(), NotReady::NotListening),
             (backend_up, NotReady::KernelDown),
             (self.engine.idempotency().is_ready(), NotReady::KeysMissing),
-            (self.knows_the_version(), NotReady::VersionUnknown),
+            (self.knows_active_version(), NotReady::VersionUnknown),
         ];
         match conditions.into_iter().find(|(met, _)| !met) {
             Some((_, reason)) => Err(reason),
--- /dev/null
+++ b/crates/node/src/event_loop/cluster/mod.rs
@@ -0,0 +1,102 @@
+//! The event loop's part in the cluster: polled events of its links and log, the version in effect, and what requests get
+//! under it.
+//!
+//! - `class_load`: the present load of each class, for validations.
+//! - `settings`: putting a version's settings into effect, validation of proposed ones, and reload.
+//! - `operator_calls`: calls of `gaugestand fleet` at the second address.
+
+mod class_load;
+mod operator_calls;
+mod settings;
+
+pub(super) use class_load::LoadSamples;
+
+use super::{CONSENSUS_LOG, FIRST_PEER, Node, PEER_LISTENER, Ready, System};
+use crate::peers::{self, DueVersion, Task};
+use crate::request::AttemptParams;
+use crate::response::Response;
+use gaugestand_admission::idempotency::IdempotencyTable as _;
+use gaugestand_admission::time::Micros;
+use gaugestand_cluster::consensus::Unacceptable;
+use gaugestand_cluster::version_gate::GateDecision;
+use std::rc::Rc;
+
+/// Whether a poller key is one of the cluster's.
+pub(super) fn is_key(key: usize) -> bool {
+    key == CONSENSUS_LOG || (PEER_LISTENER..FIRST_PEER + peers::KEYS).contains(&key)
+}
+
+impl<S: System> Node<S> {
+    /// Whether this node knows which version is active, or belongs to no cluster.
+    pub(super) fn knows_active_version(&self) -> bool {
+        self.peers.as_ref().is_none_or(|peers| peers.is_ready())
+    }
+
+    /// The poller reports something of the cluster.
+    pub(super) fn on_cluster_event(&mut self, event: Ready) {
+        let now = self.clock.now();
+        let Some(peers) = &mut self.peers else { return };
+        match event.key {
+            CONSENSUS_LOG => peers.on_log_written(now, &mut self.counters),
+            PEER_LISTENER => peers.accept(now),
+            _ => peers.on_ready(now, event, &mut self.counters),
+        }
+    }
+
+    /// Does what is due for the cluster by now: messages, records, validations, the active version.
+    pub(super) fn run_cluster_tasks(&mut self) {
+        let now = self.clock.now();
+        let Some(peers) = self.peers.as_mut().filter(|peers| peers.is_due(now)) else { return };
+        peers.on_timer(now);
+        if let Some(DueVersion { version, content }) = peers.due_version(now) {
+            let result = self.put_into_effect(content.as_deref());
+            if let Some(peers) = &mut self.peers {
+                peers.on_applied(version, result);
+            }
+        }
+        while let Some(task) = self.peers.as_mut().and_then(|peers| peers.next_task(now, &mut self.counters))
+        {
+            match task {
+                Task::Validate { validation, content, force } => {
+                    let result = self.validate_content(&content, force).map_err(Unacceptable);
+                    if let Some(peers) = &mut self.peers {
+                        peers.on_validated(now, validation, result);
+                    }
+                }
+                Task::Answer { ticket, result } => {
+                    self.admin.answer_later(ticket, operator_calls::proposal_answer(result));
+                }
+            }
+        }
+        self.sample_load(now);
+    }
+
+    /// The response that rejects an attempt for what the cluster's version says, or may say. An attempt the result of which
+    /// this node has stored is not rejected: it gets that result, and does not run.
+    pub(super) fn reject_by_version(&mut self, params: &AttemptParams) -> Option<Response<'static>> {
+        let peers = self.peers.as_ref()?;
+        // Read for this attempt: the process may have been paused since this iteration began.
+        let moment = self.system.moment();
+        let key = params.repeat_key.as_deref();
+        let decision = peers.check_request(moment.mono, key.is_some(), params.resource_key, params.caller);
+        let (no_retry_elsewhere, retry_after) = match decision {
+            GateDecision::Pass => return None,
+            GateDecision::Blocked => (true, Micros(0)),
+            GateDecision::OverGatewayLimit | GateDecision::NoLease => (false, peers.retry_after()),
+        };
+        if key.is_some_and(|key| self.engine.idempotency().contains(key, moment)) {
+            return None;
+        }
+        match decision {
+            GateDecision::NoLease => self.counters.rejected_without_lease += 1,
+            _ => self.counters.rejected_by_list += 1,
+        }
+        Some(Response {
+            status: "503 Service Unavailable",
+            capacity: self.engine.capacity(),
+            retry_after,
+            no_retry_elsewhere,
+            body: Rc::from([]),
+        })
+    }
+}
--- a/crates/node/src/event_loop/commands.rs
+++ b/crates/node/src/event_loop/commands.rs
@@ -99,7 +99,7 @@
         self.attempts.remove(&id);
         self.store.forget(id);
         if let Some(peers) = &mut self.peers {
-            peers.forget(id);
+            peers.attempt_finished(id);
         }
     }
 
--- a/crates/node/src/event_loop/dispatch.rs
+++ b/crates/node/src/event_loop/dispatch.rs
@@ -26,7 +26,7 @@
             IDEMPOTENCY_STORE => self.on_idempotency_store_ready(event),
             ADMIN_LISTENER => self.admin.accept(self.clock.now()),
             key if self.admin.has_key(key) => self.on_admin_caller_ready(event),
-            key if cluster::is_key(key) => self.take_fleet(event),
+            key if cluster::is_key(key) => self.on_cluster_event(event),
             key if self.store.has_key(key) => self.on_store_ready(event),
             key => self.on_connection_key_ready(key, event.readable),
         }
--- a/crates/node/src/event_loop/drain.rs
+++ b/crates/node/src/event_loop/drain.rs
@@ -40,7 +40,7 @@
         let notice = Micros(stop_at.0.saturating_sub(self.config.stop_timeout.0));
         let answered_by = Micros(stop_at.0.saturating_sub(LISTENER_CLOSE_MARGIN.0));
         if let Some(peers) = &mut self.peers {
-            peers.leave(self.clock.now());
+            peers.start_drain(self.clock.now());
         }
         self.notify_engine(EngineEvent::Drain { notice, stop: answered_by });
     }
--- a/crates/node/src/event_loop/error.rs
+++ b/crates/node/src/event_loop/error.rs
@@ -1,6 +1,7 @@
 //! Why the node could not start or go on.
 
 use crate::idempotency_store;
+use crate::peers::PeersError;
 use gaugestand_admission::SettingsError;
 use std::io;
 
@@ -18,7 +19,7 @@
     IdempotencyStore(idempotency_store::StartError),
     /// The cluster cannot be joined: its log cannot be opened, or its address cannot be listened at.
     #[error("{0}")]
-    Cluster(String),
+    Cluster(#[from] PeersError),
 }
 
 /// Names the operation that an I/O error is of.
--- a/crates/node/src/event_loop/health.rs
+++ b/crates/node/src/event_loop/health.rs
@@ -8,7 +8,7 @@
 impl<S: System> Node<S> {
     /// Whether gateways' health checks and the membership service hear that this node is in service.
     pub(super) fn is_in_service(&self) -> bool {
-        self.engine.is_healthy() && self.knows_the_version()
+        self.engine.is_healthy() && self.knows_active_version()
     }
 
     /// A health check was read. Only a deep one on a node that is in service waits, for the kernel's part.
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -115,7 +115,7 @@
     /// The settings of the node's own file, while those of an agreed version are in effect.
     local_settings: serde_json::Value,
     /// Replies by class at two moments, from which the present load follows.
-    class_load: cluster::Pace,
+    load_samples: cluster::LoadSamples,
 }
 
 /// The earliest of these times, or the longest wait if there is none; never so soon that the loop would spin.
@@ -140,16 +140,14 @@
             IdempotencyStore::start(store_settings, owner, IDEMPOTENCY_STORE, &system, clock.moment())
                 .map_err(NodeError::IdempotencyStore)?;
         key_table.set_max_bytes(config.max_volatile_bytes);
-        let peer_keys = (PEER_LISTENER, CONSENSUS_LOG, FIRST_PEER);
+        let peer_keys = peers::PollKeys {
+            listener: PEER_LISTENER,
+            log_writer: CONSENSUS_LOG,
+            first_connection: FIRST_PEER,
+        };
         let join =
             |cluster| Peers::start(&system, cluster, &config.name, config.seed, peer_keys).map(Box::new);
-        let peers = config
-            .operators
-            .fleet
-            .as_ref()
-            .map(join)
-            .transpose()
-            .map_err(|error| NodeError::Cluster(error.to_string()))?;
+        let peers = config.operators.fleet.as_ref().map(join).transpose().map_err(NodeError::Cluster)?;
         let admin = Admin::listen(&system, config.admin, ADMIN_LISTENER, FIRST_ADMIN_CALLER, peers.is_some())
             .map_err(io_error("listening at the second address"))?;
         let mut request_metrics = RequestMetrics::default();
@@ -189,7 +187,7 @@
             final_polls: 0,
             peers,
             local_settings: config.file["settings"].clone(),
-            class_load: cluster::Pace::default(),
+            load_samples: cluster::LoadSamples::default(),
             config,
             system,
             connections,
@@ -267,7 +265,7 @@
         }
         self.run_link_timers(now);
         self.run_connection_timers(now);
-        self.pass_fleet();
+        self.run_cluster_tasks();
         let mut commands = Vec::new();
         let engine_wakeup = self.engine.on_timer(self.clock.moment(), &mut commands);
         self.execute_commands(commands);
@@ -287,7 +285,7 @@
             self.admin.next_wakeup(),
             self.handover.next_wakeup(),
             self.next_drain_step(now),
-            self.peers.as_ref().map(|peers| peers.wake()),
+            self.peers.as_ref().map(|peers| peers.next_timer()),
         ];
         earliest_wakeup(now, wakeups)
     }
--- a/crates/node/src/event_loop/requests.rs
+++ b/crates/node/src/event_loop/requests.rs
@@ -138,7 +138,7 @@
     }
 
     fn admit(&mut self, request: RequestRef, keeps_connection: bool, params: AttemptParams, body: Vec<u8>) {
-        if let Some(rejection) = self.fleet_refuses(&params) {
+        if let Some(rejection) = self.reject_by_version(&params) {
             self.counters.answers_rejected += 1;
             self.request_metrics.record_reply(self.class_slots.name(params.class), ReplyOutcome::Overload);
             return self.respond(request, keeps_connection, &rejection);
@@ -188,7 +188,7 @@
         };
         self.attempts.insert(params.id, attempt);
         if let Some(peers) = &mut self.peers {
-            peers.taken(self.clock.now(), params.id, params.caller);
+            peers.attempt_started(self.clock.now(), params.id, params.caller);
         }
         self.execute_commands(commands);
     }
