--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -366,6 +366,35 @@
     assert!(why.contains("the last node that votes"), "{why}");
 }
 
+// An operator's script calls the second address by hand and gets a word wrong: the answer has to say what is expected, and
+// nothing may be proposed.
+#[test]
+fn malformed_operator_calls_are_rejected_with_what_is_expected() {
+    let cluster = ProcessCluster::start(program(), 1, 1_000_012).expect("one process");
+    let calls = "there are STATUS, HISTORY, SHOW, PROPOSE, ROLLBACK, JOIN and REMOVE";
+    let join = "JOIN takes a name and an address, as in n4=10.0.0.4:7000";
+    let propose = "PROPOSE takes a version or -, force or -, and the content";
+    let cases = [
+        ("", calls),
+        ("STATUS now", calls),
+        ("JOIN", calls),
+        ("REMOVE", calls),
+        ("JOIN n4", join),
+        ("JOIN n4=10.0.0.4", join),
+        ("REMOVE n4", "no node of the fleet has that name"),
+        ("SHOW", "no such version is kept"),
+        ("SHOW one", "no such version is kept"),
+        ("ROLLBACK 9 force", "no such version is kept"),
+        ("PROPOSE", propose),
+        ("PROPOSE - -", propose),
+        ("PROPOSE last - {}", propose),
+    ];
+    for (call, expected) in cases {
+        assert_eq!(rejection(cluster.call(0, call), call), format!("error {expected}"), "{call}");
+    }
+    assert_eq!(cluster.call(0, "HISTORY").expect("an answer"), "[]");
+}
+
 // Help of a sub-command ends in a panic of the parser if a positional argument does not come last.
 #[test]
 fn each_sub_command_prints_its_help() {
