--- a/crates/node/src/event_loop/cluster/mod.rs
+++ b/crates/node/src/event_loop/cluster/mod.rs
@@ -10,6 +10,7 @@
 mod settings;
 
 pub(super) use class_load::LoadSamples;
+pub(super) use settings::ReadError;
 
 use super::{CONSENSUS_LOG, FIRST_PEER, Node, PEER_LISTENER, Ready, System};
 use crate::peers::{self, DueVersion, Task};
@@ -58,7 +59,8 @@
         {
             match task {
                 Task::Validate { validation, content, force } => {
-                    let result = self.validate_content(&content, force).map_err(Unacceptable);
+                    let result = self.validate_content(&content, force);
+                    let result = result.map_err(|error| Unacceptable(error.to_string()));
                     if let Some(peers) = &mut self.peers {
                         peers.on_validated(now, validation, result);
                     }
--- a/crates/node/src/event_loop/cluster/settings.rs
+++ b/crates/node/src/event_loop/cluster/settings.rs
@@ -4,6 +4,8 @@
 //! stays its own.
 
 use super::super::{Config, Node, System, config};
+use crate::config::ConfigError;
+use crate::peers::VersionError;
 use gaugestand_admission::{Class, Effect, Span};
 use gaugestand_cluster::diff::Content;
 use gaugestand_cluster::validation::{ClassSettings, KeyMemory, validate};
@@ -26,8 +28,8 @@
     config.classes.iter().zip(&config.settings.classes).map(settings).collect()
 }
 
-fn parse_content(bytes: &[u8]) -> Result<Content, String> {
-    serde_json::from_slice(bytes).map_err(|error| format!("its content cannot be read: {error}"))
+fn parse_content(bytes: &[u8]) -> Result<Content, VersionError> {
+    serde_json::from_slice(bytes).map_err(VersionError::UnreadableContent)
 }
 
 /// The settings that are the cluster's: all but the node's own `extra`.
@@ -39,13 +41,23 @@
     shared
 }
 
+/// Why a configuration that was read again cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub(in super::super) enum ReadError {
+    /// The file or the script is invalid, or asks for what cannot change while the node serves.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The file changes settings that the cluster agrees on.
+    #[error("settings: are the fleet's; 'gaugestand fleet propose' changes them")]
+    SettingsOfCluster,
+}
+
 impl<S: System> Node<S> {
     /// Replaces the present settings by those of a version; on an error nothing has changed.
-    pub(super) fn put_into_effect(&mut self, bytes: Option<&[u8]>) -> Result<Option<Content>, String> {
+    pub(super) fn put_into_effect(&mut self, bytes: Option<&[u8]>) -> Result<Option<Content>, VersionError> {
         let content = bytes.map(parse_content).transpose()?;
         let settings = content.as_ref().map_or(&Value::Null, |content| &content.settings);
-        let new = config::with_settings(&self.config, &self.local_settings, settings)
-            .map_err(|error| error.to_string())?;
+        let new = config::with_settings(&self.config, &self.local_settings, settings)?;
         if new.file["settings"] != self.config.file["settings"] {
             self.config = new;
             self.apply_settings();
@@ -53,37 +65,33 @@
         Ok(content)
     }
 
-    /// Whether this node could act on a proposed content, or why not, in words for the operator.
-    pub(super) fn validate_content(&mut self, bytes: &[u8], force: bool) -> Result<(), String> {
+    /// Whether this node could act on a proposed content, or why not.
+    pub(super) fn validate_content(&mut self, bytes: &[u8], force: bool) -> Result<(), VersionError> {
         let content = parse_content(bytes)?;
         let enabled = self.peers.as_ref().map(|peers| peers.enabled_lists()).unwrap_or_default();
         if let Some(name) = version_gate::disabled_list(&content, enabled) {
-            return Err(format!(
-                "lists.{name}: fleet(lists = ...) of this node does not name lists of that form"
-            ));
+            return Err(VersionError::DisabledList(name.to_string()));
         }
-        let new = config::with_settings(&self.config, &self.local_settings, &content.settings);
-        let new = new.map_err(|error| error.to_string())?;
-        config::validate_change(&self.config, &new).map_err(|error| error.to_string())?;
+        let new = config::with_settings(&self.config, &self.local_settings, &content.settings)?;
+        config::validate_change(&self.config, &new)?;
         let load = self.class_load(self.clock.now());
         let settings = &self.config.settings;
         let memory =
             KeyMemory { available_kb: KEY_MEMORY_SHARE * settings.memory_kb, entry_kb: settings.entry_kb };
         match validate(&class_settings(&self.config), &class_settings(&new), &load, memory) {
             Err(error) if error.can_be_forced() && force => Ok(()),
-            Err(error) if error.can_be_forced() => Err(format!("{error}; --force if that is meant")),
-            result => result.map_err(|error| error.to_string()),
+            Err(error) if error.can_be_forced() => Err(VersionError::NotForced(error)),
+            result => result.map_err(VersionError::Invalid),
         }
     }
 
     /// The configuration, read again from its file. The settings of the cluster are not the file's to change.
-    pub(in super::super) fn read_configuration(&mut self) -> Result<Config, String> {
+    pub(in super::super) fn read_configuration(&mut self) -> Result<Config, ReadError> {
         if self.peers.is_none() {
-            return config::reload(&self.config).map_err(|error| error.to_string());
+            return Ok(config::reload(&self.config)?);
         }
-        let own = config::with_settings(&self.config, &self.local_settings, &Value::Null)
-            .map_err(|error| error.to_string())?;
-        let new = config::reload(&own).map_err(|error| error.to_string())?;
+        let own = config::with_settings(&self.config, &self.local_settings, &Value::Null)?;
+        let new = config::reload(&own)?;
         let new_settings = &new.file["settings"];
         let active = self.peers.as_ref().and_then(|peers| peers.settings()).cloned();
         let Some(active) = active else {
@@ -92,9 +100,9 @@
         };
         // A change of the rest would have no effect, and would look as if it had.
         if shared_settings(new_settings) != shared_settings(&self.local_settings) {
-            return Err("settings: are the fleet's; 'gaugestand fleet propose' changes them".into());
+            return Err(ReadError::SettingsOfCluster);
         }
         self.local_settings = new_settings.clone();
-        config::with_settings(&new, &self.local_settings, &active).map_err(|error| error.to_string())
+        Ok(config::with_settings(&new, &self.local_settings, &active)?)
     }
 }
--- a/crates/node/src/event_loop/reload.rs
+++ b/crates/node/src/event_loop/reload.rs
@@ -3,6 +3,7 @@
 //! Everything that can fail (reading and checking the files, listening at another admin address, opening a socket to another
 //! membership service) happens before the first change. A reload that fails is counted and logged, and changes nothing.
 
+use super::cluster::ReadError;
 use super::{Micros, Node};
 use crate::config::Config;
 use crate::idempotency_store;
@@ -22,8 +23,8 @@
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
     /// The files cannot be read, make no sense, or ask for what cannot change in service.
-    #[error("{0}")]
-    Configuration(String),
+    #[error(transparent)]
+    Configuration(#[from] ReadError),
     /// The new admin address cannot be listened at.
     #[error("admin_addr: {0}")]
     AdminAddress(#[source] io::Error),
@@ -46,8 +47,7 @@
 
     /// The steps that can fail. They come first, and the last of them is the first to take effect.
     fn prepare_reload(&mut self) -> Result<Config, ReloadError> {
-        let config =
-            self.read_configuration().map_err(|error| ReloadError::Configuration(error.to_string()))?;
+        let config = self.read_configuration()?;
         let admin = self.admin.prepare(config.admin).map_err(ReloadError::AdminAddress)?;
         self.membership.move_to(config.membership).map_err(ReloadError::Membership)?;
         self.admin.move_to(admin);
--- a/crates/node/src/peers/active_version.rs
+++ b/crates/node/src/peers/active_version.rs
@@ -1,6 +1,6 @@
 //! The version in effect on this node, and what requests get under it.
 
-use super::Peers;
+use super::{Peers, VersionError};
 use crate::io::System;
 use gaugestand_admission::time::Micros;
 use gaugestand_cluster::Version;
@@ -55,13 +55,14 @@
     }
 
     /// The node has put a version into effect, or cannot.
-    pub fn on_applied(&mut self, version: Version, result: Result<Option<Content>, String>) {
+    pub fn on_applied(&mut self, version: Version, result: Result<Option<Content>, VersionError>) {
         match result {
             Ok(content) => {
                 self.applied = AppliedVersion { version: Some(version), content, unusable: None };
                 tracing::info!(version, "the fleet's version is in effect");
             }
-            Err(problem) => {
+            Err(error) => {
+                let problem = error.to_string();
                 tracing::error!(version, problem, "the fleet's version cannot be acted on here");
                 self.applied.unusable = Some(UnusableVersion { version, reason: problem });
             }
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -21,9 +21,11 @@
 mod proposals;
 mod startup;
 mod status;
+mod version_error;
 
 pub use active_version::DueVersion;
 pub use startup::PeersError;
+pub use version_error::VersionError;
 
 use super::counters::Counters;
 use super::io::{Listener, System};
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the laboratory.
+//! The command line of the simulator.
 #![forbid(unsafe_code)]
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
@@ -90,7 +90,26 @@
     construct!([run, replay, shrink, fleet]).to_options().descr("A virtual world for booking nodes")
 }
 
-fn tell(outcome: &Outcome) {
+/// Why a command cannot be carried out.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error("--seeds: give a range, as in 0..100")]
+    NoRange,
+    #[error("--seeds: {0} is no number")]
+    NoNumber(String),
+    #[error(transparent)]
+    ThreadPool(#[from] rayon::ThreadPoolBuildError),
+    #[error("--program: give the node's program; it is not beside this one")]
+    NoProgram,
+    #[error("--faults: there is no plan {0}; there are accord and rest")]
+    UnknownPlan(String),
+    #[error("--nodes: from 1 to 7")]
+    NodeCount,
+    #[error(transparent)]
+    ProcessCluster(#[from] process_cluster::ProcessClusterError),
+}
+
+fn print_outcome(outcome: &Outcome) {
     for v in &outcome.violations {
         println!("seed {}: rule '{}' broken at {} us: {}", outcome.seed, v.rule, v.at.0, v.observed);
     }
@@ -101,16 +120,17 @@
     println!("  again: gaugestand-sim replay {} --trace", outcome.seed);
 }
 
-fn run(seeds: &str, secs: u64, jobs: Option<usize>, json: bool) -> Result<bool, String> {
-    let (from, to) = seeds.split_once("..").ok_or("--seeds: give a range, as in 0..100")?;
-    let number = |s: &str| s.parse::<u64>().map_err(|_| format!("--seeds: {s} is no number"));
+fn run(seeds: &str, secs: u64, jobs: Option<usize>, json: bool) -> Result<bool, CommandError> {
+    let (from, to) = seeds.split_once("..").ok_or(CommandError::NoRange)?;
+    let number = |text: &str| text.parse::<u64>().map_err(|_| CommandError::NoNumber(text.to_string()));
     let range = number(from)?..number(to)?;
     let mut pool = rayon::ThreadPoolBuilder::new();
     if let Some(jobs) = jobs {
         pool = pool.num_threads(jobs);
     }
-    let pool = pool.build().map_err(|e| e.to_string())?;
-    let (began, length) = (Instant::now(), Micros::millis(secs.saturating_mul(1000)));
+    let pool = pool.build()?;
+    let began = Instant::now();
+    let length = Micros::millis(secs.saturating_mul(1000));
     let outcomes: Vec<Outcome> = pool
         .install(|| range.into_par_iter().map(|seed| play(seed, length, &BTreeSet::new(), false)).collect());
     let real = began.elapsed().as_secs_f64();
@@ -120,7 +140,7 @@
     }
     let digest = digest.finalize().to_hex()[..16].to_string();
     let bad: Vec<&Outcome> = outcomes.iter().filter(|o| !o.violations.is_empty()).collect();
-    bad.iter().take(5).for_each(|o| tell(o));
+    bad.iter().take(5).for_each(|outcome| print_outcome(outcome));
     let sum = |of: fn(&Outcome) -> u64| outcomes.iter().map(of).sum::<u64>();
     let (n, violations) = (outcomes.len(), bad.len());
     let virtual_secs = n as u64 * secs;
@@ -140,17 +160,16 @@
     Ok(violations == 0)
 }
 
-fn node_program(program: Option<PathBuf>) -> Result<PathBuf, String> {
+fn node_program(program: Option<PathBuf>) -> Result<PathBuf, CommandError> {
     let beside = || Some(std::env::current_exe().ok()?.with_file_name("gaugestand"));
     let program = program.or_else(beside).filter(|p| p.exists());
-    program.ok_or("--program: give the node's program; it is not beside this one".into())
+    program.ok_or(CommandError::NoProgram)
 }
 
 /// What a fleet costs that nothing is asked of, and what a request costs in it.
-fn rest(nodes: usize, secs: u64, program: Option<PathBuf>) -> Result<bool, String> {
+fn rest(nodes: usize, secs: u64, program: Option<PathBuf>) -> Result<bool, CommandError> {
     let program = node_program(program)?;
-    let cost = process_cluster::measure_idle_cost(&program, nodes, secs, IDLE_COST_READS);
-    let cost = cost.map_err(|error| error.to_string())?;
+    let cost = process_cluster::measure_idle_cost(&program, nodes, secs, IDLE_COST_READS)?;
     println!(
         "{nodes} processes at rest: {:.1} ms of CPU a second each, {:.1} at most; a read {:.2} us of CPU, \
          {:.2} on its own ({:.3})",
@@ -170,7 +189,7 @@
     secs: u64,
     program: Option<PathBuf>,
     (most, json): (Duration, bool),
-) -> Result<bool, String> {
+) -> Result<bool, CommandError> {
     let program = node_program(program)?;
     let (mut violations, first) = (0, seeds.start);
     let mut digest = blake3::Hasher::new();
@@ -178,8 +197,7 @@
         let plan = process_cluster::fault_plan(seed, nodes, secs.saturating_mul(1000));
         // Of the plan: when real processes do what is not the seed's.
         digest.update(format!("{plan:?}").as_bytes());
-        let outcome = process_cluster::run(&program, nodes, seed, &plan, most);
-        let outcome = outcome.map_err(|error| error.to_string())?;
+        let outcome = process_cluster::run(&program, nodes, seed, &plan, most)?;
         println!("seed {seed}, {nodes} processes: {outcome}");
         // The same thing seen again and again is told a few times.
         for v in outcome.violations.iter().take(5) {
@@ -226,7 +244,7 @@
             let outcome =
                 play(seed, Micros::millis(virtual_secs.saturating_mul(1000)), &BTreeSet::new(), trace);
             outcome.trace.iter().for_each(|line| println!("{line}"));
-            tell(&outcome);
+            print_outcome(&outcome);
             println!("  digest {}", outcome.digest);
             Ok(outcome.violations.is_empty())
         }
@@ -234,9 +252,9 @@
             if faults == "rest" {
                 rest(nodes, secs, program)
             } else if faults != "accord" {
-                Err(format!("--faults: there is no plan {faults}; there are accord and rest"))
+                Err(CommandError::UnknownPlan(faults))
             } else if !(1..=7).contains(&nodes) {
-                Err("--nodes: from 1 to 7".into())
+                Err(CommandError::NodeCount)
             } else {
                 let most = Duration::from_millis(most);
                 play_fleet(nodes, seed..seed.saturating_add(runs), secs, program, (most, json))
