--- a/crates/admission/src/controller/mod.rs
+++ b/crates/admission/src/controller/mod.rs
@@ -90,6 +90,10 @@
 impl Controller {
     /// A controller for a worker that has just started. The seed is for random choices;
     /// this version makes none.
+    ///
+    /// # Errors
+    /// The settings are unusable: no core, no class, a tick of zero, or a class without a latency objective
+    /// or deadline.
     pub fn new(settings: Settings, _seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let settings = outbound_calls::without_limit_unless_shared(settings);
--- a/crates/admission/src/engine/admit.rs
+++ b/crates/admission/src/engine/admit.rs
@@ -25,6 +25,11 @@
     ///
     /// An attempt that fails here has had no effect on the engine. Each other one is answered exactly once, now or by
     /// later calls.
+    ///
+    /// # Errors
+    /// [`AdmitError::DuplicateId`] if an attempt with this id is still known, and [`AdmitError::KeyConflict`]
+    /// if its idempotency key belongs to a request with another body. The caller has to answer the attempt
+    /// itself, as no command is given for it.
     pub fn admit(
         &mut self,
         now: Moment,
--- a/crates/admission/src/engine/mod.rs
+++ b/crates/admission/src/engine/mod.rs
@@ -67,6 +67,9 @@
 
 impl<T: IdempotencyTable> Engine<T> {
     /// An engine for a process that has just started, with its idempotency table; unsound settings are an error.
+    ///
+    /// # Errors
+    /// The settings are unusable for a controller, for the reasons that [`Controller::new`] names.
     pub fn new(settings: Settings, seed: u64, idempotency: T) -> Result<Self, SettingsError> {
         Controller::new(settings.clone(), seed)?;
         Ok(Engine {
