--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -131,6 +131,11 @@
 
 impl Consensus {
     /// A node that has just started. `found` is its log on disk, of this node and this cluster.
+    ///
+    /// # Errors
+    /// [`ConsensusError::Storage`] if the log on disk is malformed or incomplete, and
+    /// [`ConsensusError::Raft`] if the raft library rejects its state. The node must not vote without its
+    /// log, so it cannot take part.
     pub fn new(
         now: Micros,
         config: ConsensusConfig,
--- a/crates/cluster/src/lease/config.rs
+++ b/crates/cluster/src/lease/config.rs
@@ -36,6 +36,10 @@
 impl LeaseConfig {
     /// Leases of this duration, for a cluster that begins with `voters` nodes, the clocks of which drift apart by at most
     /// `drift_ppm` parts per million.
+    ///
+    /// # Errors
+    /// [`LeaseConfigError::Empty`] if there are no voters or the duration is too short to be renewed within
+    /// it, and [`LeaseConfigError::Drift`] if the drift bound is a tenth or more.
     pub fn new(voters: usize, duration: Micros, drift_ppm: u64) -> Result<Self, LeaseConfigError> {
         if voters == 0 || duration.0 < RENEWALS_PER_LEASE {
             return Err(LeaseConfigError::Empty);
--- a/crates/cluster/src/log_storage.rs
+++ b/crates/cluster/src/log_storage.rs
@@ -112,6 +112,11 @@
 
 impl LogStorage {
     /// The log that was found on disk, of a cluster that began with this membership.
+    ///
+    /// # Errors
+    /// A record of the log is malformed, entries are not consecutive, or committed entries are missing
+    /// ([`LogStorageError::MissingCommitted`]). The node may have lost what it acknowledged and must not use
+    /// this log.
     pub fn open(found: &RecoveredLog, initial_membership: Membership) -> Result<Self, LogStorageError> {
         let hard_state = found.hard_state.as_deref().map_or(Ok(HardState::default()), decode)?;
         let base = found.snapshot.as_deref().map_or(Ok(LogBase::default()), LogBase::decode);
@@ -186,6 +191,10 @@
     }
 
     /// Replaces the log by a snapshot; a malformed one changes nothing.
+    ///
+    /// # Errors
+    /// [`LogStorageError::MalformedSnapshot`] or [`LogStorageError::MalformedMembership`] if the sender's
+    /// snapshot cannot be decoded; the log and `record` are as before.
     pub fn restore(&mut self, snapshot: &Snapshot, record: &mut LogRecord) -> Result<(), LogStorageError> {
         let base = LogBase::decode(snapshot.get_data()).map_err(|_| LogStorageError::MalformedSnapshot)?;
         let replaced = std::mem::replace(&mut self.base, base.clone());
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -125,6 +125,10 @@
 impl Membership {
     /// The membership of version 0: all nodes of the configuration vote, numbered in its order. Names and order have to be
     /// the same on all nodes; addresses need not be, as each node may reach the others in its own way.
+    ///
+    /// # Errors
+    /// [`MembershipError::LastVoter`] if no node is configured, and [`MembershipError::TooManyVoters`] if
+    /// there are more than [`MAX_VOTERS`].
     pub fn initial(configured: &[(String, SocketAddr)]) -> Result<Self, MembershipError> {
         if configured.is_empty() {
             return Err(MembershipError::LastVoter);
@@ -181,6 +185,11 @@
     }
 
     /// The membership after a change.
+    ///
+    /// # Errors
+    /// The change is not possible or not safe at present, for example [`MembershipError::NotCaughtUp`] for a
+    /// learner whose log lacks committed entries, or [`MembershipError::NoMajorityLeft`] for a removal that
+    /// is not forced. This membership stays in effect.
     pub fn after(
         &self,
         change: &MembershipChange,
--- a/crates/cluster/src/validation.rs
+++ b/crates/cluster/src/validation.rs
@@ -89,6 +89,11 @@
 
 /// Checks the change from the classes `old` to `new` under this load. Returns the first problem, those that cannot be
 /// forced first.
+///
+/// # Errors
+/// The node cannot act on the new classes under its load, such as [`ValidationError::KeyMemory`] if keys
+/// would be forgotten too early. [`ValidationError::can_be_forced`] says whether an operator may force the
+/// change all the same.
 pub fn validate(
     old: &[ClassSettings],
     new: &[ClassSettings],
--- a/crates/cluster/src/wire/codec.rs
+++ b/crates/cluster/src/wire/codec.rs
@@ -75,6 +75,11 @@
     }
 
     /// Reads a message. A hello may come from any node of the cluster, all else only for this incarnation.
+    ///
+    /// # Errors
+    /// The bytes are not a message of this protocol version, or it comes from another cluster, a node with
+    /// another configuration, or an unknown sender. [`FrameError::Stale`] is for an earlier incarnation of
+    /// this node. The message must not be acted on.
     pub fn decode(&self, bytes: &[u8]) -> Result<(NodeId, Payload), FrameError> {
         let envelope = Envelope::decode(bytes).map_err(|_| FrameError::Malformed)?;
         if envelope.protocol_version != PROTOCOL_VERSION {
