--- a/crates/fakes/src/postgres/mod.rs
+++ b/crates/fakes/src/postgres/mod.rs
@@ -52,6 +52,9 @@
 
 impl Postgres {
     /// A server with no tables yet, which asks everybody for this password.
+    ///
+    /// # Errors
+    /// The system has no loopback port to listen on.
     pub fn start(password: &str) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -106,6 +109,10 @@
     }
 
     /// Listens again at the same address, with all that it has acknowledged.
+    ///
+    /// # Errors
+    /// [`io::ErrorKind::AddrInUse`] if the port cannot be bound again after several attempts; the server
+    /// stays stopped.
     pub fn resume(&mut self) -> io::Result<()> {
         // The thread that accepts may need a moment to let go of the port.
         let listener = (0..REBIND_ATTEMPTS).find_map(|_| {
--- a/crates/fakes/src/relay.rs
+++ b/crates/fakes/src/relay.rs
@@ -50,6 +50,9 @@
 impl Relay {
     /// Relays what connects here to an address that may change, as a node that starts again has another; to none, before
     /// there is one.
+    ///
+    /// # Errors
+    /// The system has no loopback port to listen on.
     pub fn to(target: Arc<Mutex<Option<SocketAddr>>>) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
