--- a/crates/idempotency/src/blocking_client.rs
+++ b/crates/idempotency/src/blocking_client.rs
@@ -24,12 +24,20 @@
 
 impl BlockingClient {
     /// Connects beside a node that may be running, and reads all of its rows.
+    ///
+    /// # Errors
+    /// [`SessionError::Connect`] if the server cannot be reached; otherwise the login fails, or the tables
+    /// are missing or of another version. Nothing in the database has changed.
     pub fn read_only(address: SocketAddr, login: Login) -> Result<(Self, Vec<Row>), SessionError> {
         let (client, found) = BlockingClient::connect(address, Session::read_only(Rc::new(login))?)?;
         Ok((client, found.rows))
     }
 
     /// Connects as the node itself: whoever served under its name before does so no longer.
+    ///
+    /// # Errors
+    /// [`SessionError::Connect`] if the server cannot be reached; otherwise the login fails or the tables
+    /// cannot be used. If the connection broke late, the name may have been taken all the same.
     pub fn take_name(
         address: SocketAddr,
         login: Login,
@@ -66,12 +74,21 @@
     }
 
     /// Does one batch.
+    ///
+    /// # Errors
+    /// The connection broke, timed out or carried an unexpected message. It is unknown whether the batch was
+    /// done, and the client cannot be used any more; a batch that the server rejected is an [`Outcome`], not
+    /// an error.
     pub fn execute(&mut self, batch: &Batch) -> Result<Outcome, SessionError> {
         self.session.submit(batch)?;
         self.next_outcome()
     }
 
     /// Removes rows whose window ended before this moment of Unix time, in microseconds.
+    ///
+    /// # Errors
+    /// The connection broke, timed out or carried an unexpected message. It is unknown whether rows were
+    /// removed, and the client cannot be used any more.
     pub fn prune(&mut self, before: u64) -> Result<Outcome, SessionError> {
         self.session.prune(0, before)?;
         self.next_outcome()
--- a/crates/idempotency/src/consensus_log.rs
+++ b/crates/idempotency/src/consensus_log.rs
@@ -61,6 +61,11 @@
 impl ConsensusLog {
     /// Opens the log of this owner (cluster, members and node in words), makes it if there is none, and counts one more
     /// incarnation of it.
+    ///
+    /// # Errors
+    /// [`OpenError::Owned`] if another process uses the file, [`OpenError::OtherOwner`] if it is the log of
+    /// another node, and [`OpenError::DamagedLog`] if a checksum does not match; else the file cannot be
+    /// opened or read. The node must not take part in the consensus without its log.
     pub fn open(path: &Path, owner: &str, options: &Options) -> Result<(Self, RecoveredLog), OpenError> {
         let open_error = |error: rusqlite::Error| AGREED_LOG.open_error(path, &error);
         let (connection, lock) = open_exclusive(&AGREED_LOG, path, options)?;
--- a/crates/idempotency/src/postgres/mod.rs
+++ b/crates/idempotency/src/postgres/mod.rs
@@ -154,6 +154,9 @@
 impl Session {
     /// A session on a connection that was just made. `epoch` is that of an earlier connection of this incarnation, if
     /// there was one; else the name is taken, and up to `max_rows` rows are read.
+    ///
+    /// # Errors
+    /// [`SessionError::Login`] if the user or the database name cannot be sent, as it contains a zero byte.
     pub fn new(login: Rc<Login>, epoch: Option<u64>, max_rows: usize) -> Result<Self, SessionError> {
         let mut output = BytesMut::new();
         let parameters = [
@@ -176,6 +179,9 @@
     }
 
     /// A session that reads a node's rows beside that node, or removes old ones; it can make no batch.
+    ///
+    /// # Errors
+    /// [`SessionError::Login`] if the user or the database name cannot be sent, as it contains a zero byte.
     pub fn read_only(login: Rc<Login>) -> Result<Self, SessionError> {
         Ok(Session { is_read_only: true, ..Session::new(login, None, usize::MAX)? })
     }
@@ -191,6 +197,11 @@
     }
 
     /// Takes in what was read.
+    ///
+    /// # Errors
+    /// The server refused the login or a step of the start, ended the session, or sent what cannot be read or
+    /// does not belong to the present step. The connection has to be closed; the outcome of a batch in flight
+    /// is unknown.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<Vec<Event>, SessionError> {
         self.input.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -211,6 +222,10 @@
     }
 
     /// Begins a batch; false if another is in flight or the session is not ready.
+    ///
+    /// # Errors
+    /// [`SessionError::Unsendable`] if a value is longer than the protocol's length fields can say. A part of
+    /// the batch may be in the output already, so the session has to be dropped.
     pub fn submit(&mut self, batch: &Batch) -> Result<bool, SessionError> {
         if !matches!(self.step, Step::Idle) {
             return Ok(false);
@@ -233,6 +248,10 @@
 
     /// Begins the removal of rows that are past their window at `now`, in microseconds of Unix time; ends as a batch of
     /// this number.
+    ///
+    /// # Errors
+    /// [`SessionError::Unsendable`] if the node's name is longer than the protocol's length fields can say.
+    /// The session has to be dropped.
     pub fn prune(&mut self, number: u64, now: u64) -> Result<(), SessionError> {
         let node = self.login.node.clone();
         self.call(Statement::Prune, &[Param::Text(&node), Param::Int8(now as i64)])?;
--- a/crates/idempotency/src/sqlite/mod.rs
+++ b/crates/idempotency/src/sqlite/mod.rs
@@ -66,16 +66,28 @@
 }
 
 /// Opens a store to read it: nothing of it can be changed, and a node may serve from it meanwhile.
+///
+/// # Errors
+/// [`OpenError::Path`] if there is no such file, [`OpenError::Foreign`] or [`OpenError::Newer`] if it is not
+/// a store that this version can read, or what SQLite reports.
 pub fn open_read_only(path: &Path) -> Result<Connection, OpenError> {
     file::open_read_only(&STORE_OF_RECORD, path)
 }
 
 /// Checks a store from end to end.
+///
+/// # Errors
+/// [`OpenError::Damaged`] if the integrity check finds a fault; else the store cannot be opened, as in
+/// [`open_read_only`].
 pub fn check(path: &Path) -> Result<(), OpenError> {
     file::check_integrity(&STORE_OF_RECORD, path, &open_read_only(path)?)
 }
 
 /// Passes all rows to `visit`, one at a time.
+///
+/// # Errors
+/// The database cannot be read, or a row has values that the schema does not allow. Rows before it have been
+/// passed to `visit` already.
 pub fn for_each_row(connection: &Connection, mut visit: impl FnMut(Row)) -> rusqlite::Result<()> {
     let mut statement = connection.prepare(SELECT_ROWS)?;
     let mut rows = statement.query([])?;
@@ -87,6 +99,11 @@
 
 impl Sqlite {
     /// Opens a store, makes it if there is none, and counts one more incarnation of its node.
+    ///
+    /// # Errors
+    /// [`OpenError::Owned`] if another process serves from the store, and [`OpenError::Damaged`],
+    /// [`OpenError::Foreign`] or [`OpenError::Newer`] if it cannot be used; else the file cannot be opened or
+    /// written. The node must not serve without the keys in it.
     pub fn open(path: &Path, options: &Options) -> Result<Self, OpenError> {
         let (connection, lock) = file::open_exclusive(&STORE_OF_RECORD, path, options)?;
         let epoch: i64 = connection
@@ -97,6 +114,9 @@
     }
 
     /// What an earlier incarnation has left; of more than `max_rows` rows none but their number.
+    ///
+    /// # Errors
+    /// The rows cannot be read. Without them a retry could run a second time, so the node must not serve.
     pub fn recover(&self, path: &Path, max_rows: usize) -> Result<Recovery, OpenError> {
         let (rows, found) =
             self.read_rows(max_rows).map_err(|error| STORE_OF_RECORD.open_error(path, &error))?;
@@ -168,6 +188,9 @@
 
     /// Removes rows whose window is over by the wall clock, in microseconds of Unix time; returns how many. Nothing
     /// serves from the store while this process owns it.
+    ///
+    /// # Errors
+    /// SQLite cannot write, for example as the disk is full; no row was removed.
     pub fn prune(&self, now: u64) -> rusqlite::Result<usize> {
         self.connection.execute(PRUNE, [now as i64])
     }
--- a/crates/idempotency/src/worker.rs
+++ b/crates/idempotency/src/worker.rs
@@ -46,6 +46,9 @@
 
 impl Worker {
     /// Starts the thread. `wake` is written to, never blocking, when an outcome is there.
+    ///
+    /// # Errors
+    /// The system cannot start a thread, or `wake` cannot be made non-blocking. No batch can be done.
     pub fn start(backend: impl Backend, wake: UnixStream) -> io::Result<Self> {
         wake.set_nonblocking(true)?;
         let (batch_sender, batches) = RingBuffer::new(QUEUE_BATCHES);
@@ -56,6 +59,10 @@
     }
 
     /// Submits a batch; gives it back if there is no room.
+    ///
+    /// # Errors
+    /// The batch itself if the queue is full; none of it was done, and it can be submitted again once an
+    /// outcome has been taken.
     pub fn submit(&mut self, batch: Batch) -> Result<(), Batch> {
         let Some(batches) = &mut self.batches else { return Err(batch) };
         let pushed = batches.push(batch).map_err(|PushError::Full(batch)| batch);
