--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -141,6 +141,9 @@
 
 impl<S: System> Admin<S> {
     /// Listens at the address, if there is one; callers are watched under [`MAX_CALLERS`] keys from `first_key` on.
+    ///
+    /// # Errors
+    /// The system refuses to listen at the address, for example as it is in use.
     pub fn listen(
         system: &S,
         configured: Option<SocketAddr>,
@@ -160,6 +163,9 @@
     }
 
     /// Listens at another address beside the present one, for [`Admin::move_to`]; nothing if the address is the same. This can fail.
+    ///
+    /// # Errors
+    /// The system refuses to listen at the new address. The present listener stays as it is.
     pub fn prepare(&self, configured: Option<SocketAddr>) -> io::Result<Option<PreparedMove<S>>> {
         if configured == self.configured {
             return Ok(None);
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -75,6 +75,11 @@
 }
 
 /// Reads the configuration that the environment names, and the operators' script if there is one: they count as one.
+///
+/// # Errors
+/// The environment names no file, a file cannot be read, a key or setting is invalid
+/// ([`ConfigError::Invalid`], [`ConfigError::Settings`], [`ConfigError::Script`]), or the password file
+/// cannot be used. The error names the key or the file.
 pub fn load(script: Option<&Path>) -> Result<Config, ConfigError> {
     let operators = script.map(gaugestand_settings::load).transpose()?.unwrap_or_default();
     if let Some(Backend::Postgres { password_file, .. }) =
@@ -109,6 +114,10 @@
 }
 
 /// Reads a configuration from its JSON; a name and addresses given beside it go before its own.
+///
+/// # Errors
+/// [`ConfigError::Invalid`] if the text is not JSON of the right form or a key is missing or out of range,
+/// and [`ConfigError::Settings`] if the engine's settings contradict each other.
 pub fn parse(
     text: &str,
     name: Option<String>,
--- a/crates/node/src/config/reload.rs
+++ b/crates/node/src/config/reload.rs
@@ -11,6 +11,10 @@
 const BY_CLASS_KEYS: [&str; 2] = ["class-calls", "class-skip-worth"];
 
 /// Reads the configuration again, as at the start, and checks that it may replace the present one.
+///
+/// # Errors
+/// The new configuration cannot be loaded, or may not replace the present one (see [`validate_change`]). The
+/// node goes on with the present one.
 pub fn reload(old: &Config) -> Result<Config, ConfigError> {
     let new = load(old.script.as_deref())?;
     validate_change(old, &new)?;
@@ -19,6 +23,10 @@
 
 /// The same configuration under other settings, with the node's own part of them (`extra`: cores, memory, what calls go to)
 /// but for what goes by class. `local` is what the node's file has; null settings mean those.
+///
+/// # Errors
+/// The settings are invalid in this node's configuration, as in [`parse`]; the caller keeps the present
+/// configuration.
 pub fn with_settings(config: &Config, local: &Value, settings: &Value) -> Result<Config, ConfigError> {
     let mut merged = if settings.is_null() { local.clone() } else { settings.clone() };
     if let (Some(new), Some(own)) = (merged.as_object_mut(), local.get("extra")) {
@@ -40,6 +48,10 @@
 
 /// Checks that a configuration may replace another while the node serves. Every key that the present file has must be there:
 /// a file that lacks one was cut short or spoilt.
+///
+/// # Errors
+/// [`ConfigError::Invalid`] if a key is gone or one that is fixed in service has changed, and
+/// [`ConfigError::FixedSetting`] for a setting of the script that only a restart can change.
 pub fn validate_change(old: &Config, new: &Config) -> Result<(), ConfigError> {
     if let Some(key) = find_removed_key(&old.file, &new.file, "") {
         return invalid(&key, Problem::Removed);
--- a/crates/node/src/connections/connection.rs
+++ b/crates/node/src/connections/connection.rs
@@ -218,6 +218,10 @@
 
     /// Reads what is there, up to a bound, behind what was left of the input before; returns the length of all of it. An error
     /// means that the connection is gone.
+    ///
+    /// # Errors
+    /// The system reports an error other than [`io::ErrorKind::WouldBlock`] and
+    /// [`io::ErrorKind::Interrupted`]. The connection can no longer be answered and has to be closed.
     pub fn read(&mut self, now: Micros, buffer: &mut [u8]) -> io::Result<usize> {
         let kept = self.state.partial_record.len();
         buffer[..kept].copy_from_slice(&self.state.partial_record);
@@ -246,6 +250,9 @@
     }
 
     /// Reads nothing more; what is owed is still answered, what is incomplete is forgotten.
+    ///
+    /// # Errors
+    /// The poller does not accept the change of interest; the connection has to be closed.
     pub fn stop_reading(&mut self) -> io::Result<()> {
         self.state.reading_stopped = true;
         self.state.partial_since = None;
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -126,6 +126,11 @@
 
 impl<S: System> Node<S> {
     /// Opens everything that the configuration names, and listens. Nothing is accepted before [`Node::run`].
+    ///
+    /// # Errors
+    /// The system refuses a signal handler or a listener ([`NodeError::Io`]), the idempotency store or the
+    /// cluster's log cannot be opened, or the settings are unusable. The process cannot serve; no request was
+    /// accepted.
     pub fn start(system: S, config: Config, logs: Logs) -> Result<Self, NodeError> {
         // Before anything can connect: a signal that comes during the start then waits, and does not kill the process.
         let signals = |key, which: &[i32]| system.signals(key, which).map_err(io_error("signals"));
@@ -222,6 +227,10 @@
     }
 
     /// Iterates until the end of a drain, or until another process has taken over.
+    ///
+    /// # Errors
+    /// [`NodeError::Io`] if the poller fails. The process has to end without a drain; open requests get no
+    /// answer from it.
     pub fn run(&mut self) -> Result<(), NodeError> {
         let mut ready = Vec::new();
         let mut wakeup = self.clock.now();
--- a/crates/node/src/fastcgi.rs
+++ b/crates/node/src/fastcgi.rs
@@ -73,6 +73,10 @@
 }
 
 /// The record at the start of `buffer`, if it is there completely.
+///
+/// # Errors
+/// The record has another protocol version. Where the next one begins is unknown, so nothing more can be read
+/// from this connection.
 pub fn parse_record(buffer: &[u8]) -> Result<Option<Record<'_>>, FramingError> {
     match buffer.first() {
         None => return Ok(None),
--- a/crates/node/src/handover_link/frame.rs
+++ b/crates/node/src/handover_link/frame.rs
@@ -119,6 +119,10 @@
 }
 
 /// Decodes the frame at the start of `buffer`; none if it is not complete.
+///
+/// # Errors
+/// The length is above the limit ([`FrameError::TooLong`]), or the bytes are not exactly one frame of this
+/// version. No later frame of the link can be relied on.
 pub fn decode(buffer: &[u8]) -> Result<Option<DecodedFrame>, FrameError> {
     let Some((length, rest)) = buffer.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
--- a/crates/node/src/handover_link/link.rs
+++ b/crates/node/src/handover_link/link.rs
@@ -118,6 +118,10 @@
     }
 
     /// Writes what the system takes; `find_socket` finds the sockets that go along.
+    ///
+    /// # Errors
+    /// [`LinkError::SocketGone`] if a connection that was to be passed has been closed, and [`LinkError::Io`]
+    /// if the other process is gone. The link cannot go on; queued frames may not have been delivered.
     pub fn flush<'a>(
         &mut self,
         find_socket: impl Fn(AttachedSocket) -> Option<PassedSocket<'a, S::Stream, S::Listener>>,
@@ -149,6 +153,10 @@
 
     /// Reads what has arrived, up to a bound; returns the number of bytes. An error does not lose complete frames that were
     /// read before it: [`FramedLink::next_frame`] still returns them.
+    ///
+    /// # Errors
+    /// [`LinkError::Io`] if the other process has closed the link ([`io::ErrorKind::UnexpectedEof`]), the
+    /// system reports an error, or a passed socket was lost on the way.
     pub fn read(&mut self) -> Result<usize, LinkError> {
         let mut chunk = vec![0; READ_CHUNK_BYTES];
         let mut total = 0;
@@ -180,6 +188,10 @@
     }
 
     /// The next complete frame.
+    ///
+    /// # Errors
+    /// [`LinkError::OtherVersion`] if the other process does not speak this protocol, and
+    /// [`LinkError::Frame`] if it sent something that is not a frame. The link cannot go on.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, LinkError> {
         if !self.greeted && !self.read_greeting()? {
             return Ok(None);
@@ -204,11 +216,19 @@
     }
 
     /// Takes the next socket that was received, as a connection watched under this key.
+    ///
+    /// # Errors
+    /// [`LinkError::Io`] if no socket came with the frame, or the system cannot watch it. The connection
+    /// cannot be served here.
     pub fn take_stream(&mut self, key: usize) -> Result<S::Stream, LinkError> {
         Ok(self.link.take_stream(key)?)
     }
 
     /// Takes the next socket that was received, as a listener that is not watched yet.
+    ///
+    /// # Errors
+    /// [`LinkError::Io`] if no socket came with the frame, or the system cannot watch it. This process cannot
+    /// accept connections through it.
     pub fn take_listener(&mut self, key: usize) -> Result<S::Listener, LinkError> {
         Ok(self.link.take_listener(key)?)
     }
--- a/crates/node/src/idempotency_store/mod.rs
+++ b/crates/node/src/idempotency_store/mod.rs
@@ -81,6 +81,10 @@
 impl<S: System> IdempotencyStore<S> {
     /// Opens what the settings name, and makes the key table that goes with it. A file is read at once; a database is
     /// connected to by the event loop. `key` is the poller's for the store.
+    ///
+    /// # Errors
+    /// [`StartError::Open`] if the file cannot be opened, and [`StartError::Password`] if the password file
+    /// cannot be used. A database that cannot be reached is no error here: the event loop keeps trying.
     pub fn start(
         settings: Option<&Settings>,
         owner: Owner<'_>,
--- a/crates/node/src/idempotency_store/password.rs
+++ b/crates/node/src/idempotency_store/password.rs
@@ -28,6 +28,9 @@
 }
 
 /// Reads the password that a role logs in with: the first line of a file.
+///
+/// # Errors
+/// The file cannot be read, is longer than any password file may be, or its first line is empty.
 pub fn password(path: &Path) -> Result<Vec<u8>, PasswordError> {
     let unreadable = |error: io::Error| PasswordError::Unreadable { path: path.to_path_buf(), error };
     let bytes = fs::metadata(path).map_err(unreadable)?.len();
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -56,14 +56,31 @@
     /// The time on both clocks; the monotonic one starts well above zero.
     fn moment(&self) -> Moment;
     /// Listens.
+    ///
+    /// # Errors
+    /// The system refuses the address, for example as another process listens there or it is not of this
+    /// machine.
     fn listen(&self, at: SocketAddr, key: usize) -> io::Result<Self::Listener>;
     /// Begins to connect; the stream is ready for writing once it is made or has failed.
+    ///
+    /// # Errors
+    /// The system cannot begin to connect. A connection that fails later shows in [`Stream::is_made`].
     fn connect(&self, to: SocketAddr, key: usize) -> io::Result<Self::Stream>;
     /// A socket for reports to this address.
+    ///
+    /// # Errors
+    /// The system has no socket for it.
     fn datagram(&self, to: SocketAddr) -> io::Result<Self::Datagram>;
     /// From now on these signals are told of under this key.
+    ///
+    /// # Errors
+    /// A signal handler cannot be registered; the signal would then have its default effect.
     fn signals(&self, key: usize, signals: &[i32]) -> io::Result<Self::Signals>;
     /// Opens a store of record in a file, with what an earlier life left in it, up to so many rows.
+    ///
+    /// # Errors
+    /// The file cannot be opened, is in use by another process, or is damaged (see [`OpenError`]), or the
+    /// worker's thread cannot be started.
     fn store(
         &self,
         path: &Path,
@@ -72,6 +89,10 @@
         key: usize,
     ) -> Result<(Self::Worker, Recovery), OpenError>;
     /// Opens a fleet's log in a file, which belongs to this owner, with what an earlier life left in it.
+    ///
+    /// # Errors
+    /// The file cannot be opened, is in use, belongs to another owner or is damaged (see [`OpenError`]), or
+    /// the worker's thread cannot be started.
     fn consensus_log(
         &self,
         path: &Path,
@@ -79,28 +100,48 @@
         key: usize,
     ) -> Result<(Self::Worker, RecoveredLog), OpenError>;
     /// Listens for other processes of this node, in place of a socket that nobody answers at.
+    ///
+    /// # Errors
+    /// The path cannot be used; [`io::ErrorKind::PermissionDenied`] if it belongs to another user.
     fn listen_for_handover(&self, path: &Path, key: usize) -> io::Result<Self::HandoverListener>;
     /// Connects to another process of this node.
+    ///
+    /// # Errors
+    /// No process listens at the path; [`io::ErrorKind::PermissionDenied`] if it, or the process there, is
+    /// another user's.
     fn connect_for_handover(&self, path: &Path, key: usize) -> io::Result<Self::HandoverLink>;
     /// Acquires the service lock at this path, unless another process holds it. The operating system releases it when
     /// this process dies.
+    ///
+    /// # Errors
+    /// The lock file cannot be opened or locked; [`io::ErrorKind::PermissionDenied`] if it is another user's.
+    /// That another process holds the lock is `None`, not an error.
     fn try_service_lock(&self, path: &Path) -> io::Result<Option<Self::ServiceLock>>;
     /// From now on the monotonic clock is that of another process, which read both clocks as `other` a moment ago. It never
     /// goes back.
     fn align_clock(&self, other: Moment);
     /// Waits until something is ready, for this long at most, and puts it in place of what `ready` held.
+    ///
+    /// # Errors
+    /// The poller fails. An interruption by a signal is no error; it ends the wait early.
     fn wait(&self, most: Micros, ready: &mut Vec<Ready>) -> io::Result<()>;
 }
 
 /// A connection.
 pub trait Stream: Read + Write + Debug {
     /// Changes what it is watched for.
+    ///
+    /// # Errors
+    /// The poller does not accept the change; the stream is watched as before.
     fn watch(&mut self, reading: bool, writing: bool) -> io::Result<()>;
     /// Whether a connection that was begun has been made; asked once it is ready.
     fn is_made(&self) -> bool;
     /// Whether something can be read, other than an end.
     fn has_unread(&self) -> bool;
     /// Ends the stream to the other side, after all that was written; what it sends can still be read.
+    ///
+    /// # Errors
+    /// The connection is gone already; it can only be closed.
     fn shut_writing(&mut self) -> io::Result<()>;
 }
 
@@ -110,8 +151,16 @@
     type Stream;
     /// Takes the next connection, to be watched for reading under this key. `ConnectionAborted` is of one that
     /// was gone before it could be taken.
+    ///
+    /// # Errors
+    /// [`io::ErrorKind::WouldBlock`] if no connection waits, and [`io::ErrorKind::ConnectionAborted`] if this
+    /// one is lost but the next may succeed. Other errors are a lack of resources, such as descriptors, and
+    /// should be retried later.
     fn accept(&self, key: usize) -> io::Result<Self::Stream>;
     /// Changes whether it is watched.
+    ///
+    /// # Errors
+    /// The poller does not accept the change; the listener is watched as before.
     fn watch(&mut self, reading: bool) -> io::Result<()>;
     /// Where it listens.
     fn address(&self) -> Option<SocketAddr>;
@@ -120,12 +169,18 @@
 /// A socket for reports.
 pub trait Datagram: Debug {
     /// Sends one; nobody says whether it arrives.
+    ///
+    /// # Errors
+    /// The system did not take the datagram; it is lost.
     fn send(&self, bytes: &[u8]) -> io::Result<()>;
 }
 
 /// What does the blocking work of a store of record, off the loop.
 pub trait Worker: Debug {
     /// Hands a batch over; gives it back if there is no room.
+    ///
+    /// # Errors
+    /// The batch itself if the queue is full; none of it was done, and it can be submitted again later.
     fn submit(&mut self, batch: Batch) -> Result<(), Batch>;
     /// The next outcome, if there is one.
     fn outcome(&mut self) -> Option<(u64, Outcome)>;
@@ -142,18 +197,38 @@
     /// Listening sockets that can be passed.
     type Listener;
     /// Sends bytes, and a socket with the first of them; returns how many bytes were sent.
+    ///
+    /// # Errors
+    /// [`io::ErrorKind::WouldBlock`] if the system takes nothing at present, neither bytes nor socket; other
+    /// errors mean that the link is lost.
     fn send(
         &mut self,
         bytes: &[u8],
         socket: PassedSocket<'_, Self::Stream, Self::Listener>,
     ) -> io::Result<usize>;
     /// Reads bytes; sockets that come along are kept in order until they are taken.
+    ///
+    /// # Errors
+    /// [`io::ErrorKind::WouldBlock`] if nothing has arrived, and [`io::ErrorKind::InvalidData`] if the system
+    /// dropped sockets on the way: they can no longer be matched to frames. Other errors mean that the link
+    /// is lost.
     fn receive(&mut self, buffer: &mut [u8]) -> io::Result<usize>;
     /// Takes the next socket that was received, as a connection watched for reading under this key.
+    ///
+    /// # Errors
+    /// [`io::ErrorKind::InvalidData`] if no received socket is left; else the system cannot watch it, and it
+    /// is closed in this process.
     fn take_stream(&mut self, key: usize) -> io::Result<Self::Stream>;
     /// Takes the next socket that was received, as a listener that is not watched yet.
+    ///
+    /// # Errors
+    /// [`io::ErrorKind::InvalidData`] if no received socket is left; else the system cannot use it, and it is
+    /// closed in this process.
     fn take_listener(&mut self, key: usize) -> io::Result<Self::Listener>;
     /// Changes what the link is watched for.
+    ///
+    /// # Errors
+    /// The poller does not accept the change; the link is watched as before.
     fn watch(&mut self, reading: bool, writing: bool) -> io::Result<()>;
 }
 
@@ -174,7 +249,14 @@
 /// lock afterwards: a successor that finds more marks than it was sent knows that the state is out of date.
 pub trait ServiceLock: Debug {
     /// The number of generation marks.
+    ///
+    /// # Errors
+    /// The number cannot be read. State that depends on it has to be treated as out of date.
     fn generation_marks(&self) -> io::Result<u64>;
     /// Adds one.
+    ///
+    /// # Errors
+    /// The mark cannot be stored, for example on a full disk: a successor cannot tell that its state is out
+    /// of date.
     fn add_generation_mark(&self) -> io::Result<()>;
 }
--- a/crates/node/src/io/poll.rs
+++ b/crates/node/src/io/poll.rs
@@ -25,6 +25,10 @@
 
 impl<S: AsSource + AsRawFd> Watched<S> {
     /// Watches `source`, level-triggered, under `key`.
+    ///
+    /// # Errors
+    /// The poller cannot watch the source, for example as a limit of the system is reached. The source is
+    /// closed.
     #[allow(unsafe_code)]
     pub fn new(poller: &Rc<Poller>, source: S, key: usize, reading: bool, writing: bool) -> io::Result<Self> {
         let interest = Event::new(key, reading, writing);
@@ -37,6 +41,9 @@
 
 impl<S: AsSource> Watched<S> {
     /// Changes what is watched for, if it differs.
+    ///
+    /// # Errors
+    /// The poller does not accept the change; the source is watched as before.
     pub fn watch(&mut self, reading: bool, writing: bool) -> io::Result<()> {
         if (reading, writing) != (self.reading, self.writing) {
             let interest = Event::new(self.key, reading, writing);
@@ -83,6 +90,9 @@
 ///
 /// The poller's own wait arms a timer descriptor, its interest, and that of a descriptor for notices to other threads,
 /// anew each time: four calls that this loop has no use for, which it does without.
+///
+/// # Errors
+/// The system's poller fails for a reason other than a signal; nothing is reported as ready.
 pub fn wait(poller: &Poller, timeout: Micros, ready: &mut Vec<Ready>) -> io::Result<()> {
     ready.clear();
     let timeout = Timespec {
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -35,6 +35,9 @@
 
 impl Real {
     /// The machine, with nothing watched yet.
+    ///
+    /// # Errors
+    /// The system has no descriptor for a poller.
     pub fn new() -> io::Result<Self> {
         let base = Rc::new(Cell::new(super::clock::ORIGIN));
         Ok(Real { poller: Rc::new(Poller::new()?), origin: Instant::now(), base })
--- a/crates/node/src/membership_reports.rs
+++ b/crates/node/src/membership_reports.rs
@@ -37,6 +37,9 @@
 
 impl<S: System> MembershipReports<S> {
     /// A reporter to the service at this address, if there is one.
+    ///
+    /// # Errors
+    /// The system has no socket for the reports.
     pub fn new(system: &S, address: Option<SocketAddr>, node_name: &str) -> io::Result<Self> {
         let service = match address {
             Some(address) => Some(Service { address, socket: system.datagram(address)? }),
@@ -48,6 +51,9 @@
 
     /// From now on the service is at this address, and hears from this node at once; if no socket can be opened, nothing has
     /// changed.
+    ///
+    /// # Errors
+    /// The system has no socket for the new address; reports go on to the earlier one.
     pub fn move_to(&mut self, address: Option<SocketAddr>) -> io::Result<()> {
         if self.service.as_ref().map(|service| service.address) != address {
             *self = MembershipReports::new(&self.system, address, &self.node_name)?;
--- a/crates/node/src/peers/startup.rs
+++ b/crates/node/src/peers/startup.rs
@@ -136,6 +136,11 @@
 
 impl<S: System> Peers<S> {
     /// Opens the log and listens; connections are made by [`Peers::on_timer`].
+    ///
+    /// # Errors
+    /// The cluster settings are invalid or do not name this node, the log cannot be opened
+    /// ([`PeersError::OpenLog`]) or used ([`PeersError::Log`]), or the system refuses to listen
+    /// ([`PeersError::Listen`]). The node cannot take part in its cluster.
     pub fn start(
         system: &S,
         settings: &Fleet,
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -358,6 +358,11 @@
     }
 
     /// What the complete request asks for, and its body; `class_of` finds the slot of a class, `keyed` says which are keyed.
+    ///
+    /// # Errors
+    /// The error that was found while the request was read, or one of its parameters: missing, malformed, or
+    /// naming no known path or class. The request is answered with [`RequestError::status`] and never reaches
+    /// the engine.
     pub fn finish(
         self,
         class_of: impl Fn(&str) -> Option<usize>,
--- a/crates/node/src/write_queue.rs
+++ b/crates/node/src/write_queue.rs
@@ -72,6 +72,10 @@
     }
 
     /// Writes what can be written now; returns how much that was. An error means that the socket is of no more use.
+    ///
+    /// # Errors
+    /// The socket reports an error other than [`io::ErrorKind::WouldBlock`] and
+    /// [`io::ErrorKind::Interrupted`], or takes no bytes at all. How much the other side received is unknown.
     pub fn write(&mut self, to: &mut impl Write) -> io::Result<usize> {
         let mut total = 0;
         while self.len > 0 {
