--- a/crates/simulation/src/fakes/fastcgi.rs
+++ b/crates/simulation/src/fakes/fastcgi.rs
@@ -55,6 +55,10 @@
 
 impl Reader {
     /// Takes in bytes; an error names what cannot be read.
+    ///
+    /// # Errors
+    /// A record of another protocol version or of an unexpected type, or a response without a readable
+    /// status. The node under test violates the protocol, and nothing more can be read.
     pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<Answer>, &'static str> {
         self.input.extend(bytes);
         let mut answers = Vec::new();
--- a/crates/simulation/src/fakes/gateway.rs
+++ b/crates/simulation/src/fakes/gateway.rs
@@ -31,6 +31,9 @@
 
 impl Gateway {
     /// Connects. An answer that takes longer than `timeout` is an error.
+    ///
+    /// # Errors
+    /// Nothing listens at the address, or the system refuses a socket option.
     pub fn connect(to: &str, timeout: Duration) -> io::Result<Self> {
         let stream = TcpStream::connect(to)?;
         stream.set_read_timeout(Some(timeout))?;
@@ -39,16 +42,27 @@
     }
 
     /// A read without a subject.
+    ///
+    /// # Errors
+    /// No answer came within the timeout, the node closed the connection, or its answer cannot be read. A
+    /// late answer may still arrive, so the connection should not be used again.
     pub fn read(&mut self, txn: u64) -> io::Result<Reply> {
         self.exchange(txn, "quote", ("HTTP_X_SHED_ORDER", "0.5".into()), b"q")
     }
 
     /// A read about a subject.
+    ///
+    /// # Errors
+    /// As for [`Gateway::read`].
     pub fn read_about(&mut self, txn: u64, subject: u64) -> io::Result<Reply> {
         self.exchange(txn, "quote", ("HTTP_X_ROW", format!("{subject:016x}")), b"q")
     }
 
     /// An attempt of a keyed request.
+    ///
+    /// # Errors
+    /// As for [`Gateway::read`]; it is unknown whether the request ran, and only a retry with the same key is
+    /// safe.
     pub fn book(&mut self, txn: u64, key: &str, body: &[u8]) -> io::Result<Reply> {
         self.exchange(txn, "booking", ("HTTP_X_TXN_KEY", key.to_string()), body)
     }
--- a/crates/simulation/src/process_cluster/idle_cost.rs
+++ b/crates/simulation/src/process_cluster/idle_cost.rs
@@ -27,6 +27,10 @@
 }
 
 /// Measures a cluster of so many processes for so many seconds, then with so many reads.
+///
+/// # Errors
+/// A process cannot be started or ends early, the first version does not become active in time, or a read
+/// fails. All processes are ended.
 pub fn measure_idle_cost(
     program: &Path,
     processes: usize,
--- a/crates/simulation/src/process_cluster/operator.rs
+++ b/crates/simulation/src/process_cluster/operator.rs
@@ -22,6 +22,10 @@
 
 impl ProcessCluster {
     /// Makes a call about the cluster; returns what the process answers after `done`.
+    ///
+    /// # Errors
+    /// [`ProcessClusterError::NotRunning`] if the process is stopped, [`ProcessClusterError::Io`] if it does
+    /// not answer, and [`ProcessClusterError::Rejected`] with its words if it declines the call.
     pub fn call(&self, process: usize, call: &str) -> Result<String, ProcessClusterError> {
         let admin = self.addresses(process)?.admin;
         let answer =
@@ -33,6 +37,11 @@
     }
 
     /// Proposes a content until it is committed or rejected for good; returns its version.
+    ///
+    /// # Errors
+    /// The last error if the content is unsound or no attempt succeeds in time;
+    /// [`ProcessClusterError::NoVersion`] or [`ProcessClusterError::MalformedAnswer`] if it was accepted, but
+    /// the answer has no version. After a lost answer it may have been committed all the same.
     pub fn commit(&self, process: usize, content: &Value) -> Result<u64, ProcessClusterError> {
         let started = Instant::now();
         loop {
@@ -50,6 +59,10 @@
     }
 
     /// Waits until a metric of a process has this value.
+    ///
+    /// # Errors
+    /// [`ProcessClusterError::MetricNotReached`] with all metrics if the time is over; else the process is
+    /// stopped or does not answer.
     pub fn await_metric(&self, process: usize, name: &str, value: u64) -> Result<(), ProcessClusterError> {
         let admin = self.addresses(process)?.admin;
         let started = Instant::now();
@@ -67,6 +80,9 @@
     }
 
     /// Waits until these processes act on a version.
+    ///
+    /// # Errors
+    /// [`ProcessClusterError::NotActive`] with the status of each process if the time is over.
     pub fn await_active(&self, processes: &[usize], version: u64) -> Result<(), ProcessClusterError> {
         let started = Instant::now();
         while !processes.iter().all(|process| self.acts_on(*process, version)) {
--- a/crates/simulation/src/process_cluster/processes.rs
+++ b/crates/simulation/src/process_cluster/processes.rs
@@ -93,11 +93,19 @@
 
 impl ProcessCluster {
     /// Starts so many processes of this program. `serial` tells its folder from those of other runs.
+    ///
+    /// # Errors
+    /// A folder, socket or configuration file cannot be made ([`ProcessClusterError::Io`]), or a process does
+    /// not start ([`ProcessClusterError::Start`]). Processes started before it are ended.
     pub fn start(program: &Path, members: usize, serial: u64) -> Result<Self, ProcessClusterError> {
         Self::with_config(program, members, serial, |_, _| ())
     }
 
     /// The same, with changes to the configuration of each.
+    ///
+    /// # Errors
+    /// As for [`ProcessCluster::start`]; a changed configuration that the program rejects is a
+    /// [`ProcessClusterError::Start`].
     pub fn with_config(
         program: &Path,
         members: usize,
@@ -109,6 +117,9 @@
 
     /// The same with more processes prepared, in order, that are not members and not started:
     /// [`ProcessCluster::start_process`] starts one.
+    ///
+    /// # Errors
+    /// As for [`ProcessCluster::start`].
     pub fn with_spares(
         program: &Path,
         members: usize,
@@ -188,6 +199,11 @@
     }
 
     /// Starts a process and waits until it reports where it listens.
+    ///
+    /// # Errors
+    /// [`ProcessClusterError::Io`] if the program cannot be run, and [`ProcessClusterError::Start`] if the
+    /// process ends, or logs for too long, without reporting its address. It is ended then and counts as not
+    /// running.
     pub fn start_process(&self, process: usize) -> Result<(), ProcessClusterError> {
         let files = &self.files[process];
         let mut command = Command::new(&self.program);
@@ -255,6 +271,10 @@
     }
 
     /// A gateway's connection to a process.
+    ///
+    /// # Errors
+    /// [`ProcessClusterError::NotRunning`] if the process is stopped, and [`ProcessClusterError::Io`] if it
+    /// cannot be connected to.
     pub fn gateway(&self, process: usize) -> Result<Gateway, ProcessClusterError> {
         let address = self.addresses(process)?.gateway;
         Gateway::connect(&address, ANSWER_TIMEOUT).map_err(ProcessClusterError::io("a gateway"))
--- a/crates/simulation/src/process_cluster/run.rs
+++ b/crates/simulation/src/process_cluster/run.rs
@@ -68,6 +68,10 @@
 }
 
 /// Runs a plan on so many processes of a program. Conflicting versions may be acted on side by side for `max_overlap`.
+///
+/// # Errors
+/// The processes cannot be started. Violations that are found during the run are part of the [`Outcome`], not
+/// errors.
 pub fn run(
     program: &Path,
     processes: usize,
