--- a/crates/idempotency/src/table/mod.rs
+++ b/crates/idempotency/src/table/mod.rs
@@ -14,8 +14,8 @@
 //! The decision table *event × state → outcome* that this follows row by row is in `docs/design/record.md`. Time comes
 //! with each call, randomness from a seed; it owns no socket, file or thread.
 //!
-//! [`state`] is one key; [`durability`] the writes for the store, with its [`circuit_breaker`]; [`expiry`] drops what is
-//! past its window; [`replication`] copies the table to the process that takes the node over.
+//! `state` is one key; `durability` the writes for the store, with its `circuit_breaker`; `expiry` drops what is
+//! past its window; `replication` copies the table to the process that takes the node over.
 
 mod circuit_breaker;
 mod durability;
