--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -210,6 +210,7 @@
         self.config.classes[class].effect
     }
 
+    #[expect(clippy::too_many_lines, reason = "one arm for each action, each a few assertions")]
     fn check(&mut self, action: &Action) {
         let (now, drained_at, grace) = (self.now, self.drained_at, self.config.drain_grace);
         match action {
--- a/crates/cluster/tests/diff.rs
+++ b/crates/cluster/tests/diff.rs
@@ -18,6 +18,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table with a line for each difference")]
 fn each_difference_has_its_compatibility() {
     use Compatibility::*;
     type Change = fn(&mut Value);
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -146,6 +146,7 @@
         self.settle();
     }
 
+    #[expect(clippy::too_many_lines, reason = "one arm for each step of the model")]
     fn step(&mut self, step: Step) {
         let mut out = Vec::new();
         match step {
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -145,14 +145,7 @@
             IdempotencyStore::start(store_settings, owner, IDEMPOTENCY_STORE, &system, clock.moment())
                 .map_err(NodeError::IdempotencyStore)?;
         key_table.set_max_bytes(config.max_volatile_bytes);
-        let peer_keys = peers::PollKeys {
-            listener: PEER_LISTENER,
-            log_writer: CONSENSUS_LOG,
-            first_connection: FIRST_PEER,
-        };
-        let join =
-            |cluster| Peers::start(&system, cluster, &config.name, config.seed, peer_keys).map(Box::new);
-        let peers = config.operators.fleet.as_ref().map(join).transpose().map_err(NodeError::Cluster)?;
+        let peers = join_cluster(&system, &config)?;
         let admin = Admin::listen(&system, config.admin, ADMIN_LISTENER, FIRST_ADMIN_CALLER, peers.is_some())
             .map_err(io_error("listening at the second address"))?;
         let mut request_metrics = RequestMetrics::default();
@@ -366,6 +359,15 @@
     }
 }
 
+/// The links to the other nodes, if the operators' script names a cluster.
+fn join_cluster<S: System>(system: &S, config: &Config) -> Result<Option<Box<Peers<S>>>, NodeError> {
+    let Some(cluster) = &config.operators.fleet else { return Ok(None) };
+    let keys =
+        peers::PollKeys { listener: PEER_LISTENER, log_writer: CONSENSUS_LOG, first_connection: FIRST_PEER };
+    let peers = Peers::start(system, cluster, &config.name, config.seed, keys)?;
+    Ok(Some(Box::new(peers)))
+}
+
 /// Descriptors that operators, the cluster and the idempotency store may take of the node's.
 fn reserved_descriptors(config: &Config, has_durable_store: bool) -> usize {
     let idempotency = if has_durable_store { idempotency_store::SOCKETS } else { 0 };
