--- a/crates/admission/src/engine/actions.rs
+++ b/crates/admission/src/engine/actions.rs
@@ -4,7 +4,7 @@
 use super::{Engine, EngineCommand};
 use crate::idempotency::{IdempotencyTable, JoinOutcome, RunPermit};
 use crate::interface::{Action, Event, Outcome, RequestId};
-use crate::time::{Micros, Moment};
+use crate::time::{Micros, Moment, Timestamp};
 
 /// How long a key is kept past its class's window. Callers and other nodes measure the window by their own clocks; the
 /// margin covers a small difference between these and this machine's.
@@ -31,7 +31,7 @@
                 Action::Call(id, until) => {
                     if let Some(attempt) = self.attempts.get_mut(id) {
                         attempt.awaiting_call = true;
-                        commands.push(EngineCommand::Call(id, Micros::from(until).since(now.mono)));
+                        commands.push(EngineCommand::Call(id, Timestamp::from(until).since(now.mono)));
                     }
                 }
                 Action::AnnounceCapacity(capacity) => self.capacity = Some(capacity),
--- a/crates/admission/src/engine/admit.rs
+++ b/crates/admission/src/engine/admit.rs
@@ -59,7 +59,7 @@
     fn new_attempt(&self, now: Moment, arrival: &Arrival<'_>) -> Attempt {
         let class = arrival.class.min(self.settings.classes.len() - 1);
         let settings = &self.settings.classes[class];
-        let ingress = Moment { mono: now.mono.since(arrival.age), wall: arrival.ingress };
+        let ingress = Moment { mono: now.mono.minus(arrival.age), wall: arrival.ingress };
         let deadline: Micros = settings.deadline.into();
         let timeout = arrival.caller_timeout.map_or(deadline, |timeout| timeout.min(deadline));
         let repeat_key: Option<Rc<str>> = match settings.effect {
--- a/crates/admission/src/engine/attempts.rs
+++ b/crates/admission/src/engine/attempts.rs
@@ -1,7 +1,7 @@
 //! The attempts that the engine has admitted, and which of them still await an answer.
 
 use crate::interface::RequestId;
-use crate::time::{Micros, Moment};
+use crate::time::{Micros, Moment, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -31,7 +31,7 @@
     /// When it reached the machine.
     pub ingress: Moment,
     /// Monotonic time by which it must be answered.
-    pub due: Micros,
+    pub due: Timestamp,
     pub awaiting_answer: bool,
     pub run: RunState,
     /// Its run waits for an outbound call.
@@ -75,7 +75,7 @@
     #[serde(rename = "print")]
     fingerprint: u128,
     ingress: Moment,
-    due: Micros,
+    due: Timestamp,
     #[serde(rename = "owed")]
     awaiting_answer: bool,
     #[serde(rename = "awaits")]
@@ -130,7 +130,7 @@
 pub(super) struct AttemptTable {
     pub by_id: BTreeMap<RequestId, Attempt>,
     /// Due times of the attempts that await an answer.
-    pub pending_answers: BTreeSet<(Micros, RequestId)>,
+    pub pending_answers: BTreeSet<(Timestamp, RequestId)>,
 }
 
 impl AttemptTable {
@@ -171,12 +171,12 @@
     }
 
     /// The earliest due time of an attempt that awaits an answer.
-    pub fn earliest_due(&self) -> Option<Micros> {
+    pub fn earliest_due(&self) -> Option<Timestamp> {
         self.pending_answers.first().map(|(due, _)| *due)
     }
 
     /// Takes the attempt that is due first out of the index of pending answers, if it is `grace` past its due time.
-    pub fn pop_overdue(&mut self, now: Micros, grace: Micros) -> Option<RequestId> {
+    pub fn pop_overdue(&mut self, now: Timestamp, grace: Micros) -> Option<RequestId> {
         let (due, id) = *self.pending_answers.first()?;
         if due.plus(grace) > now {
             return None;
--- a/crates/admission/src/engine/deadlines.rs
+++ b/crates/admission/src/engine/deadlines.rs
@@ -4,7 +4,7 @@
 //! does not arrive within [`GAUGE_TIMEOUT`], the timer fires without it.
 
 use crate::interface::{Event, Gauges};
-use crate::time::Micros;
+use crate::time::{Micros, Timestamp};
 use std::collections::BTreeSet;
 
 /// How long a due timer waits for the backend's gauges. Deadlines are checked when timers fire, so that a slow or
@@ -29,24 +29,24 @@
 /// The controller's timers. Each has a number that the controller chose.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ControllerTimers {
-    pub scheduled: BTreeSet<(Micros, u64)>,
+    pub scheduled: BTreeSet<(Timestamp, u64)>,
     /// Timers that are due and wait for the gauges.
     pub due: Vec<u64>,
-    gauges_requested_at: Option<Micros>,
+    gauges_requested_at: Option<Timestamp>,
 }
 
 impl ControllerTimers {
     /// Timers as another process had them, with no reading of the gauges under way.
-    pub fn restored(scheduled: BTreeSet<(Micros, u64)>, due: Vec<u64>) -> Self {
+    pub fn restored(scheduled: BTreeSet<(Timestamp, u64)>, due: Vec<u64>) -> Self {
         ControllerTimers { scheduled, due, gauges_requested_at: None }
     }
 
-    pub fn schedule(&mut self, at: Micros, timer: u64) {
+    pub fn schedule(&mut self, at: Timestamp, timer: u64) {
         self.scheduled.insert((at, timer));
     }
 
     /// Moves the timers that are due by now to those that wait for the gauges.
-    pub fn expire(&mut self, now: Micros) {
+    pub fn expire(&mut self, now: Timestamp) {
         while let Some((at, timer)) = self.scheduled.first().copied().filter(|(at, _)| *at <= now) {
             self.scheduled.remove(&(at, timer));
             self.due.push(timer);
@@ -54,7 +54,7 @@
     }
 
     /// What to do about the timers that are due; remembers when the gauges were requested.
-    pub fn poll(&mut self, now: Micros, backend_linked: bool) -> DueTimers {
+    pub fn poll(&mut self, now: Timestamp, backend_linked: bool) -> DueTimers {
         if self.due.is_empty() {
             return DueTimers::Wait;
         }
@@ -80,7 +80,7 @@
     }
 
     /// When to look again although nothing happens.
-    pub fn next_wakeup(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Timestamp> {
         let scheduled = self.scheduled.first().map(|(at, _)| *at);
         let gauge_timeout = self.gauges_requested_at.map(|since| since.plus(GAUGE_TIMEOUT));
         let gauge_timeout = gauge_timeout.filter(|_| !self.due.is_empty());
--- a/crates/admission/src/engine/events.rs
+++ b/crates/admission/src/engine/events.rs
@@ -1,7 +1,7 @@
 //! What the engine is told: arrivals, and everything that happens to an attempt later.
 
 use crate::interface::{Gauges, RequestId};
-use crate::time::Micros;
+use crate::time::{Micros, Timestamp, UnixTime};
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
@@ -19,7 +19,7 @@
     /// Time since it reached the machine.
     pub age: Micros,
     /// Unix time at which it reached the machine, as the request itself states.
-    pub ingress: Micros,
+    pub ingress: UnixTime,
     /// Expected work on one core.
     pub work_hint: Option<Micros>,
     /// Memory that it takes while queued, in kilobytes.
@@ -97,9 +97,9 @@
     /// The process was asked to stop.
     Drain {
         /// Monotonic time of the notice; the grace period counts from then.
-        notice: Micros,
+        notice: Timestamp,
         /// Monotonic time at which the process is stopped.
-        stop: Micros,
+        stop: Timestamp,
     },
     /// The gauges that [`EngineCommand::ReadGauges`] asked for.
     ///
--- a/crates/admission/src/engine/mod.rs
+++ b/crates/admission/src/engine/mod.rs
@@ -30,7 +30,7 @@
 use crate::controller::Controller;
 use crate::idempotency::IdempotencyTable;
 use crate::interface::{Class, Effect, Event, Gauges, RequestId, Settings, SettingsError};
-use crate::time::{Micros, Moment};
+use crate::time::{Micros, Moment, Timestamp};
 use attempts::AttemptTable;
 use deadlines::{ControllerTimers, DueTimers, OVERDUE_GRACE};
 use std::collections::BTreeSet;
@@ -39,9 +39,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Drain {
     /// The end of the grace period: first attempts that reach the machine later are rejected.
-    last_ingress: Micros,
+    last_ingress: Timestamp,
     /// All answers are out by then.
-    stop: Micros,
+    stop: Timestamp,
 }
 
 /// The controller with its timers, the table of attempts and the idempotency table; see the module's page.
@@ -115,7 +115,7 @@
     /// Handles what is due by now: appends the commands that follow, and returns when to call again.
     ///
     /// Also to be called after each change to the idempotency table.
-    pub fn on_timer(&mut self, now: Moment, commands: &mut Vec<EngineCommand>) -> Option<Micros> {
+    pub fn on_timer(&mut self, now: Moment, commands: &mut Vec<EngineCommand>) -> Option<Timestamp> {
         self.timers.expire(now.mono);
         match self.timers.poll(now.mono, self.backend_linked) {
             DueTimers::Wait => {}
@@ -140,7 +140,7 @@
         // `new` has built the same controller before; settings that it accepted once are accepted again.
         let Ok(mut controller) = Controller::new(settings, self.seed) else { return };
         let mut actions = Vec::new();
-        controller.step(now.mono.since(age).time(), &[], &mut actions);
+        controller.step(now.mono.minus(age).time(), &[], &mut actions);
         self.controller = Some(controller);
         if let Some(drain) = self.drain {
             self.controller_events.push(Event::Drain(drain.stop.time()));
--- a/crates/admission/src/engine/snapshot.rs
+++ b/crates/admission/src/engine/snapshot.rs
@@ -6,7 +6,7 @@
 use crate::controller::Controller;
 use crate::idempotency::IdempotencyTable;
 use crate::interface::{RequestId, Settings};
-use crate::time::Micros;
+use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,9 +24,9 @@
     #[serde(rename = "tries")]
     attempts: BTreeMap<RequestId, Attempt>,
     #[serde(rename = "owed")]
-    pending_answers: BTreeSet<(Micros, RequestId)>,
+    pending_answers: BTreeSet<(Timestamp, RequestId)>,
     #[serde(rename = "timers")]
-    scheduled_timers: BTreeSet<(Micros, u64)>,
+    scheduled_timers: BTreeSet<(Timestamp, u64)>,
     due_timers: Vec<u64>,
     capacity: Option<f64>,
     #[serde(rename = "good")]
--- a/crates/admission/src/handover.rs
+++ b/crates/admission/src/handover.rs
@@ -45,7 +45,7 @@
 //!
 //! Events that a role has no row for change nothing.
 
-use crate::time::Micros;
+use crate::time::{Micros, Timestamp};
 
 /// How long a successor has to take over once all state was sent. It only has to acquire a free lock and say so; while
 /// it does not, callers wait for both processes.
@@ -68,14 +68,14 @@
     /// All state was sent and the lock was released; the successor is linked and has not confirmed.
     HandingOver {
         /// When the state was sent, or when the lock was last found held since.
-        since: Micros,
+        since: Timestamp,
     },
     /// As `HandingOver`, but the link to the successor is lost: it may have taken over, or died.
     SuccessorLost {
         /// As in `HandingOver`.
-        since: Micros,
+        since: Timestamp,
         /// When the lock was last attempted.
-        last_attempt: Micros,
+        last_attempt: Timestamp,
     },
     /// The lock was reclaimed; messages that the successor sent before are still to be read.
     Reclaimed,
@@ -91,11 +91,11 @@
     /// The link to the predecessor was lost before its state was complete; it may still hold the lock.
     PredecessorLost {
         /// When the link was lost.
-        since: Micros,
+        since: Timestamp,
         /// All keys of the predecessor had arrived.
         keys_complete: bool,
         /// When the lock was last attempted.
-        last_attempt: Micros,
+        last_attempt: Timestamp,
     },
 }
 
@@ -201,7 +201,7 @@
     }
 
     /// When to report [`Event::Tick`] although nothing happens.
-    pub fn next_wakeup(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Timestamp> {
         match self.role {
             Role::HandingOver { since } => Some(since.plus(TAKEOVER_TIMEOUT)),
             Role::SuccessorLost { last_attempt, .. } | Role::PredecessorLost { last_attempt, .. } => {
@@ -212,7 +212,7 @@
     }
 
     /// Handles an event; returns what is to be done about it, in order.
-    pub fn on_event(&mut self, now: Micros, event: Event) -> Vec<Action> {
+    pub fn on_event(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         match self.role {
             Role::Alone => self.alone(event),
             // There is room for one other process at a time.
@@ -238,7 +238,7 @@
         }
     }
 
-    fn predecessor(&mut self, now: Micros, event: Event) -> Vec<Action> {
+    fn predecessor(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         match event {
             Event::Unlinked => self.enter(Role::Alone, vec![Action::StopReplicating]),
             Event::Terminate => self.enter(Role::HandingOver { since: now }, vec![Action::HandOver]),
@@ -246,7 +246,7 @@
         }
     }
 
-    fn handing_over(&mut self, now: Micros, event: Event, since: Micros) -> Vec<Action> {
+    fn handing_over(&mut self, now: Timestamp, event: Event, since: Timestamp) -> Vec<Action> {
         match event {
             Event::TakenOver => self.enter(Role::Retired, vec![Action::Retire]),
             Event::Unlinked => {
@@ -260,7 +260,7 @@
         }
     }
 
-    fn successor_lost(&mut self, now: Micros, event: Event, since: Micros) -> Vec<Action> {
+    fn successor_lost(&mut self, now: Timestamp, event: Event, since: Timestamp) -> Vec<Action> {
         match event {
             Event::TakenOver => self.enter(Role::Retired, vec![Action::Retire]),
             Event::Unlinked => {
@@ -297,7 +297,7 @@
         }
     }
 
-    fn successor_waiting(&mut self, now: Micros, event: Event, keys_complete: bool) -> Vec<Action> {
+    fn successor_waiting(&mut self, now: Timestamp, event: Event, keys_complete: bool) -> Vec<Action> {
         match event {
             Event::KeysComplete => self.enter(Role::Successor { keys_complete: true }, vec![]),
             // Leaves the lock that the predecessor has released to the predecessor, which knows the whole state.
@@ -324,9 +324,9 @@
 
     fn predecessor_lost(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         event: Event,
-        since: Micros,
+        since: Timestamp,
         keys_complete: bool,
     ) -> Vec<Action> {
         match event {
@@ -346,7 +346,7 @@
         self.enter(Role::Successor { keys_complete: false }, vec![Action::SearchAgain])
     }
 
-    fn is_due(&self, now: Micros) -> bool {
+    fn is_due(&self, now: Timestamp) -> bool {
         self.next_wakeup().is_some_and(|due| due <= now)
     }
 
--- a/crates/admission/src/idempotency.rs
+++ b/crates/admission/src/idempotency.rs
@@ -5,7 +5,7 @@
 //! through [`IdempotencyTable::drain_settled`]. It reads no clock and does no I/O.
 
 use crate::interface::RequestId;
-use crate::time::{Micros, Moment};
+use crate::time::{Micros, Moment, Timestamp};
 use std::rc::Rc;
 
 /// What is known of a key when an attempt with it arrives.
@@ -117,5 +117,5 @@
     /// Whether keyed requests can be admitted: false while the keys of an earlier process are being read.
     fn is_ready(&self) -> bool;
     /// When to call [`IdempotencyTable::drain_settled`] although nothing happens.
-    fn next_wakeup(&self) -> Option<Micros>;
+    fn next_wakeup(&self) -> Option<Timestamp>;
 }
--- a/crates/admission/tests/engine.rs
+++ b/crates/admission/tests/engine.rs
@@ -7,7 +7,7 @@
 use gaugestand_admission::engine::{
     AdmitError, Arrival, CallOutcome, Engine, EngineCommand, EngineEvent, RunOutcome,
 };
-use gaugestand_admission::time::{Micros, Moment};
+use gaugestand_admission::time::{Micros, Moment, Timestamp, UnixTime};
 use gaugestand_admission::{Downstream, Gauges, RequestId, Settings};
 use gaugestand_idempotency::KeyTable;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 /// An engine whose backend is up, and its clock.
 struct Harness {
     engine: Engine<KeyTable>,
-    now: Micros,
+    now: Timestamp,
 }
 
 impl Harness {
@@ -30,7 +30,7 @@
         let mut settings = Settings { downstream: Downstream::Tier, ..settings() };
         change(&mut settings);
         let engine = Engine::new(settings, 1, KeyTable::volatile()).expect("sound settings");
-        let mut harness = Harness { engine, now: Micros::millis(3_600_000) };
+        let mut harness = Harness { engine, now: Timestamp::millis(3_600_000) };
         harness.on_event(EngineEvent::BackendStarted { cold: false, age: Micros(0) });
         harness
     }
@@ -63,7 +63,7 @@
             repeat_key: Some("k".to_string()),
             body: b"body",
             age: Micros::millis(age),
-            ingress: self.moment().wall.since(Micros::millis(age)),
+            ingress: self.moment().wall.minus(Micros::millis(age)),
             work_hint: None,
             queued_kb: 20.0,
             shed_order: 0.5,
@@ -84,7 +84,7 @@
     }
 
     fn moment(&self) -> Moment {
-        Moment { mono: self.now, wall: self.now.plus(Micros::millis(1_700_000_000_000)) }
+        Moment { mono: self.now, wall: UnixTime(self.now.0).plus(Micros::millis(1_700_000_000_000)) }
     }
 
     /// Advances the clock in steps of 4 ms; requests for gauges are not answered.
@@ -227,7 +227,7 @@
     assert!(harness.engine.is_healthy());
     let stop = harness.now.plus(Micros::millis(1900));
     // The notice came 300 ms ago, and the grace period is 1 s.
-    let notice = harness.now.since(Micros::millis(300));
+    let notice = harness.now.minus(Micros::millis(300));
     harness.on_event(EngineEvent::Drain { notice, stop });
     assert!(!harness.engine.is_healthy());
     harness.advance(740);
--- a/crates/admission/tests/handover.rs
+++ b/crates/admission/tests/handover.rs
@@ -5,7 +5,7 @@
 //! outlive the death of the side that wrote them, and one idempotency key with what each process knows of it.
 
 use gaugestand_admission::handover::{Action, Event, Handover, Role};
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use stateright::{Checker, Model, Property};
 use std::collections::VecDeque;
 
@@ -75,7 +75,7 @@
 
 impl State {
     fn deliver(&mut self, process: usize, event: Event) {
-        let now = Micros(u64::from(self.clock) * STEP.0);
+        let now = Timestamp(u64::from(self.clock) * STEP.0);
         let Some(machine) = &mut self.machines[process] else { return };
         for action in machine.on_event(now, event) {
             self.carry_out(process, action);
@@ -173,7 +173,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let mut predecessor = Handover::active();
-        predecessor.on_event(Micros(0), Event::Linked);
+        predecessor.on_event(Timestamp(0), Event::Linked);
         vec![State {
             machines: [Some(predecessor), Some(Handover::successor())],
             lock_holder: Some(PREDECESSOR),
@@ -307,8 +307,8 @@
     assert!(checker.discovery("a key runs once").is_some());
 }
 
-fn ms(ms: u64) -> Micros {
-    Micros::millis(ms)
+fn ms(ms: u64) -> Timestamp {
+    Timestamp::millis(ms)
 }
 
 // The successor stalls after the state was sent. The predecessor must not take the lock back while the successor may still
--- a/crates/cluster/src/consensus/leases.rs
+++ b/crates/cluster/src/consensus/leases.rs
@@ -4,10 +4,15 @@
 use crate::NodeId;
 use crate::lease;
 use crate::wire::{LeaseRequest, Payload};
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Timestamp;
 
 impl Consensus {
-    pub(super) fn on_lease_event(&mut self, now: Micros, event: lease::Event, commands: &mut Vec<Command>) {
+    pub(super) fn on_lease_event(
+        &mut self,
+        now: Timestamp,
+        event: lease::Event,
+        commands: &mut Vec<Command>,
+    ) {
         let mut lease_commands = Vec::new();
         self.activation.on_event(now, event, &mut lease_commands);
         for command in lease_commands {
--- a/crates/cluster/src/consensus/membership_changes.rs
+++ b/crates/cluster/src/consensus/membership_changes.rs
@@ -8,7 +8,7 @@
 use crate::NodeId;
 use crate::log_storage::raft_id;
 use crate::membership::{ClusterView, Membership, MembershipChange};
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Timestamp;
 use raft::prelude::{ConfChange, ConfChangeType};
 
 /// The library's form of a change; `after` is the membership with it.
@@ -37,7 +37,7 @@
     }
 
     /// Proposes to promote a learner that has caught up.
-    pub(super) fn promote_learner(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    pub(super) fn promote_learner(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         // Checked first, as it is nearly always so: then nothing of the log has to be read.
         if self.membership.promotable_learners().next().is_none() {
             return;
--- a/crates/cluster/src/consensus/messages.rs
+++ b/crates/cluster/src/consensus/messages.rs
@@ -6,7 +6,7 @@
 use crate::lease;
 use crate::log_storage::raft_id;
 use crate::wire::{ForwardedProposal, Payload, ProposalResult};
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Timestamp;
 use protobuf::Message as _;
 use raft::prelude::Message;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 impl Consensus {
     pub(super) fn on_message(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         from: NodeId,
         payload: Payload,
         commands: &mut Vec<Command>,
@@ -61,7 +61,7 @@
 
     fn on_forwarded(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         from: NodeId,
         forwarded: ForwardedProposal,
         commands: &mut Vec<Command>,
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -28,7 +28,7 @@
 use crate::wire::MAX_CONTENT_BYTES;
 use crate::{NodeId, Version};
 use gaugestand_admission::log_record::RecoveredLog;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use proposals::{Origin, PendingProposal, Proposal};
 use raft::{RawNode, StateRole};
 use raft_log::PendingWrite;
@@ -88,10 +88,10 @@
     /// The proposal that this node works on, if it leads.
     pending_proposal: Option<PendingProposal>,
     /// Deadlines of proposals that were forwarded, by ticket.
-    forwarded: BTreeMap<u64, Micros>,
+    forwarded: BTreeMap<u64, Timestamp>,
     /// The leader that they were forwarded to.
     forwarded_to: Option<NodeId>,
-    last_tick: Option<Micros>,
+    last_tick: Option<Timestamp>,
     draining: bool,
 }
 
@@ -132,7 +132,7 @@
 impl Consensus {
     /// A node that has just started. `found` is its log on disk, of this node and this cluster.
     pub fn new(
-        now: Micros,
+        now: Timestamp,
         config: ConsensusConfig,
         found: &RecoveredLog,
         commands: &mut Vec<Command>,
@@ -170,7 +170,7 @@
     }
 
     /// What this node may act on. `now` has to be read just before each decision.
-    pub fn active_version(&self, now: Micros) -> ActiveVersion {
+    pub fn active_version(&self, now: Timestamp) -> ActiveVersion {
         let is_member = self.membership.get(self.config.node_id).is_some();
         match self.activation.active_version(now) {
             // A node that has not joined, or was removed, takes no part in what the members act on.
@@ -225,13 +225,13 @@
     }
 
     /// When [`Event::Timer`] is due next.
-    pub fn next_timer(&self, now: Micros) -> Micros {
+    pub fn next_timer(&self, now: Timestamp) -> Timestamp {
         let tick = self.last_tick.map_or(now, |last| last.plus(RAFT_TICK));
         self.activation.next_timer().map_or(tick, |timer| timer.min(tick))
     }
 
     /// Takes in an event; appends what has to be done to `commands`.
-    pub fn on_event(&mut self, now: Micros, event: Event, commands: &mut Vec<Command>) {
+    pub fn on_event(&mut self, now: Timestamp, event: Event, commands: &mut Vec<Command>) {
         match event {
             Event::Received { from, payload } => self.on_message(now, from, payload, commands),
             Event::LinkUp(node) => drop(self.linked.insert(node)),
@@ -259,7 +259,7 @@
         self.process_ready(now, commands);
     }
 
-    fn on_timer(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    fn on_timer(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         // After a pause this is one tick, not as many as it lasted: the other nodes were not silent meanwhile.
         if self.last_tick.is_none_or(|last| now.since(last) >= RAFT_TICK) {
             self.last_tick = Some(now);
--- a/crates/cluster/src/consensus/proposals.rs
+++ b/crates/cluster/src/consensus/proposals.rs
@@ -13,7 +13,7 @@
     VersionEntry,
 };
 use crate::{NodeId, Version};
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use prost::Message as _;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -73,13 +73,13 @@
     accepted_by: BTreeSet<NodeId>,
     /// The version that it was appended as.
     pub(super) appended_as: Option<Version>,
-    deadline: Micros,
+    deadline: Timestamp,
 }
 
 impl Consensus {
     pub(super) fn propose(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         origin: Origin,
         proposal: Proposal,
         commands: &mut Vec<Command>,
@@ -98,7 +98,7 @@
     }
 
     /// Forwards an operator's proposal to the leader.
-    fn forward(&mut self, now: Micros, origin: Origin, proposal: Proposal, commands: &mut Vec<Command>) {
+    fn forward(&mut self, now: Timestamp, origin: Origin, proposal: Proposal, commands: &mut Vec<Command>) {
         let leader = self.leader().filter(|leader| self.linked.contains(leader));
         let (Origin::Local { ticket }, Some(leader)) = (origin, leader) else {
             // A forwarded one is not forwarded again: two nodes that each take the other for the leader would never end.
@@ -145,7 +145,7 @@
 
     fn start(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         origin: Origin,
         proposal: Proposal,
         planned_change: Option<PlannedChange>,
@@ -189,7 +189,7 @@
     /// A node has validated a content: this node for any leader, or another node for this one.
     pub(super) fn on_validated(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         validator: NodeId,
         validation: ValidationId,
         result: Result<(), Unacceptable>,
@@ -228,7 +228,7 @@
     }
 
     /// Appends the pending proposal to the log, as the next version.
-    fn append(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    fn append(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         let version = self.raft.store().last_version() + 1;
         let Some(pending) = self.pending_proposal.as_mut() else { return };
         pending.appended_as = Some(version);
@@ -251,7 +251,7 @@
     }
 
     /// Answers forwarded proposals the result of which did not come in time.
-    pub(super) fn expire_forwarded(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    pub(super) fn expire_forwarded(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         let expired = self.forwarded.iter().filter(|(_, deadline)| **deadline <= now);
         let expired: Vec<u64> = expired.map(|(ticket, _)| *ticket).collect();
         for ticket in expired {
@@ -261,7 +261,7 @@
     }
 
     /// Decides on the pending proposal if its deadline has passed.
-    pub(super) fn expire_pending_proposal(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    pub(super) fn expire_pending_proposal(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         let pending = self.pending_proposal.as_ref().filter(|pending| pending.deadline <= now);
         let Some(pending) = pending else { return };
         if pending.appended_as.is_some() {
--- a/crates/cluster/src/consensus/raft_log.rs
+++ b/crates/cluster/src/consensus/raft_log.rs
@@ -10,7 +10,7 @@
 use crate::log_storage::version_entry;
 use crate::wire::{Payload, VersionEntry};
 use gaugestand_admission::log_record::LogRecord;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Timestamp;
 use protobuf::Message as _;
 use raft::prelude::{ConfChange, Entry, EntryType, Message, Snapshot};
 use std::rc::Rc;
@@ -31,14 +31,14 @@
 
 impl Consensus {
     /// Takes over all that the library has ready; called after each event.
-    pub(super) fn process_ready(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    pub(super) fn process_ready(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         while self.raft.has_ready() {
             self.process_one_ready(now, commands);
         }
         self.fail_proposals_of_old_leader(commands);
     }
 
-    fn process_one_ready(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    fn process_one_ready(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         let mut ready = self.raft.ready();
         self.send_raft_messages(ready.take_messages(), commands);
         let mut record = LogRecord::default();
@@ -63,7 +63,7 @@
 
     fn restore_snapshot(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         snapshot: &Snapshot,
         record: &mut LogRecord,
         commands: &mut Vec<Command>,
@@ -96,7 +96,7 @@
         self.pending_writes.push_back(write);
     }
 
-    pub(super) fn on_persisted(&mut self, now: Micros, sequence: u64, commands: &mut Vec<Command>) {
+    pub(super) fn on_persisted(&mut self, now: Timestamp, sequence: u64, commands: &mut Vec<Command>) {
         if let Some(write) = self.pending_writes.iter_mut().find(|write| write.sequence == sequence) {
             write.is_durable = true;
         }
@@ -104,7 +104,7 @@
     }
 
     /// Reports writes that are durable, with all before them, and sends what waited for them.
-    fn release_durable(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    fn release_durable(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         while let Some(write) = self.pending_writes.pop_front_if(|write| write.is_durable) {
             self.raft.on_persist_ready(write.ready_number);
             self.send_raft_messages(write.messages, commands);
@@ -121,7 +121,7 @@
         }
     }
 
-    fn apply_entries(&mut self, now: Micros, entries: Vec<Entry>, commands: &mut Vec<Command>) {
+    fn apply_entries(&mut self, now: Timestamp, entries: Vec<Entry>, commands: &mut Vec<Command>) {
         for entry in entries {
             self.applied_index = entry.index;
             if entry.get_entry_type() == EntryType::EntryConfChange {
@@ -139,7 +139,7 @@
     }
 
     /// A version is committed: reports it and starts its activation.
-    pub(super) fn commit(&mut self, now: Micros, entry: VersionEntry, commands: &mut Vec<Command>) {
+    pub(super) fn commit(&mut self, now: Timestamp, entry: VersionEntry, commands: &mut Vec<Command>) {
         let version = entry.version;
         let content = Rc::<[u8]>::from(entry.content);
         let immediate = entry.membership.is_empty() && self.is_compatible_successor(version, &content);
--- a/crates/cluster/src/lease/activation.rs
+++ b/crates/cluster/src/lease/activation.rs
@@ -4,7 +4,7 @@
 use super::defect::Defect;
 use crate::voters::VoterSet;
 use crate::{NodeId, Version};
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Timestamp;
 use std::collections::BTreeSet;
 
 /// What happens to a node.
@@ -76,7 +76,7 @@
     /// The version that it was requested for.
     pub version: Version,
     /// When it ends, by this node's monotonic clock.
-    pub expires_at: Micros,
+    pub expires_at: Timestamp,
 }
 
 /// A committed version that is not activated yet.
@@ -84,7 +84,7 @@
 struct PendingVersion {
     version: Version,
     /// Not before then, nor before the pending versions ahead of it.
-    activates_at: Micros,
+    activates_at: Timestamp,
     immediate: bool,
 }
 
@@ -100,7 +100,7 @@
 struct LeaseRequest {
     id: u64,
     version: Version,
-    requested_at: Micros,
+    requested_at: Timestamp,
     granted_by: BTreeSet<NodeId>,
 }
 
@@ -143,7 +143,7 @@
     }
 
     /// What the node may act on at this moment. `now` has to be read just before each decision.
-    pub fn active_version(&self, now: Micros) -> ActiveVersion {
+    pub fn active_version(&self, now: Timestamp) -> ActiveVersion {
         let is_valid = |lease: &Lease| {
             now < lease.expires_at && (self.oldest_valid_lease..=self.activated).contains(&lease.version)
         };
@@ -164,7 +164,7 @@
     }
 
     /// When [`Event::Timer`] is due next.
-    pub fn next_timer(&self) -> Option<Micros> {
+    pub fn next_timer(&self) -> Option<Timestamp> {
         let activation = self.pending.first().map(|pending| pending.activates_at);
         // While the log holds a later version nothing is renewed: a timer for that would be due in the past, for ever.
         let request = self.request.as_ref().filter(|_| self.may_lease(self.activated));
@@ -173,7 +173,7 @@
     }
 
     /// Takes in an event; appends what is to be sent to `commands`.
-    pub fn on_event(&mut self, now: Micros, event: Event, commands: &mut Vec<Command>) {
+    pub fn on_event(&mut self, now: Timestamp, event: Event, commands: &mut Vec<Command>) {
         match event {
             Event::LogTail(version) => self.log_tail = version,
             Event::Committed { version, immediate, voters } => {
@@ -199,7 +199,7 @@
         }
     }
 
-    fn on_committed(&mut self, now: Micros, version: Version, immediate: bool, voters: VoterSet) {
+    fn on_committed(&mut self, now: Timestamp, version: Version, immediate: bool, voters: VoterSet) {
         let is_new = version > self.activated && self.pending.iter().all(|pending| pending.version < version);
         if !is_new {
             return;
@@ -220,12 +220,12 @@
         self.log_tail <= version || self.config.has_defect(Defect::GrantsOutdatedLease)
     }
 
-    fn is_renewal_due(&self, now: Micros) -> bool {
+    fn is_renewal_due(&self, now: Timestamp) -> bool {
         let Some(request) = &self.request else { return true };
         request.version != self.activated || now.since(request.requested_at) >= self.config.renewal_interval()
     }
 
-    fn activate_due(&mut self, now: Micros) {
+    fn activate_due(&mut self, now: Timestamp) {
         while let Some(next) = self.pending.first().copied().filter(|next| next.activates_at <= now) {
             self.pending.remove(0);
             self.activated = next.version;
@@ -238,7 +238,7 @@
         self.voter_changes.drain(..effective.saturating_sub(1));
     }
 
-    fn request_lease(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    fn request_lease(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         self.last_request_id += 1;
         self.request = Some(LeaseRequest {
             id: self.last_request_id,
@@ -263,7 +263,7 @@
     }
 
     /// A request that a quorum has granted becomes a lease, or extends the lease of the same version.
-    fn update_lease(&mut self, now: Micros) {
+    fn update_lease(&mut self, now: Timestamp) {
         let Some(request) = self.request.as_ref().filter(|request| self.has_quorum(request)) else { return };
         let from_grant = self.config.has_defect(Defect::LeaseFromGrant);
         // From the request on: a grant says that no later version was in that log when the request was answered, which
--- a/crates/cluster/tests/consensus.rs
+++ b/crates/cluster/tests/consensus.rs
@@ -5,7 +5,7 @@
 
 use common::{Partitions, Schedule};
 use gaugestand_admission::log_record::{LogRecord, RecoveredLog};
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_cluster::consensus::{
     Command, Consensus, ConsensusConfig, Event, ProposalError, Unacceptable,
 };
@@ -181,8 +181,8 @@
         self.schedule.at(time, action);
     }
 
-    fn clock(&self, node: NodeId) -> Micros {
-        Micros(self.now * self.nodes[usize::from(node)].clock_rate / 1_000_000)
+    fn clock(&self, node: NodeId) -> Timestamp {
+        Timestamp(self.now * self.nodes[usize::from(node)].clock_rate / 1_000_000)
     }
 
     fn start(&mut self, node_id: NodeId) {
--- a/crates/cluster/tests/lease.rs
+++ b/crates/cluster/tests/lease.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{Partitions, Schedule};
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_cluster::lease::{
     Activation, ActiveVersion, Command, Defect, Event, LeaseConfig, LeaseConfigError,
 };
@@ -164,14 +164,14 @@
         Event::Committed { version, immediate, voters: content.voters }
     }
 
-    fn clock(&self, id: NodeId) -> Micros {
+    fn clock(&self, id: NodeId) -> Timestamp {
         let node = &self.nodes[usize::from(id)];
         let elapsed = u128::from(self.now) * u128::from(node.clock_rate) / 1_000_000;
-        Micros(node.clock_offset + elapsed as u64)
+        Timestamp(node.clock_offset + elapsed as u64)
     }
 
     /// The simulation's time, rounded down, at which a node's clock shows this.
-    fn real_time(&self, id: NodeId, shown: Micros) -> u64 {
+    fn real_time(&self, id: NodeId, shown: Timestamp) -> u64 {
         let node = &self.nodes[usize::from(id)];
         (u128::from(shown.0 - node.clock_offset) * 1_000_000 / u128::from(node.clock_rate)) as u64
     }
@@ -405,7 +405,7 @@
     let mut commands = Vec::new();
     let mut step = |activation: &mut Activation, at: u64, event| {
         commands.clear();
-        activation.on_event(Micros(at), event, &mut commands);
+        activation.on_event(Timestamp(at), event, &mut commands);
         commands.iter().find_map(|command| match command {
             Command::RequestLease { request_id, .. } => Some(*request_id),
             Command::GrantLease { .. } => None,
@@ -417,21 +417,21 @@
     let active_at = 1 + config.activation_delay().0;
     let request_id = step(&mut activation, active_at, Event::Timer).expect("a lease request");
     step(&mut activation, active_at + 5, Event::LeaseGranted { from: 1, request_id });
-    assert_eq!(activation.active_version(Micros(active_at + 5)), ActiveVersion::Leased(1));
+    assert_eq!(activation.active_version(Timestamp(active_at + 5)), ActiveVersion::Leased(1));
     // By the lease of its predecessor, to the end of that lease and no longer.
     step(&mut activation, active_at + 10, Event::LogTail(2));
-    assert_eq!(activation.active_version(Micros(active_at + 10)), ActiveVersion::Leased(1));
+    assert_eq!(activation.active_version(Timestamp(active_at + 10)), ActiveVersion::Leased(1));
     step(&mut activation, active_at + 20, committed(2, true));
     let end = active_at + LEASE.0;
-    assert_eq!(activation.active_version(Micros(end - 1)), ActiveVersion::Leased(2));
-    assert_eq!(activation.active_version(Micros(end)), ActiveVersion::Unleased(2));
+    assert_eq!(activation.active_version(Timestamp(end - 1)), ActiveVersion::Leased(2));
+    assert_eq!(activation.active_version(Timestamp(end)), ActiveVersion::Unleased(2));
     // A conflicting version waits, and so does a compatible one after it; then no older lease counts.
     step(&mut activation, active_at + 30, Event::LogTail(4));
     step(&mut activation, active_at + 30, committed(3, false));
     step(&mut activation, active_at + 40, committed(4, true));
-    assert_eq!(activation.active_version(Micros(active_at + 40)), ActiveVersion::Leased(2));
+    assert_eq!(activation.active_version(Timestamp(active_at + 40)), ActiveVersion::Leased(2));
     let next_active_at = active_at + 30 + config.activation_delay().0;
     step(&mut activation, next_active_at, Event::Timer);
     assert_eq!(activation.activated(), 4);
-    assert_eq!(activation.active_version(Micros(next_active_at)), ActiveVersion::Unleased(4));
+    assert_eq!(activation.active_version(Timestamp(next_active_at)), ActiveVersion::Unleased(4));
 }
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -3,7 +3,7 @@
 //!
 //! The log around them is modelled: which nodes store the new version, and that a majority storing it commits it.
 
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_cluster::NodeId;
 use gaugestand_cluster::lease::{Activation, ActiveVersion, Command, Defect, Event, LeaseConfig};
 use gaugestand_cluster::voters::VoterSet;
@@ -59,8 +59,8 @@
 }
 
 impl State {
-    fn clock(&self, node: usize) -> Micros {
-        Micros(1_000 + (self.now + self.gained[node]) * UNIT)
+    fn clock(&self, node: usize) -> Timestamp {
+        Timestamp(1_000 + (self.now + self.gained[node]) * UNIT)
     }
 
     fn step(&mut self, node: usize, event: Event) {
--- a/crates/cluster/tests/stored_forms.rs
+++ b/crates/cluster/tests/stored_forms.rs
@@ -1,7 +1,7 @@
 //! What nodes of two builds send each other, and what a log on disk holds, keeps its bytes, whatever names the code has.
 
 use gaugestand_admission::log_record::RecoveredLog;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_cluster::consensus::{Command, Consensus, ConsensusConfig, Event};
 use gaugestand_cluster::diff::{Content, NamedList, differences, overall};
 use gaugestand_cluster::lease::LeaseConfig;
@@ -160,7 +160,7 @@
     let mut commands = Vec::new();
     let mut now = 1_000_000;
     let mut node =
-        Consensus::new(Micros(now), config, &RecoveredLog::default(), &mut commands).expect("a node");
+        Consensus::new(Timestamp(now), config, &RecoveredLog::default(), &mut commands).expect("a node");
     let mut written = BTreeMap::new();
     let mut records = 0;
     for round in 0..400 {
@@ -176,7 +176,7 @@
             _ => None,
         };
         for event in event.into_iter().chain([Event::Timer]) {
-            node.on_event(Micros(now), event, &mut commands);
+            node.on_event(Timestamp(now), event, &mut commands);
         }
         while !commands.is_empty() {
             for command in std::mem::take(&mut commands) {
@@ -189,11 +189,11 @@
                         for (index, entry) in record.entries {
                             written.insert(format!("{name}-entry-{index}"), entry);
                         }
-                        node.on_event(Micros(now), Event::Persisted(sequence), &mut commands);
+                        node.on_event(Timestamp(now), Event::Persisted(sequence), &mut commands);
                     }
                     Command::Validate { validation, .. } => {
                         let event = Event::Validated { validation, result: Ok(()) };
-                        node.on_event(Micros(now), event, &mut commands);
+                        node.on_event(Timestamp(now), event, &mut commands);
                     }
                     _ => {}
                 }
--- a/crates/idempotency/src/table/circuit_breaker.rs
+++ b/crates/idempotency/src/table/circuit_breaker.rs
@@ -4,7 +4,7 @@
 //! may begin, and the store is probed with one write at growing intervals until one is durable.
 
 use crate::row::Cause;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 
 /// First wait before a busy store is tried again: a lock is mostly held for the length of one transaction.
 const MIN_BUSY_RETRY: Micros = Micros::millis(5);
@@ -25,7 +25,7 @@
         /// Why; the last cause that was seen.
         cause: Cause,
         /// When the breaker opened, by the monotonic clock.
-        since: Micros,
+        since: Timestamp,
     },
 }
 
@@ -36,7 +36,7 @@
     /// The wait after the last failure, without jitter; zero once a write was durable.
     backoff: Micros,
     /// Nothing is sent to the store before this.
-    retry_at: Micros,
+    retry_at: Timestamp,
     rng: fastrand::Rng,
 }
 
@@ -46,7 +46,7 @@
         CircuitBreaker {
             state: BreakerState::Closed,
             backoff: Micros(0),
-            retry_at: Micros(0),
+            retry_at: Timestamp(0),
             rng: fastrand::Rng::with_seed(seed),
         }
     }
@@ -60,12 +60,12 @@
     }
 
     /// When the store may be sent something again.
-    pub(super) fn retry_at(&self) -> Micros {
+    pub(super) fn retry_at(&self) -> Timestamp {
         self.retry_at
     }
 
     /// Lets the store be tried at once: it has just been connected to.
-    pub(super) fn retry_now(&mut self, now: Micros) {
+    pub(super) fn retry_now(&mut self, now: Timestamp) {
         self.retry_at = now;
     }
 
@@ -73,11 +73,11 @@
     pub(super) fn close(&mut self) {
         self.state = BreakerState::Closed;
         self.backoff = Micros(0);
-        self.retry_at = Micros(0);
+        self.retry_at = Timestamp(0);
     }
 
     /// Opens for this cause. Returns false if it was open already; then only the cause changes.
-    pub(super) fn open(&mut self, now: Micros, new_cause: Cause) -> bool {
+    pub(super) fn open(&mut self, now: Timestamp, new_cause: Cause) -> bool {
         if let BreakerState::Open { cause, .. } = &mut self.state {
             *cause = new_cause;
             return false;
@@ -87,14 +87,14 @@
     }
 
     /// Waits a while for a store that was busy.
-    pub(super) fn schedule_busy_retry(&mut self, now: Micros) {
+    pub(super) fn schedule_busy_retry(&mut self, now: Timestamp) {
         self.grow_backoff(MIN_BUSY_RETRY, MAX_BUSY_RETRY);
         self.retry_at = now.plus(self.backoff);
     }
 
     /// Waits for the next probe. Up to half as long again, by chance, so that the nodes of one store do not probe it
     /// together.
-    pub(super) fn schedule_probe(&mut self, now: Micros) {
+    pub(super) fn schedule_probe(&mut self, now: Timestamp) {
         self.grow_backoff(MIN_PROBE_INTERVAL, MAX_PROBE_INTERVAL);
         let jitter = self.rng.u64(..=self.backoff.0 / 2);
         self.retry_at = now.plus(Micros(self.backoff.0 + jitter));
--- a/crates/idempotency/src/table/durability.rs
+++ b/crates/idempotency/src/table/durability.rs
@@ -13,8 +13,8 @@
 use crate::row::{Batch, Cause, Outcome, Recovery, Row, RowState, Work, Write};
 use gaugestand_admission::RequestId;
 use gaugestand_admission::idempotency::Settlement;
-use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
+use gaugestand_admission::time::{Micros, Timestamp, UnixTime};
 use std::collections::{HashMap, VecDeque};
 use std::mem;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
 /// A write and the time since which it waits.
 #[derive(Debug)]
 struct PendingWrite {
-    since: Micros,
+    since: Timestamp,
     write: Write,
 }
 
@@ -38,14 +38,14 @@
 #[derive(Debug)]
 struct InFlight {
     number: u64,
-    since: Micros,
+    since: Timestamp,
     writes: Vec<PendingWrite>,
     /// The rows of the writes' keys are looked up; nothing is written.
     is_lookup: bool,
 }
 
 impl InFlight {
-    fn oldest(&self) -> Micros {
+    fn oldest(&self) -> Timestamp {
         self.writes.first().map_or(self.since, |pending| pending.since.min(self.since))
     }
 }
@@ -58,7 +58,7 @@
     is_loaded: bool,
     is_connected: bool,
     /// No first attempt before this: there were more rows than there is room for, and any of them may bind.
-    unread_rows_bind_until: Option<Micros>,
+    unread_rows_bind_until: Option<Timestamp>,
     /// Number of this incarnation.
     epoch: u64,
     /// Intents of this incarnation so far.
@@ -72,7 +72,7 @@
     unconfirmed: Vec<PendingWrite>,
     breaker: CircuitBreaker,
     /// When a batch was last durable.
-    last_commit: Micros,
+    last_commit: Timestamp,
     /// Number of the last batch.
     batches: u64,
 }
@@ -91,7 +91,7 @@
             in_flight: None,
             unconfirmed: Vec::new(),
             breaker: CircuitBreaker::new(seed),
-            last_commit: Micros(0),
+            last_commit: Timestamp(0),
             batches: 0,
         }
     }
@@ -128,7 +128,7 @@
             && self.writes() < self.limits.waiting
     }
 
-    pub(super) fn push(&mut self, now: Micros, write: Write) {
+    pub(super) fn push(&mut self, now: Timestamp, write: Write) {
         self.queue.push_back(PendingWrite { since: now, write });
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// How long an attempt that cannot be taken now should stay away.
-    pub(super) fn retry_after(&self, now: Micros) -> Micros {
+    pub(super) fn retry_after(&self, now: Timestamp) -> Micros {
         let rows_bind = self.unread_rows_bind_until.map_or(Micros(0), |until| until.since(now));
         let probe = if self.breaker.is_closed() {
             Micros(0)
@@ -156,14 +156,14 @@
     }
 
     /// Forgets that unread rows bind once none of them can, and returns whether the store has stalled.
-    fn check(&mut self, now: Micros) -> bool {
+    fn check(&mut self, now: Timestamp) -> bool {
         self.unread_rows_bind_until = self.unread_rows_bind_until.filter(|until| now < *until);
-        let is_late = |since: Micros| now.since(since) >= self.limits.stall;
+        let is_late = |since: Timestamp| now.since(since) >= self.limits.stall;
         self.oldest_write().is_some_and(is_late) && self.breaker.is_closed()
     }
 
     /// When to look again although nothing happens: for a stall, or to retry or probe.
-    pub(super) fn next_due(&self) -> [Option<Micros>; 2] {
+    pub(super) fn next_due(&self) -> [Option<Timestamp>; 2] {
         let oldest = self.oldest_write().filter(|_| self.breaker.is_closed());
         let stall = oldest.map(|since| since.plus(self.limits.stall));
         let has_work = !self.breaker.is_closed() || self.writes() > 0;
@@ -172,7 +172,7 @@
     }
 
     /// Since when the oldest write waits with nothing getting done: a long queue is no stall while batches come through.
-    fn oldest_write(&self) -> Option<Micros> {
+    fn oldest_write(&self) -> Option<Timestamp> {
         let queued = self.queue.front().map(|pending| pending.since);
         let unconfirmed = self.unconfirmed.first().map(|pending| pending.since);
         let in_flight = self.in_flight.as_ref().map(InFlight::oldest);
@@ -182,7 +182,7 @@
 
     /// Takes the next batch, unless one is in flight or the store is not to be tried yet. An intent that is not
     /// `is_current` was withdrawn before it was ever sent, and need not be made.
-    fn next_batch(&mut self, now: Micros, is_current: impl Fn(&Row) -> bool) -> Option<Batch> {
+    fn next_batch(&mut self, now: Timestamp, is_current: impl Fn(&Row) -> bool) -> Option<Batch> {
         let may_send = self.is_loaded && self.is_connected && self.in_flight.is_none();
         if !may_send || now < self.breaker.retry_at() {
             return None;
@@ -206,7 +206,7 @@
     }
 
     /// The writes of the next commit: those that are queued, and removals beside them; a probe if there is nothing else.
-    fn next_commit(&mut self, now: Micros, is_current: impl Fn(&Row) -> bool) -> Vec<PendingWrite> {
+    fn next_commit(&mut self, now: Timestamp, is_current: impl Fn(&Row) -> bool) -> Vec<PendingWrite> {
         let is_closed = self.breaker.is_closed();
         let max = if is_closed { self.limits.batch } else { PROBE_BATCH };
         let mut writes = self.take_queued(max, is_current);
@@ -300,11 +300,11 @@
         // The window that it was made with may have been longer than today's.
         let window = window.max(Micros(row.expires.saturating_sub(row.ingress)));
         let whole_window = now.plus(window);
-        let wall = whole_window.wall.max(Micros(row.expires));
+        let wall = whole_window.wall.max(UnixTime(row.expires));
         let entry = Entry {
             holder: RequestId(row.holder),
             fingerprint: row.fingerprint,
-            ingress: Micros(row.ingress),
+            ingress: UnixTime(row.ingress),
             expires: Moment { mono: whole_window.mono, wall },
             sequence: row.sequence,
             phase,
@@ -316,7 +316,7 @@
     }
 
     /// The connection to the store is up or down. What was in flight on it ends with [`KeyTable::on_outcome`].
-    pub fn on_link(&mut self, now: Micros, is_up: bool) {
+    pub fn on_link(&mut self, now: Timestamp, is_up: bool) {
         let Some(durability) = &mut self.durability else { return };
         durability.is_connected = is_up;
         if is_up {
@@ -327,7 +327,7 @@
     }
 
     /// The next batch for the store, if there is any and the one before is over.
-    pub fn next_batch(&mut self, now: Micros) -> Option<Batch> {
+    pub fn next_batch(&mut self, now: Timestamp) -> Option<Batch> {
         let keys = &self.keys;
         let is_current =
             |row: &Row| keys.get(row.key.as_str()).is_some_and(|entry| entry.sequence == row.sequence);
@@ -335,7 +335,7 @@
     }
 
     /// How a batch ended. An answer to any but the one in flight is passed over.
-    pub fn on_outcome(&mut self, now: Micros, number: u64, outcome: Outcome) {
+    pub fn on_outcome(&mut self, now: Timestamp, number: u64, outcome: Outcome) {
         let Some(durability) = &mut self.durability else { return };
         let Some(batch) = durability.in_flight.take_if(|batch| batch.number == number) else { return };
         match outcome {
@@ -367,7 +367,7 @@
         made.into_iter().for_each(|pending| self.on_durable(pending.write));
     }
 
-    fn on_failed(&mut self, now: Micros, batch: InFlight, cause: Cause, is_unconfirmed: bool) {
+    fn on_failed(&mut self, now: Timestamp, batch: InFlight, cause: Cause, is_unconfirmed: bool) {
         let Some(durability) = &mut self.durability else { return };
         self.metrics.failures += 1;
         durability.take_back(batch, is_unconfirmed);
@@ -382,7 +382,7 @@
     }
 
     /// Opens the breaker if the oldest write has waited for too long.
-    pub(super) fn check_store(&mut self, now: Micros) {
+    pub(super) fn check_store(&mut self, now: Timestamp) {
         let has_stalled = self.durability.as_mut().is_some_and(|durability| durability.check(now));
         if has_stalled {
             self.open_breaker(now, Cause::Stalled);
@@ -390,7 +390,7 @@
     }
 
     /// The store is given up for now: no run that waits for its intent will begin.
-    fn open_breaker(&mut self, now: Micros, cause: Cause) {
+    fn open_breaker(&mut self, now: Timestamp, cause: Cause) {
         let Some(durability) = &mut self.durability else { return };
         if !durability.breaker.open(now, cause) {
             return;
@@ -415,7 +415,7 @@
 
     /// Takes back an intent that is not known to be durable: nothing of the key is remembered, and its row, if it may
     /// have been made or be made yet, is removed after it.
-    pub(super) fn withdraw(&mut self, now: Micros, key: &str) -> Option<Entry> {
+    pub(super) fn withdraw(&mut self, now: Timestamp, key: &str) -> Option<Entry> {
         let entry = self.remove(key)?;
         if let Some(durability) = &mut self.durability {
             let is_intent =
--- a/crates/idempotency/src/table/expiry.rs
+++ b/crates/idempotency/src/table/expiry.rs
@@ -5,7 +5,7 @@
 
 use super::{KeyTable, LATE_READ_GRACE};
 use crate::row::Write;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 
 /// Most entries looked at in one sweep, so that no iteration of the event loop is long. Twenty sweeps a second drop
 /// more entries than a node can take in.
@@ -15,12 +15,12 @@
 
 impl KeyTable {
     /// When the next sweep has something to look at.
-    pub(super) fn next_sweep_due(&self) -> Option<Micros> {
+    pub(super) fn next_sweep_due(&self) -> Option<Timestamp> {
         self.expiry.front().map(|(due, _)| (*due).max(self.next_sweep))
     }
 
     /// Drops entries that are past their window.
-    pub(super) fn sweep(&mut self, now: Micros) {
+    pub(super) fn sweep(&mut self, now: Timestamp) {
         if now < self.next_sweep {
             return;
         }
--- a/crates/idempotency/src/table/mod.rs
+++ b/crates/idempotency/src/table/mod.rs
@@ -30,8 +30,8 @@
 use durability::Durability;
 use gaugestand_admission::RequestId;
 use gaugestand_admission::idempotency::*;
-use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
+use gaugestand_admission::time::{Micros, Timestamp};
 use replication::ReplicationQueue;
 use state::{Entry, Phase, entry_bytes};
 use std::collections::{HashMap, VecDeque};
@@ -111,14 +111,14 @@
 pub struct KeyTable {
     keys: HashMap<Rc<str>, Entry>,
     /// Keys by the time at which they are to be looked at, roughly in order.
-    expiry: VecDeque<(Micros, Rc<str>)>,
-    next_sweep: Micros,
+    expiry: VecDeque<(Timestamp, Rc<str>)>,
+    next_sweep: Timestamp,
     /// Key of the fingerprints where nothing survives a restart; drawn anew for each node, so that nobody can make two
     /// bodies look alike, and the same in all processes that follow each other.
     secret: [u8; SECRET_BYTES],
     replication: Option<ReplicationQueue>,
     /// No first attempt before this: keys may bind that a predecessor did not replicate.
-    missing_keys_bind_until: Option<Micros>,
+    missing_keys_bind_until: Option<Timestamp>,
     settled: Vec<Settlement>,
     durability: Option<Durability>,
     /// Most memory that the table takes where there is no store, in bytes.
@@ -132,7 +132,7 @@
         KeyTable {
             keys: HashMap::new(),
             expiry: VecDeque::new(),
-            next_sweep: Micros(0),
+            next_sweep: Timestamp(0),
             secret: random_secret(),
             replication: None,
             missing_keys_bind_until: None,
@@ -196,7 +196,7 @@
     }
 
     /// How long an attempt that cannot be taken now should stay away.
-    fn retry_after(&self, now: Micros) -> Micros {
+    fn retry_after(&self, now: Timestamp) -> Micros {
         if let Some(durability) = &self.durability {
             return durability.retry_after(now);
         }
@@ -365,7 +365,7 @@
         self.durability.as_ref().is_none_or(Durability::is_loaded)
     }
 
-    fn next_wakeup(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Timestamp> {
         let [stall, retry] = self.durability.as_ref()?.next_due();
         [stall, retry, self.next_sweep_due()].into_iter().flatten().min()
     }
@@ -383,7 +383,7 @@
     }
 
     /// Nothing is remembered of a run that never began, and its intent is removed.
-    fn end_never_ran(&mut self, now: Micros, key: &Rc<str>) -> Completion {
+    fn end_never_ran(&mut self, now: Timestamp, key: &Rc<str>) -> Completion {
         let Some(entry) = self.remove(key) else { return Completion::Settled(Vec::new(), None) };
         if let Some(durability) = &mut self.durability {
             durability.push(now, Write::Remove { key: key.to_string(), sequence: entry.sequence });
@@ -392,7 +392,7 @@
     }
 
     /// With a store, the result may be shown once it is durable; without one, at once.
-    fn end_with_result(&mut self, now: Micros, key: &Rc<str>, result: Rc<[u8]>) -> Completion {
+    fn end_with_result(&mut self, now: Timestamp, key: &Rc<str>, result: Rc<[u8]>) -> Completion {
         if self.durability.is_none() {
             let waiters = self.set_ended(key, Phase::Completed(result.clone()));
             return Completion::Settled(waiters, Some(result));
@@ -403,7 +403,7 @@
     }
 
     /// Queues the row of a run that is over, if there is a store.
-    fn push_end(&mut self, now: Micros, key: &Rc<str>, state: RowState) {
+    fn push_end(&mut self, now: Timestamp, key: &Rc<str>, state: RowState) {
         if let (Some(durability), Some(entry)) = (&mut self.durability, self.keys.get(key)) {
             durability.push(now, Write::Put(entry.row(key, state)));
         }
--- a/crates/idempotency/src/table/replication.rs
+++ b/crates/idempotency/src/table/replication.rs
@@ -7,8 +7,8 @@
 use super::state::{Entry, Phase};
 use super::{KeyTable, LATE_READ_GRACE};
 use gaugestand_admission::RequestId;
-use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
+use gaugestand_admission::time::{Micros, UnixTime};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashSet, VecDeque};
 use std::rc::Rc;
@@ -28,7 +28,7 @@
     #[serde(rename = "print")]
     fingerprint: u128,
     #[serde(rename = "ran")]
-    ingress: Micros,
+    ingress: UnixTime,
     #[serde(rename = "until")]
     expires: Moment,
     phase: ReplicatedPhase,
--- a/crates/idempotency/src/table/state.rs
+++ b/crates/idempotency/src/table/state.rs
@@ -3,8 +3,8 @@
 use super::ENTRY_BYTES;
 use crate::row::{Row, RowState};
 use gaugestand_admission::RequestId;
-use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
+use gaugestand_admission::time::UnixTime;
 use std::rc::Rc;
 
 /// How far the run of a key has come.
@@ -41,7 +41,7 @@
     /// Fingerprint of its body.
     pub(super) fingerprint: u128,
     /// Wall clock at which the attempt that ran reached the machine; zero before it is admitted.
-    pub(super) ingress: Micros,
+    pub(super) ingress: UnixTime,
     /// End of the deduplication window, on both clocks; a repeat binds until both are past it.
     pub(super) expires: Moment,
     /// Sequence number of the intent, by which the store orders rows of one key; zero before there is one.
@@ -57,7 +57,7 @@
         Entry {
             holder,
             fingerprint,
-            ingress: Micros(0),
+            ingress: UnixTime(0),
             expires,
             sequence: 0,
             phase: Phase::Queued,
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -4,8 +4,8 @@
 //! Bound: three attempts of one key, up to `depth()` steps, two crashes, two stalls, two breaks, one due time passed.
 
 use gaugestand_admission::engine::{Arrival, Engine, EngineCommand, EngineEvent, RunOutcome};
-use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
+use gaugestand_admission::time::{Micros, Timestamp, UnixTime};
 use gaugestand_admission::{
     BackpressureSignal, Class, Downstream, Effect, Preemption, RequestId, Settings, Span, WeightBy,
 };
@@ -114,7 +114,7 @@
 
 impl World {
     fn new(no_intent: bool) -> Self {
-        let now = Moment { mono: Micros::millis(3_600_000), wall: Micros::millis(1_700_000_000_000) };
+        let now = Moment { mono: Timestamp::millis(3_600_000), wall: UnixTime::millis(1_700_000_000_000) };
         let mut world = World {
             engine: engine(),
             now,
--- a/crates/idempotency/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -2,8 +2,8 @@
 
 use gaugestand_admission::RequestId;
 use gaugestand_admission::idempotency::*;
-use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
+use gaugestand_admission::time::{Micros, Timestamp, UnixTime};
 use gaugestand_idempotency::row::{Cause, Outcome, Recovery, Row, RowState, Work, Write};
 use gaugestand_idempotency::{BreakerState, KeyTable, Limits};
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 }
 
 fn start() -> Moment {
-    Moment { mono: Micros::millis(3_600_000), wall: Micros::millis(1_700_000_000_000) }
+    Moment { mono: Timestamp::millis(3_600_000), wall: UnixTime::millis(1_700_000_000_000) }
 }
 
 fn id(n: u128) -> RequestId {
@@ -113,7 +113,7 @@
         harness.complete_booking("k", 1);
         harness.advance(ms);
         let wall = harness.now.wall.0.saturating_add_signed(set * 1000);
-        harness.now.wall = Micros(wall);
+        harness.now.wall = UnixTime(wall);
         let found = harness.find("k", harness.now);
         assert_eq!(
             found,
@@ -132,7 +132,7 @@
             let rows =
                 vec![row("good", 1, RowState::Completed(b"r".to_vec())), row("doubt", 2, RowState::Intent)];
             let mut harness = Harness { key_table: KeyTable::durable(limits(), 3), now: start() };
-            harness.now.wall = Micros(harness.now.wall.0.saturating_add_signed(set * 1000));
+            harness.now.wall = UnixTime(harness.now.wall.0.saturating_add_signed(set * 1000));
             harness.key_table.load(harness.now, Recovery { rows, found: 2, epoch: 2 });
             assert_eq!(harness.key_table.metrics().in_doubt, 1);
             harness.advance(ms);
@@ -272,7 +272,7 @@
     for _ in 0..7 {
         let at = harness.key_table.next_wakeup().expect("a probe").max(harness.now.mono);
         waits.push(at.since(harness.now.mono).0 / 1000);
-        assert_eq!(harness.key_table.next_batch(Micros(at.0 - 1)), None);
+        assert_eq!(harness.key_table.next_batch(Timestamp(at.0 - 1)), None);
         harness.now = harness.now.plus(at.since(harness.now.mono));
         harness.fail(Cause::Full);
     }
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -6,7 +6,7 @@
 
 use super::io::{Listener, Ready, Stream, System};
 use super::write_queue::WriteQueue;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use std::io;
 use std::net::SocketAddr;
 
@@ -110,7 +110,7 @@
     /// Tells it apart from earlier callers under the same key.
     serial: u64,
     stream: T,
-    since: Micros,
+    since: Timestamp,
     input: Vec<u8>,
     output: WriteQueue,
     answered: bool,
@@ -182,7 +182,7 @@
     }
 
     /// Accepts the callers that wait; where there is no slot left, the caller that has been quiet for longest makes room.
-    pub fn accept(&mut self, now: Micros) {
+    pub fn accept(&mut self, now: Timestamp) {
         let Some(listener) = &self.listener else { return };
         // As many as there are slots: what else waits comes with the next iteration.
         for _ in 0..MAX_CALLERS {
@@ -276,19 +276,19 @@
     }
 
     /// Closes callers that have been connected for too long.
-    pub fn on_timer(&mut self, now: Micros) {
+    pub fn on_timer(&mut self, now: Timestamp) {
         for slot in &mut self.callers {
             *slot = slot.take().filter(|caller| now.since(caller.since) < CALLER_TIMEOUT);
         }
     }
 
     /// Counts the time of all callers from now: the clock has been set.
-    pub fn restart(&mut self, now: Micros) {
+    pub fn restart(&mut self, now: Timestamp) {
         self.callers.iter_mut().flatten().for_each(|caller| caller.since = now);
     }
 
     /// When to call [`Admin::on_timer`] again.
-    pub fn next_wakeup(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Timestamp> {
         self.callers.iter().flatten().map(|caller| caller.since.plus(CALLER_TIMEOUT)).min()
     }
 }
--- a/crates/node/src/connections/connection.rs
+++ b/crates/node/src/connections/connection.rs
@@ -6,7 +6,7 @@
 use crate::io::Stream;
 use crate::response::Response;
 use crate::write_queue::WriteQueue;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io;
@@ -44,16 +44,16 @@
     #[serde(rename = "open")]
     pub(super) open_requests: BTreeMap<u16, OpenRequest>,
     #[serde(rename = "since")]
-    pub(super) accepted_at: Micros,
+    pub(super) accepted_at: Timestamp,
     /// When anything was last read or written.
     #[serde(rename = "used")]
-    pub(super) last_active: Micros,
+    pub(super) last_active: Timestamp,
     /// Since when the other side has taken nothing of what waits to be written; counts from the first attempt to write.
     #[serde(rename = "stuck")]
-    pub(super) write_blocked_since: Option<Micros>,
+    pub(super) write_blocked_since: Option<Timestamp>,
     /// Since when the input ends in part of a record.
     #[serde(rename = "partial")]
-    pub(super) partial_since: Option<Micros>,
+    pub(super) partial_since: Option<Timestamp>,
     /// A complete request that could be read has come on it.
     #[serde(rename = "asked")]
     pub(super) has_requested: bool,
@@ -68,7 +68,7 @@
     pub(super) stray_bytes: usize,
     /// After too many bad requests: it is kept until then.
     #[serde(rename = "linger")]
-    pub(super) close_delayed_until: Option<Micros>,
+    pub(super) close_delayed_until: Option<Timestamp>,
     /// Nothing more is read: the other side has ended, or the framing is lost.
     #[serde(rename = "deaf")]
     pub(super) reading_stopped: bool,
@@ -84,7 +84,7 @@
 }
 
 impl ConnectionState {
-    pub(super) fn new(id: ConnectionId, now: Micros) -> Self {
+    pub(super) fn new(id: ConnectionId, now: Timestamp) -> Self {
         ConnectionState {
             id,
             partial_record: Vec::new(),
@@ -111,7 +111,7 @@
     // ---- Requests ------------------------------------------------------------------------------------
 
     /// Opens a request, or ends it at once where that cannot be done: then it never ran.
-    pub fn begin(&mut self, now: Micros, fcgi_id: u16, content: &[u8]) {
+    pub fn begin(&mut self, now: Timestamp, fcgi_id: u16, content: &[u8]) {
         let opened = match fastcgi::parse_begin_request(content) {
             Some(BeginRequest { role: fastcgi::RESPONDER, keeps_connection }) => {
                 let is_full = self.state.open_requests.len() >= MAX_OPEN_REQUESTS;
@@ -165,7 +165,7 @@
 
     /// Counts a bad request. After too many, or at once if `ends_connection`, nothing more is read and the connection closes a
     /// little later.
-    pub(super) fn note_bad_request(&mut self, now: Micros, ends_connection: bool) {
+    pub(super) fn note_bad_request(&mut self, now: Timestamp, ends_connection: bool) {
         self.state.bad_requests += 1;
         let too_many = !self.state.has_served && self.state.bad_requests >= MAX_BAD_REQUESTS;
         if (ends_connection || too_many) && self.state.close_delayed_until.is_none() {
@@ -218,7 +218,7 @@
 
     /// Reads what is there, up to a bound, behind what was left of the input before; returns the length of all of it. An error
     /// means that the connection is gone.
-    pub fn read(&mut self, now: Micros, buffer: &mut [u8]) -> io::Result<usize> {
+    pub fn read(&mut self, now: Timestamp, buffer: &mut [u8]) -> io::Result<usize> {
         let kept = self.state.partial_record.len();
         buffer[..kept].copy_from_slice(&self.state.partial_record);
         if self.state.reading_stopped {
@@ -255,7 +255,7 @@
     }
 
     /// Keeps the part of a record at the end of the input; `follows_record` if complete ones came before it.
-    pub fn keep_partial_record(&mut self, now: Micros, rest: &[u8], follows_record: bool) {
+    pub fn keep_partial_record(&mut self, now: Timestamp, rest: &[u8], follows_record: bool) {
         if !self.state.reading_stopped {
             self.state.partial_record.clear();
             self.state.partial_record.extend_from_slice(rest);
@@ -264,7 +264,7 @@
         }
     }
 
-    pub(super) fn write(&mut self, now: Micros) -> io::Result<()> {
+    pub(super) fn write(&mut self, now: Timestamp) -> io::Result<()> {
         let progress = self.state.output.write(&mut self.stream)? > 0;
         if progress {
             self.state.last_active = now;
--- a/crates/node/src/connections/idle.rs
+++ b/crates/node/src/connections/idle.rs
@@ -14,7 +14,7 @@
 use crate::counters::Counters;
 use crate::io::{Stream, System};
 use gaugestand_admission::RequestId;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 
 /// A connection whose other side takes nothing of what waits to be written for this long is cut off: its answers would fill
 /// memory. A gateway that is alive reads within milliseconds.
@@ -58,7 +58,7 @@
     }
 
     /// Closes what was idle for too long, cuts off what does not read, and ends what was only begun.
-    pub fn on_timer(&mut self, now: Micros, counters: &mut Counters) -> Expired {
+    pub fn on_timer(&mut self, now: Timestamp, counters: &mut Counters) -> Expired {
         let mut expired = Expired::default();
         if now < self.next_timeout_check {
             return expired;
@@ -93,7 +93,7 @@
         expired
     }
 
-    fn close_idle(&mut self, now: Micros, counters: &mut Counters) {
+    fn close_idle(&mut self, now: Timestamp, counters: &mut Counters) {
         let Some(timeout) = self.idle_timeout else { return };
         let is_expired = |connection: &&Connection<S::Stream>| {
             !connection.state.reading_stopped && now.since(connection.state.last_active) >= timeout
@@ -113,7 +113,7 @@
     }
 
     /// Whether nothing has just come on a connection with nothing under way. If something has, it counts as used now.
-    pub(super) fn is_unused(&mut self, now: Micros, id: ConnectionId) -> bool {
+    pub(super) fn is_unused(&mut self, now: Timestamp, id: ConnectionId) -> bool {
         // Guards against closing on a request that has been sent but not read: it would be lost, and its gateway would have to
         // take the reset for a failure of the node.
         let Some(connection) = self.get(id) else { return false };
@@ -126,7 +126,7 @@
 }
 
 impl<T: Stream> Connection<T> {
-    fn check_timeouts(&mut self, now: Micros, counters: &mut Counters) -> Expiry {
+    fn check_timeouts(&mut self, now: Timestamp, counters: &mut Counters) -> Expiry {
         if let Some(lingering_close) = &self.state.lingering_close {
             return if lingering_close.is_over(now) { Expiry::Close } else { Expiry::None };
         }
@@ -153,12 +153,12 @@
 
     /// Whether its other side takes nothing of what waits. This counts from the first attempt to write and not from the last
     /// activity: an answer queued a moment ago may be the first in longer than the timeout.
-    fn is_stalled(&self, now: Micros) -> bool {
+    fn is_stalled(&self, now: Timestamp) -> bool {
         self.state.write_blocked_since.is_some_and(|since| now.since(since) >= WRITE_STALL_TIMEOUT)
     }
 
     /// Whether nothing has been asked for on it, and nothing is on its way.
-    fn is_silent(&self, now: Micros) -> bool {
+    fn is_silent(&self, now: Timestamp) -> bool {
         !self.state.has_requested
             && self.is_idle()
             && now.since(self.state.accepted_at) >= INCOMPLETE_TIMEOUT
@@ -166,7 +166,7 @@
     }
 
     /// Requests of which the rest does not come.
-    fn unfinished_requests(&self, now: Micros) -> impl Iterator<Item = RequestRef> + '_ {
+    fn unfinished_requests(&self, now: Timestamp) -> impl Iterator<Item = RequestRef> + '_ {
         let connection = self.state.id;
         let is_late = move |request: &OpenRequest| matches!(request, OpenRequest::Incoming(_, _, since) if now.since(*since) >= INCOMPLETE_TIMEOUT);
         let late = self.state.open_requests.iter().filter(move |(_, request)| is_late(request));
--- a/crates/node/src/connections/lingering_close.rs
+++ b/crates/node/src/connections/lingering_close.rs
@@ -8,7 +8,7 @@
 use super::{ConnectionId, ConnectionTable, OpenRequest};
 use crate::io::{Stream, System};
 use gaugestand_admission::RequestId;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::{io, mem};
 
@@ -23,14 +23,14 @@
 pub struct LingeringClose {
     /// The connection is closed then at the latest.
     #[serde(rename = "until")]
-    deadline: Micros,
+    deadline: Timestamp,
     /// Bytes that are still read and dropped.
     #[serde(rename = "left")]
     pub(super) remaining_bytes: usize,
 }
 
 impl LingeringClose {
-    fn new(now: Micros) -> Self {
+    fn new(now: Timestamp) -> Self {
         LingeringClose { deadline: now.plus(LINGERING_CLOSE_TIMEOUT), remaining_bytes: MAX_DROPPED_BYTES }
     }
 
@@ -38,14 +38,14 @@
         self.remaining_bytes > 0
     }
 
-    pub(super) fn is_over(&self, now: Micros) -> bool {
+    pub(super) fn is_over(&self, now: Timestamp) -> bool {
         now >= self.deadline
     }
 }
 
 impl<S: System> ConnectionTable<S> {
     /// Ends a connection on which all was written. Returns the attempts that were owed an answer on it.
-    pub(super) fn begin_lingering_close(&mut self, now: Micros, id: ConnectionId) -> Vec<RequestId> {
+    pub(super) fn begin_lingering_close(&mut self, now: Timestamp, id: ConnectionId) -> Vec<RequestId> {
         let Some(connection) = self.get(id) else { return Vec::new() };
         if connection.is_closing() {
             return Vec::new();
@@ -69,7 +69,7 @@
     }
 
     /// Ends all connections with nothing left to write.
-    pub fn close_all(&mut self, now: Micros) {
+    pub fn close_all(&mut self, now: Timestamp) {
         for id in self.ids() {
             if self.get(id).is_some_and(|connection| connection.state.output.is_empty()) {
                 self.begin_lingering_close(now, id);
--- a/crates/node/src/connections/listener.rs
+++ b/crates/node/src/connections/listener.rs
@@ -7,7 +7,7 @@
 use super::connection::Connection;
 use crate::counters::Counters;
 use crate::io::{Listener, Stream, System};
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use std::io;
 use std::net::SocketAddr;
 
@@ -57,7 +57,7 @@
 
     /// Stops listening, once all that the system has accepted is taken in: what is left in its queue would be reset, with
     /// the requests on it.
-    pub fn stop_listening(&mut self, now: Micros, counters: &mut Counters) {
+    pub fn stop_listening(&mut self, now: Timestamp, counters: &mut Counters) {
         if self.listener.is_some() {
             self.accept(now, counters);
             self.listener = None;
@@ -65,7 +65,7 @@
     }
 
     /// Accepts what waits; at the end of the budget the connection that was idle for longest makes room.
-    pub fn accept(&mut self, now: Micros, counters: &mut Counters) {
+    pub fn accept(&mut self, now: Timestamp, counters: &mut Counters) {
         loop {
             if self.is_full() && !self.evict_one(now, counters) {
                 // Guards against closing a connection that may carry a request already: the newcomer waits unaccepted.
@@ -104,7 +104,7 @@
     }
 
     /// Closes the connection that is most surely of no use; false if none of those examined is.
-    fn evict_one(&mut self, now: Micros, counters: &mut Counters) -> bool {
+    fn evict_one(&mut self, now: Timestamp, counters: &mut Counters) -> bool {
         (0..MAX_EVICTION_ATTEMPTS).any(|_| {
             let candidate = self.idle_connections().min_by_key(|connection| {
                 // Of those accepted at the same time the oldest goes: never the one that has just come.
@@ -126,7 +126,7 @@
 impl<T: Stream> Connection<T> {
     /// The order in which idle connections make room: those that are to end anyway go first, then those that have asked for
     /// nothing, as gateways connect when they have something to send.
-    fn eviction_rank(&self, now: Micros) -> u8 {
+    fn eviction_rank(&self, now: Timestamp) -> u8 {
         let is_newcomer = now.since(self.state.accepted_at) < NEWCOMER_GRACE;
         if self.is_closing() {
             0
--- a/crates/node/src/connections/mod.rs
+++ b/crates/node/src/connections/mod.rs
@@ -21,7 +21,7 @@
 use super::fastcgi;
 use super::request::IncomingRequest;
 use gaugestand_admission::RequestId;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
 pub use connection::{Connection, ConnectionState};
@@ -63,7 +63,7 @@
 pub enum OpenRequest {
     /// Its records come in, since then.
     #[serde(rename = "Incoming")]
-    Incoming(Box<IncomingRequest>, bool, Micros),
+    Incoming(Box<IncomingRequest>, bool, Timestamp),
     /// Read and admitted; the answer is owed.
     #[serde(rename = "Owed")]
     Admitted(RequestId, bool),
--- a/crates/node/src/connections/table.rs
+++ b/crates/node/src/connections/table.rs
@@ -6,7 +6,7 @@
 use crate::counters::Counters;
 use crate::io::System;
 use gaugestand_admission::RequestId;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use std::mem;
 
 /// Most bytes that wait to be read by the other side: all answers that a connection can have open. Beyond it the connection is
@@ -32,7 +32,7 @@
     pub(super) idle_timeout: Option<Micros>,
     /// Connections with something to write or to settle in this iteration.
     pub(super) touched: Vec<ConnectionId>,
-    pub(super) next_timeout_check: Micros,
+    pub(super) next_timeout_check: Timestamp,
 }
 
 impl<S: System> ConnectionTable<S> {
@@ -49,7 +49,7 @@
             max_connections: descriptors.saturating_sub(OWN_DESCRIPTORS).max(1),
             idle_timeout: None,
             touched: Vec::new(),
-            next_timeout_check: Micros(0),
+            next_timeout_check: Timestamp(0),
         }
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Adds a connection that was accepted just now, watched under [`ConnectionTable::next_key`].
-    pub(super) fn insert(&mut self, now: Micros, stream: S::Stream) {
+    pub(super) fn insert(&mut self, now: Timestamp, stream: S::Stream) {
         let id = self.next_id();
         self.place(Connection { stream, state: ConnectionState::new(id, now) });
     }
@@ -136,7 +136,7 @@
     }
 
     /// Counts a bad request on a connection; after too many, or at once if `ends_connection`, the connection ends.
-    pub fn note_bad_request(&mut self, now: Micros, id: ConnectionId, ends_connection: bool) {
+    pub fn note_bad_request(&mut self, now: Timestamp, id: ConnectionId, ends_connection: bool) {
         if let Some(connection) = self.get(id) {
             connection.note_bad_request(now, ends_connection);
         }
@@ -152,7 +152,7 @@
     }
 
     /// Writes what the iteration has queued, and ends what is done; returns the attempts that were owed an answer on what broke.
-    pub fn flush(&mut self, now: Micros, counters: &mut Counters) -> Vec<RequestId> {
+    pub fn flush(&mut self, now: Timestamp, counters: &mut Counters) -> Vec<RequestId> {
         let mut gone = Vec::new();
         for id in mem::take(&mut self.touched) {
             let Some(connection) = self.get(id).filter(|connection| !connection.is_closing()) else {
--- a/crates/node/src/connections/tests.rs
+++ b/crates/node/src/connections/tests.rs
@@ -8,11 +8,12 @@
 use crate::counters::Counters;
 use crate::io::real::Real;
 use crate::io::{Stream as _, System as _};
+use gaugestand_admission::time::{Micros, Timestamp};
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
 
 /// A table with one connection, accepted at the given time with one request open, and the gateway's side of it.
-fn table_with_open_request(now: Micros) -> (ConnectionTable<Real>, ConnectionId, TcpStream) {
+fn table_with_open_request(now: Timestamp) -> (ConnectionTable<Real>, ConnectionId, TcpStream) {
     let system = Real::new().expect("a poller");
     let mut table: ConnectionTable<Real> = ConnectionTable::new(1, 64);
     table.listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a port"));
@@ -33,7 +34,7 @@
 // off with its answer unwritten.
 #[test]
 fn an_answer_queued_after_a_long_run_is_written_and_not_taken_for_a_stall() {
-    let began = Micros::millis(1_000);
+    let began = Timestamp::millis(1_000);
     for wait in [WRITE_STALL_TIMEOUT, WRITE_STALL_TIMEOUT.plus(WRITE_STALL_TIMEOUT), Micros::millis(17_000)] {
         let (mut table, id, mut client) = table_with_open_request(began);
         let now = began.plus(wait);
@@ -52,8 +53,8 @@
 // A gateway stops reading its answers. They would wait in memory for ever.
 #[test]
 fn a_connection_whose_peer_does_not_read_is_cut_off_after_the_stall_timeout() {
-    let (mut table, id, _client) = table_with_open_request(Micros(0));
-    let now = Micros::millis(30_000);
+    let (mut table, id, _client) = table_with_open_request(Timestamp(0));
+    let now = Timestamp::millis(30_000);
     let mut counters = Counters::default();
     // More than the system takes for the other side, in pieces under the bound on what waits.
     while table.get(id).expect("it is there").state.output.is_empty() {
@@ -61,7 +62,7 @@
         table.touch(id);
         table.flush(now, &mut counters);
     }
-    let just_before = Micros(now.plus(WRITE_STALL_TIMEOUT).0 - 1);
+    let just_before = Timestamp(now.plus(WRITE_STALL_TIMEOUT).0 - 1);
     assert!(table.on_timer(just_before, &mut counters).gone.is_empty());
     table.touch(id);
     table.flush(just_before, &mut counters);
@@ -90,7 +91,7 @@
 // which discards the answer on its way.
 #[test]
 fn the_last_answer_arrives_whole_although_more_came_behind_its_request() {
-    let (mut table, id, mut client) = table_with_open_request(Micros(0));
+    let (mut table, id, mut client) = table_with_open_request(Timestamp(0));
     let mut counters = Counters::default();
     client.write_all(&[9; 100]).expect("the system takes it");
     let conn = table.get(id).expect("it is there");
@@ -98,7 +99,7 @@
     conn.queue(b"answer".to_vec());
     conn.state.closes_after_write = true;
     table.touch(id);
-    assert!(table.flush(Micros(0), &mut counters).is_empty());
+    assert!(table.flush(Timestamp(0), &mut counters).is_empty());
     client.write_all(&[9; 100]).expect("the system takes it");
     assert_eq!(rest(&mut client).expect("an end and no reset"), b"answer");
     // It is closed as soon as the other side has ended too, and what came until then was dropped.
@@ -114,12 +115,12 @@
 // likes.
 #[test]
 fn a_lingering_close_is_bounded_in_bytes_and_in_time() {
-    let (mut table, id, mut client) = table_with_open_request(Micros(0));
+    let (mut table, id, mut client) = table_with_open_request(Timestamp(0));
     let mut counters = Counters::default();
     table.get(id).expect("it is there").state.open_requests.clear();
     table.get(id).expect("it is there").state.closes_after_write = true;
     table.touch(id);
-    table.flush(Micros(0), &mut counters);
+    table.flush(Timestamp(0), &mut counters);
     let mut buffer = read_buffer();
     for _ in 0..MAX_DROPPED_BYTES / READ_CHUNK_BYTES {
         client.write_all(&[9; READ_CHUNK_BYTES]).expect("the system takes it");
@@ -130,9 +131,9 @@
         }
     }
     assert!(table.get(id).is_some_and(|c| !c.wants_input()), "it reads no more than that");
-    table.on_timer(Micros(LINGERING_CLOSE_TIMEOUT.0 - 1), &mut counters);
+    table.on_timer(Timestamp(LINGERING_CLOSE_TIMEOUT.0 - 1), &mut counters);
     assert_eq!(table.open_count(), 1);
-    table.on_timer(LINGERING_CLOSE_TIMEOUT.plus(TIMEOUT_CHECK_INTERVAL), &mut counters);
+    table.on_timer(Timestamp(0).plus(LINGERING_CLOSE_TIMEOUT).plus(TIMEOUT_CHECK_INTERVAL), &mut counters);
     assert_eq!(table.open_count(), 0);
 }
 
@@ -145,11 +146,11 @@
     let mut late = TcpStream::connect(table.address().expect("it listens")).expect("accepted by the system");
     late.write_all(b"a request").expect("the system takes it");
     await_connection(&system);
-    table.stop_listening(Micros(0), &mut Counters::default());
+    table.stop_listening(Timestamp(0), &mut Counters::default());
     assert_eq!((table.open_count(), table.address()), (1, None));
     let id = table.at_key(1).expect("the first place");
     let mut buffer = read_buffer();
-    let read = table.get(id).expect("it is there").read(Micros(0), &mut buffer).expect("not reset");
+    let read = table.get(id).expect("it is there").read(Timestamp(0), &mut buffer).expect("not reset");
     assert_eq!(&buffer[..read], b"a request");
 }
 
@@ -158,7 +159,7 @@
 #[test]
 fn an_idle_close_spares_a_request_that_has_arrived_and_never_resets() {
     for arrives in [true, false] {
-        let (mut table, id, mut client) = table_with_open_request(Micros(0));
+        let (mut table, id, mut client) = table_with_open_request(Timestamp(0));
         let idle = Micros::millis(200);
         let mut counters = Counters::default();
         table.get(id).expect("it is there").state.open_requests.clear();
@@ -166,7 +167,7 @@
         if arrives {
             client.write_all(&[1]).expect("the system takes it");
         }
-        table.on_timer(idle, &mut counters);
+        table.on_timer(Timestamp(0).plus(idle), &mut counters);
         let conn = table.get(id).expect("it is there");
         assert_eq!((conn.is_closing(), counters.connections_idle_closed), (!arrives, u64::from(!arrives)));
         if !arrives {
@@ -191,13 +192,13 @@
         table.accept(now, counters);
         client
     };
-    let _idle = connect(&mut table, Micros(0), &mut counters);
-    let _closing = connect(&mut table, Micros(1), &mut counters);
+    let _idle = connect(&mut table, Timestamp(0), &mut counters);
+    let _closing = connect(&mut table, Timestamp(1), &mut counters);
     let (first, second) = (table.at_key(1).expect("one"), table.at_key(2).expect("another"));
     table.get(second).expect("it is there").state.closes_after_write = true;
     table.touch(second);
-    table.flush(Micros(1), &mut counters);
-    let _late = connect(&mut table, Micros::millis(200), &mut counters);
+    table.flush(Timestamp(1), &mut counters);
+    let _late = connect(&mut table, Timestamp::millis(200), &mut counters);
     assert!(table.get(first).is_some() && table.get(second).is_none());
     assert_eq!((table.open_count(), counters.connections_idle_closed), (2, 0));
 }
--- a/crates/node/src/event_loop/cluster/class_load.rs
+++ b/crates/node/src/event_loop/cluster/class_load.rs
@@ -2,7 +2,7 @@
 
 use super::super::{Node, System};
 use crate::request_metrics::RequestMetrics;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_cluster::validation::ClassLoad;
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 /// Answered requests by class, at one time.
 #[derive(Debug)]
 struct Sample {
-    at: Micros,
+    at: Timestamp,
     counts: BTreeMap<String, u64>,
 }
 
@@ -28,14 +28,14 @@
 
 impl LoadSamples {
     /// Takes a sample if one is due.
-    fn sample(&mut self, now: Micros, counts: impl FnOnce() -> BTreeMap<String, u64>) {
+    fn sample(&mut self, now: Timestamp, counts: impl FnOnce() -> BTreeMap<String, u64>) {
         if self.last.as_ref().is_none_or(|last| now.since(last.at) >= SAMPLE_INTERVAL) {
             self.previous = self.last.replace(Sample { at: now, counts: counts() });
         }
     }
 
     /// Requests per second of each class since the earlier sample.
-    fn load(&self, now: Micros, counts: &BTreeMap<String, u64>) -> Vec<ClassLoad> {
+    fn load(&self, now: Timestamp, counts: &BTreeMap<String, u64>) -> Vec<ClassLoad> {
         let Some(sample) = self.previous.as_ref().or(self.last.as_ref()) else { return Vec::new() };
         let seconds = (now.since(sample.at).0 as f64 / MICROS_PER_SECOND).max(MIN_RATE_SECONDS);
         let load = |(name, count): (&String, &u64)| {
@@ -57,14 +57,14 @@
 
 impl<S: System> Node<S> {
     /// Takes a sample of the load if one is due.
-    pub(super) fn sample_load(&mut self, now: Micros) {
+    pub(super) fn sample_load(&mut self, now: Timestamp) {
         let metrics = &self.request_metrics;
         let classes = &self.config.classes;
         self.load_samples.sample(now, || answered(metrics, classes));
     }
 
     /// The present load of each class.
-    pub(super) fn class_load(&self, now: Micros) -> Vec<ClassLoad> {
+    pub(super) fn class_load(&self, now: Timestamp) -> Vec<ClassLoad> {
         self.load_samples.load(now, &answered(&self.request_metrics, &self.config.classes))
     }
 }
--- a/crates/node/src/event_loop/cluster/operator_calls.rs
+++ b/crates/node/src/event_loop/cluster/operator_calls.rs
@@ -4,7 +4,7 @@
 
 use super::super::{Node, System};
 use crate::peers::Peers;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Timestamp;
 use gaugestand_cluster::Version;
 use gaugestand_cluster::consensus::ProposalError;
 use gaugestand_cluster::membership::MembershipChange;
@@ -128,7 +128,7 @@
 /// Carries out a call. Returns its answer; none if that comes later.
 fn carry_out<S: System>(
     peers: &mut Peers<S>,
-    now: Micros,
+    now: Timestamp,
     caller: u64,
     call: OperatorCall<'_>,
 ) -> Result<Option<String>, OperatorCallError> {
--- a/crates/node/src/event_loop/drain.rs
+++ b/crates/node/src/event_loop/drain.rs
@@ -13,7 +13,7 @@
 //!
 //! It does not bound the whole: the service manager kills a process that outlives `stop_ms`.
 
-use super::{EngineEvent, Micros, Node};
+use super::{EngineEvent, Micros, Node, Timestamp};
 use crate::connections::OpenRequest;
 use crate::io::System;
 use crate::response::{Response, http_status};
@@ -37,8 +37,8 @@
         }
         // The notice may have come a while ago, if another process was to take over and did not.
         let stop_at = *self.stop_at.get_or_insert(self.clock.now().plus(self.config.stop_timeout));
-        let notice = Micros(stop_at.0.saturating_sub(self.config.stop_timeout.0));
-        let answered_by = Micros(stop_at.0.saturating_sub(LISTENER_CLOSE_MARGIN.0));
+        let notice = stop_at.minus(self.config.stop_timeout);
+        let answered_by = stop_at.minus(LISTENER_CLOSE_MARGIN);
         if let Some(peers) = &mut self.peers {
             peers.start_drain(self.clock.now());
         }
@@ -46,7 +46,7 @@
     }
 
     /// Closes the listener once its time has come.
-    pub(super) fn stop_listening_if_due(&mut self, now: Micros) {
+    pub(super) fn stop_listening_if_due(&mut self, now: Timestamp) {
         if self.stop_at.is_some_and(|stop_at| now.plus(LISTENER_CLOSE_MARGIN) >= stop_at) {
             self.connections.stop_listening(now, &mut self.counters);
         }
@@ -54,7 +54,7 @@
 
     /// Within [`EXIT_MARGIN`], ends what is left on the connections once nothing is owed. `nothing_ready` if the poller had
     /// nothing for this iteration. Returns when to iterate again for its sake.
-    pub(super) fn finish_drain(&mut self, now: Micros, nothing_ready: bool) -> Option<Micros> {
+    pub(super) fn finish_drain(&mut self, now: Timestamp, nothing_ready: bool) -> Option<Timestamp> {
         let stop_at = self.stop_at.filter(|stop_at| now.plus(EXIT_MARGIN) >= *stop_at)?;
         if !self.has_polled_enough(now, stop_at, nothing_ready) {
             return Some(now);
@@ -67,7 +67,7 @@
 
     /// Whether what gateways sent before now has surely been read. A wait that timed out or was interrupted by a signal
     /// proves nothing about what has come since: the poller is asked again first.
-    fn has_polled_enough(&mut self, now: Micros, stop_at: Micros, nothing_ready: bool) -> bool {
+    fn has_polled_enough(&mut self, now: Timestamp, stop_at: Timestamp, nothing_ready: bool) -> bool {
         self.final_polls = self.final_polls.saturating_add(1);
         let forced = now.plus(FORCED_CLOSE_MARGIN) >= stop_at;
         self.final_polls >= MIN_FINAL_POLLS && (nothing_ready || forced)
@@ -75,7 +75,7 @@
 
     /// Rejects what is not complete by now, as it never ran, and shuts the write side of every connection. Each is closed
     /// once its other side has ended too.
-    fn close_connections(&mut self, now: Micros) {
+    fn close_connections(&mut self, now: Timestamp) {
         for request in self.connections.unadmitted_requests() {
             let Some(open) = self.connections.take_request(request) else { continue };
             let keeps_connection = open.keeps_connection();
@@ -92,10 +92,10 @@
     }
 
     /// The next step of the drain that is still to come.
-    pub(super) fn next_drain_step(&self, now: Micros) -> Option<Micros> {
+    pub(super) fn next_drain_step(&self, now: Timestamp) -> Option<Timestamp> {
         let stop_at = self.stop_at?;
         let margins = [LISTENER_CLOSE_MARGIN, EXIT_MARGIN, FORCED_CLOSE_MARGIN];
-        let mut steps = margins.into_iter().map(|margin| stop_at.since(margin));
+        let mut steps = margins.into_iter().map(|margin| stop_at.minus(margin));
         Some(steps.find(|step| now < *step).unwrap_or(stop_at))
     }
 
--- a/crates/node/src/event_loop/handover/inherited_kernels.rs
+++ b/crates/node/src/event_loop/handover/inherited_kernels.rs
@@ -21,7 +21,7 @@
     /// The poller's key of the link.
     pub(in crate::event_loop) key: usize,
     /// When runs that are still not over count as failed.
-    pub(super) expires_at: Micros,
+    pub(super) expires_at: Timestamp,
 }
 
 impl<S: System> Node<S> {
--- a/crates/node/src/event_loop/handover/mod.rs
+++ b/crates/node/src/event_loop/handover/mod.rs
@@ -27,7 +27,7 @@
     /// The successor was told that it knows all keys: from then on each change is sent before the command that it is about.
     keys_complete: bool,
     /// Since when the successor does not read what it is sent.
-    stalled_since: Option<Micros>,
+    stalled_since: Option<Timestamp>,
 }
 
 /// What a predecessor has sent of its state, until this process takes over or drops it.
@@ -71,7 +71,7 @@
     deferred_outcomes: Vec<EndedCall>,
     pub(super) inherited_kernels: Vec<InheritedKernel<S>>,
     backend_start: Option<BackendStart>,
-    next_search: Micros,
+    next_search: Timestamp,
     /// The process is to end.
     pub(super) exit: bool,
 }
@@ -94,7 +94,7 @@
             deferred_outcomes: Vec::new(),
             inherited_kernels: Vec::new(),
             backend_start: None,
-            next_search: Micros(0),
+            next_search: Timestamp(0),
             exit: false,
         }
     }
@@ -120,7 +120,7 @@
     }
 
     /// When to look again although nothing happens.
-    pub(super) fn next_wakeup(&self) -> Option<Micros> {
+    pub(super) fn next_wakeup(&self) -> Option<Timestamp> {
         let search = Some(self.next_search).filter(|_| self.is_searching());
         let stalled = self.replication.stalled_since.map(|since| since.plus(predecessor::STALL_TIMEOUT));
         let expiry = self.inherited_kernels.iter().map(|inherited| inherited.expires_at).min();
@@ -197,7 +197,7 @@
     }
 
     /// One iteration of a process that is not the active one. Returns when the next one is due.
-    pub(super) fn run_inactive(&mut self) -> Micros {
+    pub(super) fn run_inactive(&mut self) -> Timestamp {
         let now = self.clock.now();
         let mut kernel = None;
         if self.handover.machine.is_standby() {
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -41,7 +41,7 @@
 use gaugestand_admission::classes::ClassSlots;
 use gaugestand_admission::engine::{CallOutcome, Engine, EngineEvent, RunOutcome};
 use gaugestand_admission::handover::Event as HandoverEvent;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_idempotency::{BreakerState, KeyTable};
 use handover::HandoverState;
 use keys::*;
@@ -106,7 +106,7 @@
     /// SIGHUP.
     reload_signal: S::Signals,
     /// Once the process is to end: when.
-    stop_at: Option<Micros>,
+    stop_at: Option<Timestamp>,
     draining: bool,
     /// Iterations since the end of the drain is near.
     final_polls: u8,
@@ -119,7 +119,7 @@
 }
 
 /// The earliest of these times, or the longest wait if there is none; never so soon that the loop would spin.
-fn earliest_wakeup(now: Micros, times: impl IntoIterator<Item = Option<Micros>>) -> Micros {
+fn earliest_wakeup(now: Timestamp, times: impl IntoIterator<Item = Option<Timestamp>>) -> Timestamp {
     let earliest = times.into_iter().flatten().min();
     earliest.unwrap_or(now.plus(MAX_POLL_WAIT)).max(now.plus(MIN_POLL_WAIT))
 }
@@ -237,7 +237,7 @@
 
     /// One iteration: handles what is ready and does what is due. Returns when the next one is due even if nothing is ready by
     /// then; nothing if the process is to end.
-    pub fn run_iteration(&mut self, ready: &[Ready]) -> Option<Micros> {
+    pub fn run_iteration(&mut self, ready: &[Ready]) -> Option<Timestamp> {
         self.clock.read(&self.system);
         for event in ready {
             self.dispatch(*event);
@@ -256,7 +256,7 @@
 
     /// Does what is due by now, in this order: hand-over, links, deadlines of connections, cluster, engine, drain; then writes.
     /// `nothing_ready` if the poller had nothing for this iteration. Returns when to do so again.
-    fn run_due_work(&mut self, nothing_ready: bool) -> Micros {
+    fn run_due_work(&mut self, nothing_ready: bool) -> Timestamp {
         let now = self.clock.now();
         self.tick_handover();
         // The hand-over may just have made another process the node.
@@ -291,7 +291,7 @@
     }
 
     /// Keeps the links to the kernel and the store up, and ends what they were too slow for.
-    fn run_link_timers(&mut self, now: Micros) {
+    fn run_link_timers(&mut self, now: Timestamp) {
         if let Some(change) = self.kernel.on_timer(now) {
             self.on_kernel_link_change(change);
         }
@@ -302,7 +302,7 @@
     }
 
     /// Ends operators' and gateways' connections, and requests on them, that took too long.
-    fn run_connection_timers(&mut self, now: Micros) {
+    fn run_connection_timers(&mut self, now: Timestamp) {
         self.admin.on_timer(now);
         let expired = self.connections.on_timer(now, &mut self.counters);
         self.on_callers_gone(expired.gone);
@@ -312,7 +312,7 @@
     }
 
     /// Reports to the membership service, once the kernel is up.
-    fn report_membership(&mut self, now: Micros) -> Option<Micros> {
+    fn report_membership(&mut self, now: Timestamp) -> Option<Timestamp> {
         let in_service = self.is_in_service();
         if !self.engine.is_started() {
             return None;
--- a/crates/node/src/health_checks.rs
+++ b/crates/node/src/health_checks.rs
@@ -8,7 +8,7 @@
 use super::counters::Counters;
 use super::io::System;
 use super::kernel::Kernel;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use std::collections::VecDeque;
 
 /// A check that the kernel has not answered by then has failed.
@@ -23,14 +23,14 @@
 #[derive(Debug)]
 struct Waiting {
     request: RequestRef,
-    since: Micros,
+    since: Timestamp,
 }
 
 /// The check that the kernel was asked for.
 #[derive(Clone, Copy, Debug)]
 struct Outstanding {
     ticket: u64,
-    since: Micros,
+    since: Timestamp,
     /// The number of the link that it was asked on.
     link: u64,
 }
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug)]
 struct CheckResult {
     passed: bool,
-    at: Micros,
+    at: Timestamp,
 }
 
 /// The checks that wait, and the last result.
@@ -55,7 +55,7 @@
 impl HealthChecks {
     /// A check has come. Returns its result if that is known; otherwise it waits, and the kernel is asked with the next
     /// [`HealthChecks::request`].
-    pub fn add(&mut self, now: Micros, request: RequestRef) -> Option<bool> {
+    pub fn add(&mut self, now: Timestamp, request: RequestRef) -> Option<bool> {
         if let Some(result) = self.last_result.filter(|result| now.since(result.at) < RESULT_LIFETIME) {
             return Some(result.passed);
         }
@@ -65,7 +65,7 @@
 
     /// The kernel has done the work of the check with this ticket, well or not; returns those that it answers. An abandoned
     /// check shows as much when it ends after all; one that was never asked for shows nothing.
-    pub fn on_result(&mut self, now: Micros, ticket: u64, passed: bool) -> Vec<RequestRef> {
+    pub fn on_result(&mut self, now: Timestamp, ticket: u64, passed: bool) -> Vec<RequestRef> {
         let abandoned = self.abandoned.iter().position(|abandoned| *abandoned == ticket);
         if abandoned.and_then(|index| self.abandoned.remove(index)).is_none() {
             if self.outstanding.is_none_or(|outstanding| outstanding.ticket != ticket) {
@@ -81,7 +81,7 @@
     /// that it did not answer in time.
     pub fn request<S: System>(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         kernel: &mut Kernel<S>,
         counters: &mut Counters,
     ) -> Vec<RequestRef> {
@@ -99,7 +99,7 @@
     }
 
     /// Gives up a check whose request may have been lost with its link: without this none would ever be asked for again.
-    fn abandon_lost(&mut self, now: Micros, link: u64) {
+    fn abandon_lost(&mut self, now: Timestamp, link: u64) {
         let is_lost = |outstanding: &mut Outstanding| {
             outstanding.link != link || now.since(outstanding.since) >= CHECK_TIMEOUT
         };
@@ -112,7 +112,7 @@
     }
 
     /// When to call [`HealthChecks::request`] again although nothing comes.
-    pub fn next_wakeup(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Timestamp> {
         let outstanding = self.outstanding.filter(|_| !self.waiting.is_empty());
         let waiting = self.waiting.iter().map(|check| check.since);
         let oldest = waiting.chain(outstanding.map(|outstanding| outstanding.since)).min();
--- a/crates/node/src/idempotency_store/mod.rs
+++ b/crates/node/src/idempotency_store/mod.rs
@@ -10,8 +10,8 @@
 
 use crate::counters::Counters;
 use crate::io::{System, Worker};
-use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_idempotency::postgres::Login;
 use gaugestand_idempotency::row::{Cause, Outcome};
 use gaugestand_idempotency::sqlite::Options;
@@ -55,7 +55,7 @@
 pub struct IdempotencyStore<S: System> {
     backend: StoreBackend<S>,
     /// The breaker's state that was last logged, and when.
-    last_logged: Option<(BreakerState, Micros)>,
+    last_logged: Option<(BreakerState, Timestamp)>,
 }
 
 #[derive(Debug)]
@@ -151,9 +151,9 @@
     }
 
     /// Logs when the breaker opens and when it closes again.
-    fn log_breaker(&mut self, now: Micros, state: BreakerState) {
+    fn log_breaker(&mut self, now: Timestamp, state: BreakerState) {
         let is_open = matches!(state, BreakerState::Open { .. });
-        let (last, at) = self.last_logged.unwrap_or((BreakerState::Closed, Micros(0)));
+        let (last, at) = self.last_logged.unwrap_or((BreakerState::Closed, Timestamp(0)));
         if is_open == matches!(last, BreakerState::Open { .. }) {
             return;
         }
@@ -178,7 +178,7 @@
     }
 
     /// When to call [`IdempotencyStore::pump`] again although nothing happens.
-    pub fn wake(&self) -> Option<Micros> {
+    pub fn wake(&self) -> Option<Timestamp> {
         match &self.backend {
             StoreBackend::None | StoreBackend::Sqlite(_) => None,
             StoreBackend::Postgres(link) => link.wake(),
@@ -211,7 +211,7 @@
 }
 
 /// Submits the next batch, if there is one.
-fn submit(worker: &mut impl Worker, now: Micros, key_table: &mut KeyTable) {
+fn submit(worker: &mut impl Worker, now: Timestamp, key_table: &mut KeyTable) {
     let Some(batch) = key_table.next_batch(now) else { return };
     // A thread that has ended proves nothing of what it had, and takes nothing more: its batch stays unanswered, and
     // the breaker opens once that has stalled.
--- a/crates/node/src/idempotency_store/postgres_link.rs
+++ b/crates/node/src/idempotency_store/postgres_link.rs
@@ -7,8 +7,8 @@
 use crate::counters::Counters;
 use crate::io::System;
 use crate::io::link::{Change, Link};
-use gaugestand_admission::time::Micros;
 use gaugestand_admission::time::Moment;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_idempotency::KeyTable;
 use gaugestand_idempotency::postgres::{Event, Login, Session, SessionError};
 use gaugestand_idempotency::row::{Batch, Cause, Outcome, Work};
@@ -31,7 +31,7 @@
 /// What the server was asked and has not answered.
 #[derive(Debug)]
 struct PendingAnswer {
-    since: Micros,
+    since: Timestamp,
     /// The batch that it is to; nothing for a login.
     batch: Option<u64>,
 }
@@ -46,11 +46,11 @@
     epoch: Option<u64>,
     max_rows: usize,
     pending: Option<PendingAnswer>,
-    retry_at: Micros,
+    retry_at: Timestamp,
     backoff: Micros,
     rng: fastrand::Rng,
     /// What was last logged, and when.
-    last_error: Option<(SessionError, Micros)>,
+    last_error: Option<(SessionError, Timestamp)>,
 }
 
 impl<S: System> PostgresLink<S> {
@@ -69,7 +69,7 @@
             epoch: None,
             max_rows,
             pending: None,
-            retry_at: Micros(0),
+            retry_at: Timestamp(0),
             backoff: MIN_RECONNECT,
             rng: fastrand::Rng::with_seed(seed ^ JITTER_STREAM),
             last_error: None,
@@ -107,7 +107,7 @@
         }
     }
 
-    fn log_in(&mut self, now: Micros) {
+    fn log_in(&mut self, now: Timestamp) {
         self.pending = Some(PendingAnswer { since: now, batch: None });
         match Session::new(self.login.clone(), self.epoch, self.max_rows) {
             Ok(session) => self.session = Some(session),
@@ -135,7 +135,7 @@
     }
 
     /// The connection is of no use; it is closed with the next flush.
-    fn give_up(&mut self, now: Micros, error: SessionError) {
+    fn give_up(&mut self, now: Timestamp, error: SessionError) {
         let is_logged = self
             .last_error
             .as_ref()
@@ -149,7 +149,7 @@
     }
 
     /// The connection is down. What was in flight on it is not known to have happened, nor not to have.
-    fn on_down(&mut self, now: Micros, key_table: &mut KeyTable) {
+    fn on_down(&mut self, now: Timestamp, key_table: &mut KeyTable) {
         self.session = None;
         if let Some(PendingAnswer { batch: Some(number), .. }) = self.pending.take() {
             key_table.on_outcome(now, number, Outcome::Unknown(Cause::Link));
@@ -161,7 +161,7 @@
     }
 
     /// When the answer that is waited for is overdue.
-    fn answer_due(&self) -> Option<Micros> {
+    fn answer_due(&self) -> Option<Timestamp> {
         let timeout = if self.epoch.is_none() { LOGIN_TIMEOUT } else { ANSWER_TIMEOUT };
         self.pending.as_ref().map(|pending| pending.since.plus(timeout))
     }
@@ -180,7 +180,7 @@
         self.send(now.mono, key_table);
     }
 
-    fn send(&mut self, now: Micros, key_table: &mut KeyTable) {
+    fn send(&mut self, now: Timestamp, key_table: &mut KeyTable) {
         let Some(session) = &mut self.session else { return };
         if self.pending.is_none()
             && let Some(batch) = key_table.next_batch(now)
@@ -197,14 +197,14 @@
     }
 
     /// Writes what can be written, and closes a connection that is of no use.
-    pub(super) fn flush(&mut self, now: Micros, key_table: &mut KeyTable) {
+    pub(super) fn flush(&mut self, now: Timestamp, key_table: &mut KeyTable) {
         if self.link.flush(now).is_some() {
             self.on_down(now, key_table);
         }
     }
 
     /// When to call [`PostgresLink::pump`] again although nothing happens.
-    pub(super) fn wake(&self) -> Option<Micros> {
+    pub(super) fn wake(&self) -> Option<Timestamp> {
         let retry = self.link.next_wakeup(true).map(|at| at.max(self.retry_at));
         [self.answer_due(), retry].into_iter().flatten().min()
     }
--- a/crates/node/src/io/clock.rs
+++ b/crates/node/src/io/clock.rs
@@ -3,11 +3,14 @@
 //! All that happens in one iteration happens at one time. The monotonic clock never goes back; Unix time may, when it is set.
 
 use super::System;
-use gaugestand_admission::time::{Micros, Moment};
+use gaugestand_admission::time::{Micros, Moment, Timestamp, UnixTime};
 
-/// What the monotonic clock shows at its start: more than any age that a request may have, so that the time at which it
-/// reached the machine is never before zero.
-pub const ORIGIN: Micros = Micros::millis(3_600_000);
+/// The greatest age that a request may have. A greater one says nothing more: both are long past every deadline.
+const MAX_AGE: Micros = Micros::millis(3_600_000);
+
+/// What the monotonic clock shows at its start: the greatest age, so that the time at which a request reached the machine
+/// is never before zero.
+pub const ORIGIN: Timestamp = Timestamp(MAX_AGE.0);
 
 /// The time of this iteration.
 #[derive(Debug)]
@@ -27,7 +30,7 @@
     }
 
     /// Monotonic time of this iteration.
-    pub fn now(&self) -> Micros {
+    pub fn now(&self) -> Timestamp {
         self.now.mono
     }
 
@@ -36,9 +39,8 @@
         self.now
     }
 
-    /// How long ago this moment of Unix time was; zero if it is still to come.
-    pub fn age(&self, unix: Micros) -> Micros {
-        // A greater age says nothing more: both are long past every deadline.
-        self.now.wall.since(unix).min(ORIGIN)
+    /// How long ago this moment of Unix time was, at most `MAX_AGE`; zero if it is still to come.
+    pub fn age(&self, unix: UnixTime) -> Micros {
+        self.now.wall.since(unix).min(MAX_AGE)
     }
 }
--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -7,7 +7,7 @@
 
 use super::{Stream, System};
 use crate::write_queue::WriteQueue;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use std::io::{self, Read};
 use std::net::SocketAddr;
 
@@ -29,7 +29,7 @@
 enum State<T> {
     Down,
     /// Being made, since then.
-    Connecting(T, Micros),
+    Connecting(T, Timestamp),
     Up(T),
 }
 
@@ -52,7 +52,7 @@
     system: S,
     state: State<S::Stream>,
     /// No attempt to connect before.
-    retry_at: Micros,
+    retry_at: Timestamp,
     /// The delay after the next failure.
     retry_delay: Micros,
     input: Vec<u8>,
@@ -73,7 +73,7 @@
             key,
             system: system.clone(),
             state: State::Down,
-            retry_at: Micros(0),
+            retry_at: Timestamp(0),
             retry_delay: MIN_RETRY_DELAY,
             input: Vec::new(),
             output: WriteQueue::default(),
@@ -109,7 +109,7 @@
     }
 
     /// Starts to connect, unless that failed a moment ago.
-    pub fn connect(&mut self, now: Micros) -> Option<Change> {
+    pub fn connect(&mut self, now: Timestamp) -> Option<Change> {
         if !self.is_down() || now < self.retry_at {
             return None;
         }
@@ -122,7 +122,7 @@
         }
     }
 
-    fn fail(&mut self, now: Micros) -> Change {
+    fn fail(&mut self, now: Timestamp) -> Change {
         let was_up = self.is_up();
         self.written_before_down = self.written();
         self.state = State::Down;
@@ -146,7 +146,7 @@
     }
 
     /// When it needs attention although nothing comes; `wanted` if it should be up.
-    pub fn next_wakeup(&self, wanted: bool) -> Option<Micros> {
+    pub fn next_wakeup(&self, wanted: bool) -> Option<Timestamp> {
         match &self.state {
             State::Connecting(_, since) => Some(since.plus(CONNECT_TIMEOUT)),
             State::Down if wanted => Some(self.retry_at),
@@ -155,7 +155,7 @@
     }
 
     /// Gives up a connection that is not made in time.
-    pub fn on_timer(&mut self, now: Micros) -> Option<Change> {
+    pub fn on_timer(&mut self, now: Timestamp) -> Option<Change> {
         match &self.state {
             State::Connecting(_, since) if now.since(*since) >= CONNECT_TIMEOUT => Some(self.fail(now)),
             _ => None,
@@ -178,7 +178,7 @@
     }
 
     /// The poller has something for this link.
-    pub fn ready(&mut self, now: Micros, readable: bool, writable: bool) -> Option<Change> {
+    pub fn ready(&mut self, now: Timestamp, readable: bool, writable: bool) -> Option<Change> {
         if let State::Connecting(stream, _) = &self.state {
             if !writable && !readable {
                 return None;
@@ -231,7 +231,7 @@
     }
 
     /// Ends an iteration: writes what can be written, and gives up a link that the peer has closed.
-    pub fn flush(&mut self, now: Micros) -> Option<Change> {
+    pub fn flush(&mut self, now: Timestamp) -> Option<Change> {
         if self.peer_closed {
             return Some(self.fail(now));
         }
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -5,7 +5,7 @@
 use super::tcp::{self, WatchedListener};
 use super::{Datagram, Ready, System, Worker};
 use gaugestand_admission::log_record::RecoveredLog;
-use gaugestand_admission::time::{Micros, Moment};
+use gaugestand_admission::time::{Micros, Moment, Timestamp, UnixTime};
 use gaugestand_idempotency::OpenError;
 use gaugestand_idempotency::consensus_log::{self, ConsensusLog};
 use gaugestand_idempotency::row::{Batch, Outcome, Recovery};
@@ -30,7 +30,7 @@
     poller: Rc<Poller>,
     origin: Instant,
     /// What the monotonic clock read at `origin`.
-    base: Rc<Cell<Micros>>,
+    base: Rc<Cell<Timestamp>>,
 }
 
 impl Real {
@@ -62,7 +62,7 @@
     fn moment(&self) -> Moment {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let mono = self.base.get().plus(Micros(self.origin.elapsed().as_micros() as u64));
-        Moment { mono, wall: Micros(unix.as_micros() as u64) }
+        Moment { mono, wall: UnixTime(unix.as_micros() as u64) }
     }
 
     fn listen(&self, at: SocketAddr, key: usize) -> io::Result<WatchedListener> {
--- a/crates/node/src/kernel/mod.rs
+++ b/crates/node/src/kernel/mod.rs
@@ -12,7 +12,7 @@
 use super::counters::Counters;
 use super::io::System;
 use super::io::link::{Change, Link};
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Timestamp;
 use gaugestand_admission::{Gauges, RequestId};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -230,7 +230,7 @@
     /// The poller has something for this link.
     pub fn ready(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         readable: bool,
         writable: bool,
         counters: &mut Counters,
@@ -316,17 +316,17 @@
     // ---- The link ------------------------------------------------------------------------------------
 
     /// Keeps the link up.
-    pub fn on_timer(&mut self, now: Micros) -> Option<Change> {
+    pub fn on_timer(&mut self, now: Timestamp) -> Option<Change> {
         self.link.on_timer(now).or_else(|| self.link.connect(now))
     }
 
     /// When to call [`Kernel::on_timer`] again.
-    pub fn next_wakeup(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Timestamp> {
         self.link.next_wakeup(true)
     }
 
     /// Writes what can be written.
-    pub fn flush(&mut self, now: Micros) -> Option<Change> {
+    pub fn flush(&mut self, now: Timestamp) -> Option<Change> {
         let change = self.link.flush(now);
         if change.is_some() {
             self.on_link_lost();
--- a/crates/node/src/membership_reports.rs
+++ b/crates/node/src/membership_reports.rs
@@ -5,7 +5,7 @@
 
 use super::counters::Counters;
 use super::io::{Datagram, System};
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use std::io;
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Report {
     in_service: bool,
-    at: Micros,
+    at: Timestamp,
 }
 
 #[derive(Debug)]
@@ -56,7 +56,12 @@
     }
 
     /// Reports if it is time to, or if the state has changed; returns when to call again.
-    pub fn on_timer(&mut self, now: Micros, in_service: bool, counters: &mut Counters) -> Option<Micros> {
+    pub fn on_timer(
+        &mut self,
+        now: Timestamp,
+        in_service: bool,
+        counters: &mut Counters,
+    ) -> Option<Timestamp> {
         let service = self.service.as_ref()?;
         if let Some(last) = self.last {
             let due = last.at.plus(REPORT_INTERVAL);
--- a/crates/node/src/peers/active_version.rs
+++ b/crates/node/src/peers/active_version.rs
@@ -2,7 +2,7 @@
 
 use super::Peers;
 use crate::io::System;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_cluster::Version;
 use gaugestand_cluster::diff::Content;
 use gaugestand_cluster::lease::ActiveVersion;
@@ -43,7 +43,7 @@
     }
 
     /// The version that has become active, if it is not in effect yet.
-    pub fn due_version(&self, now: Micros) -> Option<DueVersion> {
+    pub fn due_version(&self, now: Timestamp) -> Option<DueVersion> {
         let ActiveVersion::Leased(version) = self.consensus.active_version(now) else { return None };
         let unusable = self.applied.unusable.as_ref();
         let is_known = self.applied.version == Some(version)
@@ -82,7 +82,7 @@
     /// What a request gets. `now` has to be read for it: a lease may have expired since this iteration began.
     pub fn check_request(
         &self,
-        now: Micros,
+        now: Timestamp,
         keyed: bool,
         subject: Option<u64>,
         gateway: u64,
--- a/crates/node/src/peers/connection.rs
+++ b/crates/node/src/peers/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::io::System;
 use crate::io::link::Link;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_cluster::NodeId;
 use gaugestand_cluster::wire::{FrameError, MAX_MESSAGE_BYTES};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 pub(super) struct Connection<S: System> {
     pub link: Link<S>,
     /// When it was made, or accepted.
-    pub opened_at: Micros,
+    pub opened_at: Timestamp,
     /// This node has sent its hello.
     pub hello_sent: bool,
     /// The node that this node made it to; none if it came in.
@@ -35,7 +35,7 @@
 }
 
 impl<S: System> Connection<S> {
-    pub fn new(link: Link<S>, now: Micros, target: Option<NodeId>) -> Self {
+    pub fn new(link: Link<S>, now: Timestamp, target: Option<NodeId>) -> Self {
         Connection { link, opened_at: now, hello_sent: false, target, identified: None }
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Until when the other node has to identify itself; none once it has.
-    pub fn identification_deadline(&self) -> Option<Micros> {
+    pub fn identification_deadline(&self) -> Option<Timestamp> {
         let deadline = self.opened_at.plus(IDENTIFICATION_TIMEOUT);
         if self.identified.is_none() { Some(deadline) } else { None }
     }
@@ -58,14 +58,14 @@
     /// Where it listens, if that is known.
     pub address: Option<SocketAddr>,
     /// When a connection may be made again.
-    pub reconnect_at: Micros,
+    pub reconnect_at: Timestamp,
     /// Index of the connection that it is reached over.
     pub connection: Option<usize>,
 }
 
 impl Peer {
     pub fn new(name: String) -> Self {
-        Peer { name, address: None, reconnect_at: Micros(0), connection: None }
+        Peer { name, address: None, reconnect_at: Timestamp(0), connection: None }
     }
 }
 
--- a/crates/node/src/peers/links.rs
+++ b/crates/node/src/peers/links.rs
@@ -8,7 +8,7 @@
 use crate::counters::Counters;
 use crate::io::link::{Change, Link};
 use crate::io::{Listener, Ready, System};
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_cluster::consensus::Event;
 use gaugestand_cluster::wire::{FrameError, Hello, Payload};
 use gaugestand_cluster::{NodeId, Version};
@@ -32,7 +32,7 @@
     // ---- Members -----------------------------------------------------------------------------------------
 
     /// Takes over the committed membership. A node that has not joined yet keeps the nodes that it was configured with.
-    pub(super) fn update_peers(&mut self, now: Micros) {
+    pub(super) fn update_peers(&mut self, now: Timestamp) {
         let membership = self.consensus.membership().clone();
         for member in membership.members().iter().filter(|member| member.id != self.codec.node_id) {
             // Where a node reaches those of its configuration is its own matter.
@@ -49,7 +49,7 @@
         }
     }
 
-    fn disconnect_removed(&mut self, now: Micros, id: NodeId) {
+    fn disconnect_removed(&mut self, now: Timestamp, id: NodeId) {
         for index in 0..KEYS {
             let Some(connection) = self.connections[index].as_mut() else { continue };
             if connection.belongs_to(id) {
@@ -86,7 +86,7 @@
         higher.filter(move |(id, peer)| is_member && peer.address.is_some() && !is_connecting(*id))
     }
 
-    pub(super) fn connect_due(&mut self, now: Micros) {
+    pub(super) fn connect_due(&mut self, now: Timestamp) {
         let due = self.unconnected().filter(|(_, peer)| now >= peer.reconnect_at);
         let due: Vec<(NodeId, SocketAddr)> = due.filter_map(|(id, peer)| Some((id, peer.address?))).collect();
         for (id, address) in due {
@@ -102,7 +102,7 @@
     }
 
     /// Accepts connections that wait.
-    pub fn accept(&mut self, now: Micros) {
+    pub fn accept(&mut self, now: Timestamp) {
         self.has_work = true;
         for _ in 0..MAX_INCOMING {
             let Some(index) = self.index_for_incoming() else { return };
@@ -141,7 +141,7 @@
     }
 
     /// Closes connections that have not identified themselves in time, or were not made in time.
-    pub(super) fn close_timed_out(&mut self, now: Micros) {
+    pub(super) fn close_timed_out(&mut self, now: Timestamp) {
         for index in 0..KEYS {
             let Some(connection) = self.connections[index].as_mut() else { continue };
             let is_late = connection.identification_deadline().is_some_and(|deadline| now >= deadline);
@@ -151,16 +151,16 @@
         }
     }
 
-    pub(super) fn identification_deadlines(&self) -> impl Iterator<Item = Micros> {
+    pub(super) fn identification_deadlines(&self) -> impl Iterator<Item = Timestamp> {
         self.connections.iter().flatten().filter_map(Connection::identification_deadline)
     }
 
-    pub(super) fn reconnect_times(&self) -> impl Iterator<Item = Micros> {
+    pub(super) fn reconnect_times(&self) -> impl Iterator<Item = Timestamp> {
         self.unconnected().map(|(_, peer)| peer.reconnect_at)
     }
 
     /// Drops a connection. That proves nothing about its node: it may run, and hear others.
-    fn disconnect(&mut self, now: Micros, index: usize) {
+    fn disconnect(&mut self, now: Timestamp, index: usize) {
         let Some(connection) = self.connections[index].take() else { return };
         let jitter = Micros(self.rng.u64(..RECONNECT_DELAY.0 / 2));
         if let Some(peer) = connection.target.and_then(|target| self.peers.get_mut(&target)) {
@@ -177,7 +177,7 @@
     // ---- Messages ----------------------------------------------------------------------------------------
 
     /// The poller reports one of its connections.
-    pub fn on_ready(&mut self, now: Micros, event: Ready, counters: &mut Counters) {
+    pub fn on_ready(&mut self, now: Timestamp, event: Ready, counters: &mut Counters) {
         let index = event.key.checked_sub(self.first_key).filter(|index| *index < KEYS);
         let Some(index) = index else { return };
         self.has_work = true;
@@ -193,7 +193,7 @@
         self.read_messages(now, index, counters);
     }
 
-    fn read_messages(&mut self, now: Micros, index: usize, counters: &mut Counters) {
+    fn read_messages(&mut self, now: Timestamp, index: usize, counters: &mut Counters) {
         while let Some(connection) = self.connections[index].as_mut() {
             let received = match first_message(connection.link.input()) {
                 Ok(None) => return,
@@ -221,7 +221,7 @@
     }
 
     /// Ends a connection for a message that is not accepted.
-    fn reject(&mut self, now: Micros, index: usize, error: &FrameError) {
+    fn reject(&mut self, now: Timestamp, index: usize, error: &FrameError) {
         if let FrameError::RemovedSender { incarnation, .. } = error
             && let Some(connection) = self.connections[index].as_mut()
         {
@@ -238,7 +238,7 @@
 
     fn on_message(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         index: usize,
         from: NodeId,
         payload: Payload,
@@ -269,7 +269,13 @@
         }
     }
 
-    fn on_hello(&mut self, now: Micros, index: usize, from: NodeId, hello: &Hello) -> Result<(), FrameError> {
+    fn on_hello(
+        &mut self,
+        now: Timestamp,
+        index: usize,
+        from: NodeId,
+        hello: &Hello,
+    ) -> Result<(), FrameError> {
         let Some(connection) = self.connections[index].as_mut() else { return Ok(()) };
         // A connection that this node made leads to one node only.
         if connection.target.is_some_and(|target| target != from) {
@@ -300,7 +306,7 @@
         connection.link.send(frame(&self.codec.encode(payload, incarnation)));
     }
 
-    pub(super) fn flush_connections(&mut self, now: Micros) {
+    pub(super) fn flush_connections(&mut self, now: Timestamp) {
         for index in 0..KEYS {
             let Some(connection) = self.connections[index].as_mut() else { continue };
             if connection.link.flush(now).is_some() {
--- a/crates/node/src/peers/log_writer.rs
+++ b/crates/node/src/peers/log_writer.rs
@@ -2,7 +2,7 @@
 
 use crate::io::Worker;
 use gaugestand_admission::log_record::LogRecord;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_idempotency::row::{Batch, Outcome, Work};
 use std::collections::VecDeque;
 
@@ -16,12 +16,12 @@
     /// Records by sequence number; the first of them may be in flight.
     queue: VecDeque<(u64, LogRecord)>,
     in_flight: bool,
-    retry_at: Micros,
+    retry_at: Timestamp,
 }
 
 impl<W: Worker> LogWriter<W> {
     pub fn new(worker: W) -> Self {
-        LogWriter { worker, queue: VecDeque::new(), in_flight: false, retry_at: Micros(0) }
+        LogWriter { worker, queue: VecDeque::new(), in_flight: false, retry_at: Timestamp(0) }
     }
 
     pub fn enqueue(&mut self, sequence: u64, record: LogRecord) {
@@ -34,7 +34,7 @@
     }
 
     /// Hands the first record to the worker, if it is idle.
-    pub fn submit_next(&mut self, now: Micros) {
+    pub fn submit_next(&mut self, now: Timestamp) {
         if self.in_flight || now < self.retry_at {
             return;
         }
@@ -45,7 +45,7 @@
     }
 
     /// When the next record may be submitted, if one waits for that.
-    pub fn next_attempt(&self) -> Option<Micros> {
+    pub fn next_attempt(&self) -> Option<Timestamp> {
         (!self.in_flight && !self.queue.is_empty()).then_some(self.retry_at)
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// The sequence number of the next record that has become durable.
-    pub fn next_persisted(&mut self, now: Micros) -> Option<u64> {
+    pub fn next_persisted(&mut self, now: Timestamp) -> Option<u64> {
         while let Some((sequence, outcome)) = self.worker.outcome() {
             if self.queue.front().is_none_or(|(first, _)| *first != sequence) {
                 continue;
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -29,7 +29,7 @@
 use super::io::{Listener, System};
 use active_version::AppliedVersion;
 use connection::{Connection, Peer};
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_cluster::consensus::{Command, Consensus, Event, ProposalError, ValidationId};
 use gaugestand_cluster::membership::MAX_MEMBERS;
 use gaugestand_cluster::version_gate::EnabledLists;
@@ -113,11 +113,11 @@
     applied: AppliedVersion,
     attempts: OpenAttempts,
     /// When the last rejected message was logged.
-    last_warning: Option<Micros>,
+    last_warning: Option<Timestamp>,
     /// Something has happened since the last flush.
     has_work: bool,
     /// When to look again if nothing happens before.
-    next_timer: Micros,
+    next_timer: Timestamp,
 }
 
 impl<S: System> Peers<S> {
@@ -127,17 +127,17 @@
     }
 
     /// Whether there is anything to do in this iteration of the event loop; in most there is not.
-    pub fn is_due(&self, now: Micros) -> bool {
+    pub fn is_due(&self, now: Timestamp) -> bool {
         self.has_work || now >= self.next_timer
     }
 
     /// When to call [`Peers::on_timer`] again although nothing came.
-    pub fn next_timer(&self) -> Micros {
-        if self.has_work { Micros(0) } else { self.next_timer }
+    pub fn next_timer(&self) -> Timestamp {
+        if self.has_work { Timestamp(0) } else { self.next_timer }
     }
 
     /// Does what is due by now.
-    pub fn on_timer(&mut self, now: Micros) {
+    pub fn on_timer(&mut self, now: Timestamp) {
         self.connect_due(now);
         self.close_timed_out(now);
         if self.consensus.next_timer(now) <= now {
@@ -147,7 +147,7 @@
     }
 
     /// The next task of the node. Once there is none, all messages and records are on their way.
-    pub fn next_task(&mut self, now: Micros, counters: &mut Counters) -> Option<Task> {
+    pub fn next_task(&mut self, now: Timestamp, counters: &mut Counters) -> Option<Task> {
         while let Some(command) = self.commands.pop_front() {
             match command {
                 Command::Send { to, payload } => self.send(to, payload, counters),
@@ -169,7 +169,7 @@
     }
 
     /// The worker that writes the log has reported.
-    pub fn on_log_written(&mut self, now: Micros, counters: &mut Counters) {
+    pub fn on_log_written(&mut self, now: Timestamp, counters: &mut Counters) {
         self.has_work = true;
         self.log_writer.on_ready();
         while let Some(sequence) = self.log_writer.next_persisted(now) {
@@ -179,7 +179,7 @@
     }
 
     /// Ends an iteration of the event loop: writes what the sockets take.
-    pub fn flush(&mut self, now: Micros) {
+    pub fn flush(&mut self, now: Timestamp) {
         if !self.is_due(now) {
             return;
         }
@@ -188,13 +188,13 @@
         self.next_timer = self.earliest_timer(now);
     }
 
-    fn earliest_timer(&self, now: Micros) -> Micros {
+    fn earliest_timer(&self, now: Timestamp) -> Timestamp {
         let timers = self.identification_deadlines().chain(self.reconnect_times());
         let timers = timers.chain(self.log_writer.next_attempt()).chain([self.consensus.next_timer(now)]);
         timers.min().unwrap_or(now)
     }
 
-    fn step(&mut self, now: Micros, event: Event) {
+    fn step(&mut self, now: Timestamp, event: Event) {
         self.has_work = true;
         let mut commands = Vec::new();
         self.consensus.on_event(now, event, &mut commands);
--- a/crates/node/src/peers/open_attempts.rs
+++ b/crates/node/src/peers/open_attempts.rs
@@ -3,7 +3,7 @@
 use super::Peers;
 use crate::io::System;
 use gaugestand_admission::RequestId;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Timestamp;
 use gaugestand_cluster::Version;
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     /// The version in effect when it came.
     version: Version,
     gateway: u64,
-    since: Micros,
+    since: Timestamp,
 }
 
 /// All open attempts.
@@ -31,7 +31,7 @@
 }
 
 impl OpenAttempts {
-    fn start(&mut self, now: Micros, id: RequestId, gateway: u64, version: Version) {
+    fn start(&mut self, now: Timestamp, id: RequestId, gateway: u64, version: Version) {
         let attempt = OpenAttempt { version, gateway, since: now };
         if self.by_id.insert(id, attempt).is_none() {
             *self.by_gateway.entry(gateway).or_default() += 1;
@@ -53,7 +53,7 @@
         self.by_gateway.get(&gateway).copied().unwrap_or(0)
     }
 
-    pub fn by_version(&self, now: Micros) -> BTreeMap<Version, OpenUnderVersion> {
+    pub fn by_version(&self, now: Timestamp) -> BTreeMap<Version, OpenUnderVersion> {
         let mut versions: BTreeMap<Version, OpenUnderVersion> = BTreeMap::new();
         for attempt in self.by_id.values() {
             let open = versions.entry(attempt.version).or_default();
@@ -66,7 +66,7 @@
 
 impl<S: System> Peers<S> {
     /// An attempt came in.
-    pub fn attempt_started(&mut self, now: Micros, id: RequestId, gateway: u64) {
+    pub fn attempt_started(&mut self, now: Timestamp, id: RequestId, gateway: u64) {
         let version = self.applied.version.unwrap_or(0);
         self.attempts.start(now, id, gateway, version);
     }
--- a/crates/node/src/peers/proposals.rs
+++ b/crates/node/src/peers/proposals.rs
@@ -2,7 +2,7 @@
 
 use super::Peers;
 use crate::io::System;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Timestamp;
 use gaugestand_cluster::consensus::{Event, Unacceptable, ValidationId};
 use gaugestand_cluster::membership::MembershipChange;
 use gaugestand_cluster::{NodeId, Version};
@@ -12,7 +12,7 @@
     /// An operator proposes a content for the next version.
     pub fn propose(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         ticket: u64,
         content: Vec<u8>,
         expected_version: Option<Version>,
@@ -22,17 +22,22 @@
     }
 
     /// An operator requests a change of the membership.
-    pub fn change_membership(&mut self, now: Micros, ticket: u64, change: MembershipChange) {
+    pub fn change_membership(&mut self, now: Timestamp, ticket: u64, change: MembershipChange) {
         self.step(now, Event::ChangeMembership { ticket, change });
     }
 
     /// Result of a [`Task::Validate`](super::Task::Validate).
-    pub fn on_validated(&mut self, now: Micros, validation: ValidationId, result: Result<(), Unacceptable>) {
+    pub fn on_validated(
+        &mut self,
+        now: Timestamp,
+        validation: ValidationId,
+        result: Result<(), Unacceptable>,
+    ) {
         self.step(now, Event::Validated { validation, result });
     }
 
     /// This node is about to leave service: another node has to lead.
-    pub fn start_drain(&mut self, now: Micros) {
+    pub fn start_drain(&mut self, now: Timestamp) {
         self.step(now, Event::Draining);
     }
 
--- a/crates/node/src/peers/startup.rs
+++ b/crates/node/src/peers/startup.rs
@@ -5,7 +5,7 @@
 use super::open_attempts::OpenAttempts;
 use super::{KEYS, Peers, PollKeys};
 use crate::io::System;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_cluster::NodeId;
 use gaugestand_cluster::consensus::{Consensus, ConsensusConfig, ConsensusError};
 use gaugestand_cluster::lease::{LeaseConfig, LeaseConfigError};
@@ -183,7 +183,7 @@
             attempts: OpenAttempts::default(),
             last_warning: None,
             has_work: true,
-            next_timer: Micros(0),
+            next_timer: Timestamp(0),
         };
         peers.update_peers(system.moment().mono);
         Ok(peers)
--- a/crates/node/src/peers/status.rs
+++ b/crates/node/src/peers/status.rs
@@ -2,14 +2,14 @@
 
 use super::Peers;
 use crate::io::System;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::Timestamp;
 use gaugestand_cluster::lease::ActiveVersion;
 use gaugestand_cluster::membership::{Member, Role};
 use serde_json::{Value, json};
 
 impl<S: System> Peers<S> {
     /// The state of the cluster, as this node sees it.
-    pub fn status(&self, now: Micros) -> Value {
+    pub fn status(&self, now: Timestamp) -> Value {
         let membership = self.consensus.membership();
         let members: Vec<Value> =
             membership.members().iter().map(|member| self.member_status(member)).collect();
@@ -53,7 +53,7 @@
         })
     }
 
-    fn open_attempts_status(&self, now: Micros) -> Vec<Value> {
+    fn open_attempts_status(&self, now: Timestamp) -> Vec<Value> {
         let versions = self.attempts.by_version(now).into_iter();
         let status = versions.map(
             |(version, open)| json!({"version": version, "open": open.count, "oldest_ms": open.oldest_ms}),
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -6,7 +6,7 @@
 
 use super::fastcgi;
 use gaugestand_admission::RequestId;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, UnixTime};
 use serde::{Deserialize, Serialize};
 
 /// Most bytes of a body: bookings are small, and each body is kept until its run.
@@ -93,7 +93,7 @@
     is_deep_check: bool,
     #[serde(rename = "txn")]
     attempt_id: Option<RequestId>,
-    ingress: Option<Micros>,
+    ingress: Option<UnixTime>,
     #[serde(rename = "router")]
     caller: u64,
     #[serde(rename = "hint")]
@@ -128,7 +128,7 @@
     /// Index of its class.
     pub class: usize,
     /// When it reached the machine, in Unix time.
-    pub ingress: Micros,
+    pub ingress: UnixTime,
     /// The number of the gateway it came through.
     pub caller: u64,
     /// Expected work.
@@ -222,7 +222,7 @@
             }
             cgi::INGRESS_TIME => {
                 let unix_ms = parse_integer(value).ok_or(malformed("X-Ingress-Time"))?;
-                self.ingress = Some(Micros::millis(unix_ms));
+                self.ingress = Some(UnixTime::millis(unix_ms));
             }
             cgi::CALLER => self.caller = parse_integer(value).ok_or(malformed("X-Router"))?,
             cgi::WORK_HINT => {
--- a/crates/node/src/store/connection.rs
+++ b/crates/node/src/store/connection.rs
@@ -7,13 +7,13 @@
 use crate::io::link::{Change, Link};
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::CallOutcome;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use std::collections::BTreeMap;
 use std::mem;
 
 #[derive(Debug)]
 pub(super) struct Call {
-    started_at: Micros,
+    started_at: Timestamp,
     timeout: Micros,
     body: Vec<u8>,
     /// Where it starts in the link's stream, once it is queued there.
@@ -21,12 +21,12 @@
 }
 
 impl Call {
-    pub(super) fn new(now: Micros, timeout: Micros, body: Vec<u8>) -> Self {
+    pub(super) fn new(now: Timestamp, timeout: Micros, body: Vec<u8>) -> Self {
         Call { started_at: now, timeout, body, stream_position: None }
     }
 
     /// When it has run out of time without a reply.
-    pub(super) fn expires_at(&self) -> Micros {
+    pub(super) fn expires_at(&self) -> Timestamp {
         self.started_at.plus(self.timeout).plus(REPLY_GRACE)
     }
 
@@ -35,7 +35,13 @@
         self.stream_position.is_some()
     }
 
-    fn ended(&self, now: Micros, id: RequestId, outcome: CallOutcome, reply: Option<Vec<u8>>) -> EndedCall {
+    fn ended(
+        &self,
+        now: Timestamp,
+        id: RequestId,
+        outcome: CallOutcome,
+        reply: Option<Vec<u8>>,
+    ) -> EndedCall {
         EndedCall { id, outcome, reply, latency: now.since(self.started_at) }
     }
 }
@@ -48,21 +54,21 @@
     /// Tells it apart from earlier connections under the same key.
     pub(super) serial: u64,
     /// Last time that a call or a reply passed.
-    pub(super) last_active: Micros,
+    pub(super) last_active: Timestamp,
     /// When a part of a reply has last come, of which the rest is still to come.
-    pub(super) partial_since: Option<Micros>,
+    pub(super) partial_since: Option<Timestamp>,
     /// Takes no more calls: its address is out of date, or a reply never came on it.
     pub(super) retired: bool,
 }
 
 impl<S: System> StoreConnection<S> {
-    pub(super) fn new(now: Micros, link: Link<S>, serial: u64) -> Self {
+    pub(super) fn new(now: Timestamp, link: Link<S>, serial: u64) -> Self {
         let calls = BTreeMap::new();
         StoreConnection { link, calls, serial, last_active: now, partial_since: None, retired: false }
     }
 
     /// When it needs attention although nothing comes.
-    pub(super) fn next_wakeup(&self) -> Option<Micros> {
+    pub(super) fn next_wakeup(&self) -> Option<Timestamp> {
         let call = self.calls.values().map(Call::expires_at).min();
         let partial_reply = self.partial_since.map(|since| since.plus(PARTIAL_REPLY_TIMEOUT));
         let idle = self.calls.is_empty().then(|| self.last_active.plus(IDLE_TIMEOUT));
@@ -70,7 +76,7 @@
     }
 
     /// Queues the calls that are not on the link yet, if it is up.
-    pub(super) fn send(&mut self, now: Micros, counters: &mut Counters) {
+    pub(super) fn send(&mut self, now: Timestamp, counters: &mut Counters) {
         if !self.link.is_up() {
             return;
         }
@@ -86,7 +92,7 @@
     /// Takes the replies that were read, and appends the calls that they end; `has_read` if anything was read just now.
     pub(super) fn take_replies(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         has_read: bool,
         counters: &mut Counters,
         ended: &mut Vec<EndedCall>,
@@ -118,7 +124,7 @@
     }
 
     /// Ends all calls as the link went down.
-    pub(super) fn fail_all(&mut self, now: Micros, change: Change, ended: &mut Vec<EndedCall>) {
+    pub(super) fn fail_all(&mut self, now: Timestamp, change: Change, ended: &mut Vec<EndedCall>) {
         let written = self.link.written();
         for (id, call) in mem::take(&mut self.calls) {
             let outcome = match call.stream_position {
@@ -131,7 +137,7 @@
     }
 
     /// Appends the calls that have run out of time; they are still out.
-    pub(super) fn collect_expired(&mut self, now: Micros, expired: &mut Vec<EndedCall>) {
+    pub(super) fn collect_expired(&mut self, now: Timestamp, expired: &mut Vec<EndedCall>) {
         for (id, call) in self.calls.iter().filter(|(_, call)| now >= call.expires_at()) {
             // One whose time ran out before the connection was made was never sent: it never ran.
             let outcome = if call.was_sent() { CallOutcome::TimedOut } else { CallOutcome::Unreachable };
@@ -142,7 +148,7 @@
     }
 
     /// Whether it was made, or tried to be, for nothing that is still wanted.
-    pub(super) fn is_idle(&self, now: Micros) -> bool {
+    pub(super) fn is_idle(&self, now: Timestamp) -> bool {
         self.calls.is_empty() && (self.retired || now.since(self.last_active) >= IDLE_TIMEOUT)
     }
 }
--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -16,7 +16,7 @@
 use connection::{Call, StoreConnection};
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::CallOutcome;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use std::collections::BTreeMap;
 use std::mem;
 use std::net::SocketAddr;
@@ -69,7 +69,7 @@
     /// Calls that no connection could be found for.
     unplaced: Vec<EndedCall>,
     /// Nothing needs attention before.
-    next_check: Micros,
+    next_check: Timestamp,
 }
 
 impl<S: System> Store<S> {
@@ -84,7 +84,7 @@
             used_connections: BTreeMap::new(),
             touched: Vec::new(),
             unplaced: Vec::new(),
-            next_check: Micros(0),
+            next_check: Timestamp(0),
         }
     }
 
@@ -99,7 +99,7 @@
         if self.address != address {
             self.address = address;
             self.slots.iter_mut().flatten().for_each(|connection| connection.retired = true);
-            self.next_check = Micros(0);
+            self.next_check = Timestamp(0);
         }
     }
 
@@ -108,7 +108,7 @@
     /// Makes a call; one that is out for the same request is given up with it.
     pub fn call(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         id: RequestId,
         timeout: Micros,
         body: Vec<u8>,
@@ -132,7 +132,7 @@
     }
 
     /// The connection for a call: one that was free a moment ago, else a new one, else the one with the fewest calls.
-    fn choose_connection(&mut self, now: Micros, id: RequestId) -> Option<usize> {
+    fn choose_connection(&mut self, now: Timestamp, id: RequestId) -> Option<usize> {
         let address = self.address?;
         let used = self.used_connections.get(&id).map_or(&[][..], Vec::as_slice);
         let may_take = |connection: &StoreConnection<S>| {
@@ -176,7 +176,7 @@
             counters.calls_dropped += 1;
             self.touched.push(slot);
         }
-        self.next_check = Micros(0);
+        self.next_check = Timestamp(0);
     }
 
     /// Nothing more comes for this attempt.
@@ -192,7 +192,7 @@
     }
 
     /// The poller has something for the connection with this key; returns the calls that ended.
-    pub fn ready(&mut self, now: Micros, event: Ready, counters: &mut Counters) -> Vec<EndedCall> {
+    pub fn ready(&mut self, now: Timestamp, event: Ready, counters: &mut Counters) -> Vec<EndedCall> {
         let mut ended = Vec::new();
         let slot = event.key.wrapping_sub(self.first_key);
         let Some(Some(connection)) = self.slots.get_mut(slot) else { return ended };
@@ -216,7 +216,7 @@
     }
 
     /// Ends what is overdue and closes connections of no more use; returns the calls that ended.
-    pub fn on_timer(&mut self, now: Micros, counters: &mut Counters) -> Vec<EndedCall> {
+    pub fn on_timer(&mut self, now: Timestamp, counters: &mut Counters) -> Vec<EndedCall> {
         let mut ended = mem::take(&mut self.unplaced);
         if now < self.next_check {
             return ended;
@@ -244,17 +244,17 @@
         }
         ended.extend(expired);
         let next = self.slots.iter().flatten().filter_map(StoreConnection::next_wakeup).min();
-        self.next_check = next.unwrap_or(Micros(u64::MAX));
+        self.next_check = next.unwrap_or(Timestamp(u64::MAX));
         ended
     }
 
     /// When to call [`Store::on_timer`] again.
-    pub fn next_wakeup(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Timestamp> {
         Some(self.next_check).filter(|next| next.0 < u64::MAX)
     }
 
     /// Writes what can be written; returns the calls that ended as their link broke.
-    pub fn flush(&mut self, now: Micros) -> Vec<EndedCall> {
+    pub fn flush(&mut self, now: Timestamp) -> Vec<EndedCall> {
         let mut ended = Vec::new();
         for slot in mem::take(&mut self.touched) {
             let Some(Some(connection)) = self.slots.get_mut(slot) else { continue };
--- a/crates/node/src/store/tests.rs
+++ b/crates/node/src/store/tests.rs
@@ -34,10 +34,10 @@
     let mut counters = Counters::default();
     let timeout = Micros::millis(100);
     let id = RequestId(7);
-    store.call(Micros(0), id, timeout, b"c".to_vec(), &mut counters);
-    assert!(store.flush(Micros(0)).is_empty());
-    let expiry = timeout.plus(REPLY_GRACE);
-    assert!(store.on_timer(Micros(expiry.0 - 1), &mut counters).is_empty());
+    store.call(Timestamp(0), id, timeout, b"c".to_vec(), &mut counters);
+    assert!(store.flush(Timestamp(0)).is_empty());
+    let expiry = Timestamp(0).plus(timeout).plus(REPLY_GRACE);
+    assert!(store.on_timer(Timestamp(expiry.0 - 1), &mut counters).is_empty());
     let ended = store.on_timer(expiry, &mut counters);
     assert_eq!(
         ended.iter().map(|call| (call.id, call.outcome)).collect::<Vec<_>>(),
--- a/crates/simulation/src/fakes/kernel.rs
+++ b/crates/simulation/src/fakes/kernel.rs
@@ -3,7 +3,7 @@
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -37,7 +37,7 @@
     /// Number of the notice that requested its call.
     call_notice: u64,
     skips: bool,
-    started: Micros,
+    started: Timestamp,
 }
 
 /// Something that the kernel observed, for the rules.
@@ -59,7 +59,7 @@
     cores: f64,
     /// Speed of the cores: 1 unless a fault makes them slow.
     pub speed: f64,
-    started_at: Micros,
+    started_at: Timestamp,
     warmup_duration: Micros,
     cold_speed_share: f64,
     cold: bool,
@@ -71,7 +71,7 @@
     kept_notices: VecDeque<(u64, String)>,
     runs: BTreeMap<String, Run>,
     requests: BTreeMap<String, RequestFacts>,
-    advanced_to: Micros,
+    advanced_to: Timestamp,
     input: Vec<u8>,
     /// Lines to be sent on the link.
     pub output: Vec<u8>,
@@ -79,13 +79,13 @@
     /// What the rules want to know, since the last look.
     pub observed: Vec<Observation>,
     /// How many were on the cores, and since when: for the crowd's mean.
-    concurrency_samples: VecDeque<(Micros, f64)>,
+    concurrency_samples: VecDeque<(Timestamp, f64)>,
     results: u64,
 }
 
 impl Kernel {
     /// A kernel that comes up now, cold or warm.
-    pub fn new(now: Micros, cores: f64, cold: bool) -> Self {
+    pub fn new(now: Timestamp, cores: f64, cold: bool) -> Self {
         Kernel {
             cores,
             speed: 1.0,
@@ -119,7 +119,7 @@
     }
 
     /// Share of its full speed.
-    fn warmth(&self, now: Micros) -> f64 {
+    fn warmth(&self, now: Timestamp) -> f64 {
         if !self.cold {
             return 1.0;
         }
@@ -128,14 +128,14 @@
     }
 
     /// Work a microsecond that each run gets.
-    fn rate(&self, now: Micros) -> f64 {
+    fn rate(&self, now: Timestamp) -> f64 {
         let n = self.on_cores() as f64;
         let concurrency_samples = 1.0 / (1.0 + 0.08 * (n / self.cores - 2.0).max(0.0));
         self.speed * self.warmth(now) * concurrency_samples * (self.cores / n.max(1.0)).min(1.0)
     }
 
     /// When the next run is at its call or over, if nothing changes.
-    pub fn next_wake(&self) -> Option<Micros> {
+    pub fn next_wake(&self) -> Option<Timestamp> {
         let rate = self.rate(self.advanced_to);
         let to_go = |r: &Run| r.work_left - r.call_at.unwrap_or(0.0);
         let least = self.runs.values().filter(|r| !r.awaits_call).map(to_go).min_by(f64::total_cmp)?;
@@ -143,7 +143,7 @@
     }
 
     /// Time passes up to `now`.
-    pub fn advance(&mut self, now: Micros) {
+    pub fn advance(&mut self, now: Timestamp) {
         let passed = now.since(self.advanced_to).0 as f64 * self.rate(self.advanced_to);
         self.sample_concurrency(now);
         self.advanced_to = now;
@@ -175,7 +175,7 @@
         }
     }
 
-    fn sample_concurrency(&mut self, now: Micros) {
+    fn sample_concurrency(&mut self, now: Timestamp) {
         self.concurrency_samples
             .push_back((self.advanced_to, self.on_cores() as f64 * now.since(self.advanced_to).0 as f64));
         while self.concurrency_samples.front().is_some_and(|c| now.since(c.0) > Micros::millis(2_000)) {
@@ -184,7 +184,7 @@
     }
 
     /// Requests on the cores for each core, in the mean of 2 s, over what it survives: 1 or more is a fall.
-    pub fn concurrency_load(&self, now: Micros) -> f64 {
+    pub fn concurrency_load(&self, now: Timestamp) -> f64 {
         let mean = self.concurrency_samples.iter().map(|c| c.1).sum::<f64>() / 2e6 / self.cores;
         mean / (1.0 + 4.0 * self.warmth(now))
     }
@@ -215,7 +215,7 @@
     }
 
     /// Takes in bytes of the link.
-    pub fn take(&mut self, now: Micros, bytes: &[u8]) {
+    pub fn take(&mut self, now: Timestamp, bytes: &[u8]) {
         self.advance(now);
         self.input.extend(bytes);
         while let Some(end) = self.input.iter().position(|b| *b == b'\n') {
@@ -226,7 +226,7 @@
         }
     }
 
-    fn command(&mut self, now: Micros, command: &Value) {
+    fn command(&mut self, now: Timestamp, command: &Value) {
         let id = command["handle"].as_str().unwrap_or_default().to_string();
         match command["event"].as_str() {
             Some("OPEN") => {
@@ -276,7 +276,7 @@
         }
     }
 
-    fn sched(&mut self, now: Micros, id: String, command: &Value) {
+    fn sched(&mut self, now: Timestamp, id: String, command: &Value) {
         let Some(requests) = self.requests.get(&id) else {
             let text = json!({"event": "EINVAL", "fate": "SCHED", "handle": id}).to_string();
             return self.line(&text);
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -24,7 +24,7 @@
     Clock(i64),
 }
 
-/// The faults of a world, by time.
+/// The faults of a world, each with the time from the beginning of the world, in this order.
 pub fn draw_faults(seed: u64, length: Micros) -> Vec<(Micros, Fault)> {
     let mut rng = SimRng::new(seed, 2);
     let n = rng.below(7);
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -5,7 +5,7 @@
 //! fakes of gateways, kernel and downstream tier) calls it directly and is here called an actor.
 
 use crate::random::SimRng;
-use gaugestand_admission::time::{Micros, Moment};
+use gaugestand_admission::time::{Micros, Moment, Timestamp, UnixTime};
 use gaugestand_node::io::Ready;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -14,9 +14,9 @@
 use std::rc::Rc;
 
 /// Unix time at which every world begins: any date does, as long as it is the same in every run.
-const WALL_CLOCK_START: Micros = Micros::millis(1_764_576_000_000);
+const WALL_CLOCK_START: UnixTime = UnixTime::millis(1_764_576_000_000);
 /// Where the monotonic clock begins: well above zero, so that subtracting from an early time does not saturate.
-const MONOTONIC_START: Micros = Micros::millis(3_600_000);
+const MONOTONIC_START: Timestamp = Timestamp::millis(3_600_000);
 /// Most bytes on their way and unread in one direction, as the buffers of real sockets hold.
 const WINDOW_BYTES: usize = 256 * 1024;
 /// Delay of a packet: this at least, plus an exponentially distributed part with this mean and this bound.
@@ -64,7 +64,7 @@
     /// Bytes sent to the other side that it has not read.
     unread_by_peer: usize,
     /// When the last packet to the other side arrives: the next does not overtake it.
-    last_arrival: Micros,
+    last_arrival: Timestamp,
 }
 
 /// One side of a connection, by the connection's number.
@@ -103,13 +103,13 @@
 /// The simulated network, with its clock.
 #[derive(Debug)]
 pub struct Network {
-    now: Micros,
+    now: Timestamp,
     /// The wall clock is off by this, in microseconds.
     wall_clock_offset: i64,
     rng: SimRng,
     endpoints: BTreeMap<Side, Endpoint>,
     next_connection: usize,
-    in_flight: BTreeMap<(Micros, u64), (Side, Packet)>,
+    in_flight: BTreeMap<(Timestamp, u64), (Side, Packet)>,
     next_packet: u64,
     listeners: BTreeMap<SocketAddr, Backlog>,
     datagrams: Vec<(SocketAddr, Vec<u8>)>,
@@ -146,7 +146,7 @@
     pub fn moment(&self) -> Moment {
         let elapsed = self.now.since(MONOTONIC_START);
         let wall = WALL_CLOCK_START.plus(elapsed).0.saturating_add_signed(self.wall_clock_offset);
-        Moment { mono: self.now, wall: Micros(wall) }
+        Moment { mono: self.now, wall: UnixTime(wall) }
     }
 
     /// Sets the wall clock forward or back by so many microseconds.
@@ -160,12 +160,12 @@
     }
 
     /// When the next packet arrives.
-    pub fn next_arrival(&self) -> Option<Micros> {
+    pub fn next_arrival(&self) -> Option<Timestamp> {
         self.in_flight.first_key_value().map(|((at, _), _)| *at)
     }
 
     /// Moves the clock to `to` and delivers what arrives by then.
-    pub fn advance(&mut self, to: Micros) {
+    pub fn advance(&mut self, to: Timestamp) {
         while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= to) {
             let ((at, _), (side, packet)) = entry.remove_entry();
             self.now = self.now.max(at);
--- a/crates/simulation/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -1,7 +1,7 @@
 //! The rules of the platform, checked on what passes over the simulated sockets and on what the kernel did; they know
 //! nothing of the node's own state.
 
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use std::collections::BTreeMap;
 
 /// Time past the due time in which an answer still counts: the platform's slack, and what sockets add to it.
@@ -17,7 +17,7 @@
     /// The name of the rule.
     pub rule: &'static str,
     /// When, on the virtual clock.
-    pub at: Micros,
+    pub at: Timestamp,
     /// What was observed.
     pub observed: String,
 }
@@ -28,9 +28,9 @@
     /// Idempotency key and body, where the class is keyed.
     pub key: Option<(String, Vec<u8>)>,
     /// When it reached the machine.
-    pub ingress: Micros,
+    pub ingress: Timestamp,
     /// When its answer is due.
-    pub due: Micros,
+    pub due: Timestamp,
     /// The incarnation of the node that it was sent to.
     pub incarnation: u32,
     answers: u32,
@@ -46,11 +46,11 @@
     grace: Micros,
     attempts: BTreeMap<String, Attempt>,
     /// Attempts that are owed an answer, by due time.
-    owed: BTreeMap<(Micros, String), ()>,
+    owed: BTreeMap<(Timestamp, String), ()>,
     results: BTreeMap<String, Vec<u8>>,
     /// Runs of a key in the present incarnation: ingress time and id of each attempt that ran.
-    runs: BTreeMap<String, Vec<(Micros, String)>>,
-    drain: Option<Micros>,
+    runs: BTreeMap<String, Vec<(Timestamp, String)>>,
+    drain: Option<Timestamp>,
     /// The violations so far.
     pub violations: Vec<Violation>,
     /// Attempts that were served, for the summary.
@@ -79,7 +79,7 @@
         }
     }
 
-    fn violate(&mut self, rule: &'static str, at: Micros, observed: String) {
+    fn violate(&mut self, rule: &'static str, at: Timestamp, observed: String) {
         self.violations.push(Violation { rule, at, observed });
     }
 
@@ -88,8 +88,8 @@
         &mut self,
         id: &str,
         key: Option<(String, Vec<u8>)>,
-        ingress: Micros,
-        due: Micros,
+        ingress: Timestamp,
+        due: Timestamp,
         incarnation: u32,
     ) {
         let (answers, ran, answer_waived) = (0, false, false);
@@ -108,7 +108,7 @@
 
     /// The node has closed the connection of this attempt. It must not while an answer is owed; an attempt that crossed
     /// the close on the network is made again by its gateway.
-    pub fn on_closed(&mut self, now: Micros, id: &str) {
+    pub fn on_closed(&mut self, now: Timestamp, id: &str) {
         let owed =
             self.attempts.get(id).is_some_and(|attempt| !attempt.answer_waived && attempt.answers == 0);
         if owed && self.attempts.get(id).is_some_and(|attempt| now > attempt.ingress.plus(CROSSING)) {
@@ -126,13 +126,13 @@
     }
 
     /// The process was sent SIGTERM.
-    pub fn on_drain(&mut self, at: Micros) {
+    pub fn on_drain(&mut self, at: Timestamp) {
         self.drain = Some(at);
     }
 
     /// The process has ended by itself, or is about to be killed after its drain: nothing may be owed but what crossed
     /// the close of its connection, which its gateway sends again.
-    pub fn on_stopped(&mut self, now: Micros) {
+    pub fn on_stopped(&mut self, now: Timestamp) {
         let crosses =
             |id: &String| self.attempts.get(id).is_some_and(|attempt| now <= attempt.ingress.plus(CROSSING));
         let owed: Vec<String> =
@@ -144,7 +144,7 @@
     }
 
     /// A run started.
-    pub fn on_run_started(&mut self, now: Micros, id: &str) {
+    pub fn on_run_started(&mut self, now: Timestamp, id: &str) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return self.violate("run", now, format!("{id} was run and never sent"));
         };
@@ -174,12 +174,12 @@
     }
 
     /// Something that is never allowed.
-    pub fn report(&mut self, now: Micros, rule: &'static str, observed: String) {
+    pub fn report(&mut self, now: Timestamp, rule: &'static str, observed: String) {
         self.violate(rule, now, observed);
     }
 
     /// A complete answer arrived.
-    pub fn on_answer(&mut self, now: Micros, id: &str, status: u16, body: &[u8]) {
+    pub fn on_answer(&mut self, now: Timestamp, id: &str, status: u16, body: &[u8]) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         attempt.answers += 1;
         let (answers, ran, answer_waived, key) =
@@ -215,7 +215,7 @@
     }
 
     /// Reports what is overdue.
-    pub fn check_overdue(&mut self, now: Micros) {
+    pub fn check_overdue(&mut self, now: Timestamp) {
         while let Some(((due, id), ())) =
             self.owed.first_key_value().filter(|((d, _), _)| now > d.plus(SLACK))
         {
@@ -227,7 +227,7 @@
     }
 
     /// When the next answer becomes overdue.
-    pub fn next_wake(&self) -> Option<Micros> {
+    pub fn next_wake(&self) -> Option<Timestamp> {
         self.owed.first_key_value().map(|((due, _), ())| due.plus(SLACK).plus(Micros(1)))
     }
 }
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -136,7 +136,7 @@
 
     /// The settings as a node's configuration has them.
     pub fn settings(&self, callers: u64) -> Value {
-        let ns = |t: Micros| t.0 * 1000;
+        let ns = |length: Micros| length.0 * 1000;
         let classes: Vec<Value> = self
             .classes
             .iter()
--- a/crates/simulation/src/world/gateways.rs
+++ b/crates/simulation/src/world/gateways.rs
@@ -5,7 +5,7 @@
 use crate::fakes::kernel::RequestFacts;
 use crate::network::Side;
 use crate::site::RequestClass;
-use gaugestand_admission::time::{Micros, Moment};
+use gaugestand_admission::time::{Micros, Moment, Timestamp};
 use std::collections::BTreeMap;
 
 /// Most open requests that a gateway puts on one connection.
@@ -30,7 +30,7 @@
     work: Micros,
     attempts_left: u32,
     /// When its client gives up; set by the first attempt.
-    until: Option<Micros>,
+    until: Option<Timestamp>,
     resource: String,
 }
 
@@ -77,7 +77,7 @@
     /// What the gateway says that is left of it, in whole milliseconds.
     left: Micros,
     /// When an answer is due by the rules.
-    due: Micros,
+    due: Timestamp,
     is_retry: bool,
 }
 
@@ -223,7 +223,7 @@
     }
 
     /// Bytes of the node on a connection of a gateway.
-    pub(super) fn on_answer_bytes(&mut self, now: Micros, side: Side, bytes: &[u8]) {
+    pub(super) fn on_answer_bytes(&mut self, now: Timestamp, side: Side, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&side) else { return };
         let answers = match connection.reader.take(bytes) {
             Ok(answers) => answers,
@@ -234,7 +234,7 @@
         }
     }
 
-    fn on_answer(&mut self, now: Micros, side: Side, answer: &Answer) {
+    fn on_answer(&mut self, now: Timestamp, side: Side, answer: &Answer) {
         let connection = self.connections.get_mut(&side);
         let Some(id) = connection.and_then(|connection| connection.open.remove(&answer.id)) else {
             let observed = format!("an answer to number {}, which is not open", answer.id);
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -8,7 +8,7 @@
 use crate::rules::{Rules, Violation};
 use crate::site::{CORES, Site};
 use crate::system::VirtualSystem;
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_node::config;
 use gaugestand_node::event_loop::Node;
 use gaugestand_node::log::Logs;
@@ -90,7 +90,7 @@
 
 /// Iterations of the node's event loop at one moment of the simulated clock.
 struct Iterations {
-    at: Micros,
+    at: Timestamp,
     count: u32,
 }
 
@@ -100,7 +100,7 @@
     node: Option<Node<VirtualSystem>>,
     incarnation: u32,
     /// When the node wants to run again though nothing may be ready.
-    wake: Micros,
+    wake: Timestamp,
     kernel: Kernel,
     kernel_side: Option<Side>,
     /// Connections to the downstream tier, with what was read of a call.
@@ -108,7 +108,7 @@
     connections: BTreeMap<Side, GatewayConnection>,
     /// Attempts without a final answer, by id.
     attempts: BTreeMap<String, OpenAttempt>,
-    events: BTreeMap<(Micros, u64), Event>,
+    events: BTreeMap<(Timestamp, u64), Event>,
     next_event: u64,
     rules: Rules,
     rng: SimRng,
@@ -116,8 +116,8 @@
     site: Site,
     skipped: u64,
     rate: f64,
-    begin: Micros,
-    end: Micros,
+    begin: Timestamp,
+    end: Timestamp,
     next_id: u64,
     leaving: bool,
     sent: u64,
@@ -170,11 +170,11 @@
         world
     }
 
-    fn now(&self) -> Micros {
+    fn now(&self) -> Timestamp {
         self.net.borrow().moment().mono
     }
 
-    fn schedule(&mut self, t: Micros, event: Event) {
+    fn schedule(&mut self, t: Timestamp, event: Event) {
         self.next_event += 1;
         self.events.insert((t, self.next_event), event);
     }
@@ -244,7 +244,7 @@
     }
 
     /// When the next thing happens.
-    fn step_time(&self) -> Option<Micros> {
+    fn step_time(&self) -> Option<Timestamp> {
         let event = self.events.first_key_value().map(|((t, _), _)| *t);
         let node = self.node.as_ref().map(|_| self.wake);
         let times =
@@ -253,7 +253,7 @@
     }
 
     /// Has everything happen that is due at `t`, then checks the rules.
-    fn step(&mut self, t: Micros, seed: u64) {
+    fn step(&mut self, t: Timestamp, seed: u64) {
         self.net.borrow_mut().advance(t);
         self.kernel.advance(t);
         while let Some(entry) = self.events.first_entry().filter(|e| e.key().0 <= t) {
@@ -275,7 +275,7 @@
         }
     }
 
-    fn run_node(&mut self, t: Micros) {
+    fn run_node(&mut self, t: Timestamp) {
         let ready = self.net.borrow().ready();
         let Some(node) = &mut self.node else { return };
         if ready.is_empty() && t < self.wake {
--- a/crates/simulation/tests/worlds.rs
+++ b/crates/simulation/tests/worlds.rs
@@ -1,6 +1,6 @@
 //! Worlds from fixed seeds: the rules hold, a seed is a world, and the rules can fail.
 
-use gaugestand_admission::time::Micros;
+use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_simulation::faults::{Fault, draw_faults};
 use gaugestand_simulation::rules::Rules;
 use gaugestand_simulation::world::play;
@@ -40,8 +40,8 @@
     assert_ne!(a.digest, play(seed, SECS, &(0..9).collect(), false).digest);
 }
 
-fn ms(n: u64) -> Micros {
-    Micros::millis(n)
+fn ms(n: u64) -> Timestamp {
+    Timestamp::millis(n)
 }
 
 /// What is told to the rules, and the rule that it breaks.
@@ -49,7 +49,7 @@
 fn each_rule_can_be_broken() {
     let key = || Some(("k".to_string(), b"b".to_vec()));
     let rules = || {
-        let mut rules = Rules::new(ms(9_000), ms(600));
+        let mut rules = Rules::new(Micros::millis(9_000), Micros::millis(600));
         rules.on_sent("a", key(), ms(1_000), ms(5_000), 1);
         rules.on_sent("b", key(), ms(9_999), ms(14_000), 1);
         rules.on_sent("c", key(), ms(10_000), ms(14_000), 1);
