--- a/benches/record.rs
+++ b/benches/record.rs
@@ -6,6 +6,7 @@
 #[path = "../tests/peers/mod.rs"]
 mod peers;
 
+use gaugestand_admission::time::UnixTime;
 use gaugestand_fakes::kernel::AutoKernel;
 use gaugestand_fakes::postgres::Postgres;
 use gaugestand_idempotency::blocking_client::BlockingClient;
@@ -218,8 +219,8 @@
                     key,
                     holder: i.into(),
                     fingerprint: 1,
-                    ingress: now,
-                    expires: now + 29_220_000,
+                    ingress: UnixTime(now),
+                    expires: UnixTime(now + 29_220_000),
                     sequence: i + 1,
                     state: result,
                 })
--- a/crates/idempotency/src/blocking_client.rs
+++ b/crates/idempotency/src/blocking_client.rs
@@ -5,6 +5,7 @@
 use crate::error::SessionError;
 use crate::postgres::{Event, Login, Session};
 use crate::row::{Batch, Outcome, Recovery, Row};
+use gaugestand_admission::time::UnixTime;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -71,8 +72,8 @@
         self.next_outcome()
     }
 
-    /// Removes rows whose window ended before this moment of Unix time, in microseconds.
-    pub fn prune(&mut self, before: u64) -> Result<Outcome, SessionError> {
+    /// Removes rows whose window ended before this point of Unix time.
+    pub fn prune(&mut self, before: UnixTime) -> Result<Outcome, SessionError> {
         self.session.prune(0, before)?;
         self.next_outcome()
     }
--- a/crates/idempotency/src/postgres/codec.rs
+++ b/crates/idempotency/src/postgres/codec.rs
@@ -5,6 +5,7 @@
 use crate::error::SessionError;
 use crate::row::{Row, RowState};
 use bytes::BytesMut;
+use gaugestand_admission::time::UnixTime;
 use postgres_protocol::IsNull;
 use postgres_protocol::message::frontend;
 
@@ -74,8 +75,8 @@
             key: String::from_utf8(key.to_vec()).ok()?,
             holder: uint16(holder)?,
             fingerprint: uint16(fingerprint)?,
-            ingress: uint8(ran)?,
-            expires: uint8(until)?,
+            ingress: UnixTime(uint8(ran)?),
+            expires: UnixTime(uint8(until)?),
             sequence: uint8(stamp)?,
             state: RowState::from_code(code.into(), result.map(<[u8]>::to_vec))?,
         })
--- a/crates/idempotency/src/postgres/mod.rs
+++ b/crates/idempotency/src/postgres/mod.rs
@@ -22,6 +22,7 @@
 use bytes::BytesMut;
 use codec::{Param, decode_int8, decode_row, write_call};
 use fallible_iterator::FallibleIterator;
+use gaugestand_admission::time::UnixTime;
 use postgres_protocol::authentication::sasl::ScramSha256;
 use postgres_protocol::message::backend::{CommandCompleteBody, DataRowBody, Header, Message};
 use postgres_protocol::message::frontend;
@@ -231,11 +232,11 @@
         Ok(true)
     }
 
-    /// Begins the removal of rows that are past their window at `now`, in microseconds of Unix time; ends as a batch of
+    /// Begins the removal of rows that are past their window at `now`; ends as a batch of
     /// this number.
-    pub fn prune(&mut self, number: u64, now: u64) -> Result<(), SessionError> {
+    pub fn prune(&mut self, number: u64, now: UnixTime) -> Result<(), SessionError> {
         let node = self.login.node.clone();
-        self.call(Statement::Prune, &[Param::Text(&node), Param::Int8(now as i64)])?;
+        self.call(Statement::Prune, &[Param::Text(&node), Param::Int8(now.0 as i64)])?;
         self.begin_batch(number, false, false);
         Ok(())
     }
@@ -279,8 +280,8 @@
             Param::Text(&row.key),
             Param::Bytes(&row.holder.to_be_bytes()),
             Param::Bytes(&row.fingerprint.to_be_bytes()),
-            Param::Int8(row.ingress as i64),
-            Param::Int8(row.expires as i64),
+            Param::Int8(row.ingress.0 as i64),
+            Param::Int8(row.expires.0 as i64),
             Param::Int8(row.sequence as i64),
             Param::Int2(row.state.code()),
             row.state.result().map_or(Param::Null, Param::Bytes),
--- a/crates/idempotency/src/row.rs
+++ b/crates/idempotency/src/row.rs
@@ -1,6 +1,7 @@
 //! What the idempotency table and its backends exchange: rows, writes, batches and how they ended.
 
 use gaugestand_admission::log_record::LogRecord;
+use gaugestand_admission::time::UnixTime;
 use std::fmt;
 
 /// What a row says of its key.
@@ -52,10 +53,10 @@
     pub holder: u128,
     /// Fingerprint of its body.
     pub fingerprint: u128,
-    /// When that attempt reached the machine, in microseconds of Unix time (column `ran`).
-    pub ingress: u64,
-    /// End of its deduplication window, in microseconds of Unix time (column `until`).
-    pub expires: u64,
+    /// When that attempt reached the machine (column `ran`).
+    pub ingress: UnixTime,
+    /// End of its deduplication window (column `until`).
+    pub expires: UnixTime,
     /// Grows with every intent of a node's name, over restarts: a late write never replaces a later one (column
     /// `stamp`).
     pub sequence: u64,
--- a/crates/idempotency/src/sqlite/mod.rs
+++ b/crates/idempotency/src/sqlite/mod.rs
@@ -13,6 +13,7 @@
 use crate::error::OpenError;
 use crate::row::{Cause, Outcome, Recovery, Row, RowState, Work, Write};
 use file::{Checksum, FileFormat, checksum_of};
+use gaugestand_admission::time::UnixTime;
 use rusqlite::{Connection, OptionalExtension, params};
 use std::fs::File;
 use std::path::Path;
@@ -147,8 +148,8 @@
             row.key,
             row.holder.to_be_bytes().as_slice(),
             row.fingerprint.to_be_bytes().as_slice(),
-            row.ingress as i64,
-            row.expires as i64,
+            row.ingress.0 as i64,
+            row.expires.0 as i64,
             row.sequence as i64,
             row.state.code(),
             row.state.result(),
@@ -166,10 +167,10 @@
         Ok(rows)
     }
 
-    /// Removes rows whose window is over by the wall clock, in microseconds of Unix time; returns how many. Nothing
+    /// Removes rows whose window is over by the wall clock; returns how many. Nothing
     /// serves from the store while this process owns it.
-    pub fn prune(&self, now: u64) -> rusqlite::Result<usize> {
-        self.connection.execute(PRUNE, [now as i64])
+    pub fn prune(&self, now: UnixTime) -> rusqlite::Result<usize> {
+        self.connection.execute(PRUNE, [now.0 as i64])
     }
 }
 
@@ -179,7 +180,7 @@
     hasher.update(row.key.as_bytes());
     hasher.update(&row.holder.to_be_bytes());
     hasher.update(&row.fingerprint.to_be_bytes());
-    for number in [row.ingress, row.expires, row.sequence, row.state.code() as u64] {
+    for number in [row.ingress.0, row.expires.0, row.sequence, row.state.code() as u64] {
         hasher.update(&number.to_be_bytes());
     }
     if let Some(result) = row.state.result() {
@@ -197,8 +198,8 @@
         key: columns.get(0)?,
         holder: number(1)?,
         fingerprint: number(2)?,
-        ingress: columns.get::<_, i64>(3)? as u64,
-        expires: columns.get::<_, i64>(4)? as u64,
+        ingress: UnixTime(columns.get::<_, i64>(3)? as u64),
+        expires: UnixTime(columns.get::<_, i64>(4)? as u64),
         sequence: columns.get::<_, i64>(5)? as u64,
         state,
     };
--- a/crates/idempotency/src/table/durability.rs
+++ b/crates/idempotency/src/table/durability.rs
@@ -14,7 +14,7 @@
 use gaugestand_admission::RequestId;
 use gaugestand_admission::idempotency::Settlement;
 use gaugestand_admission::time::Moment;
-use gaugestand_admission::time::{Micros, Timestamp, UnixTime};
+use gaugestand_admission::time::{Micros, Timestamp};
 use std::collections::{HashMap, VecDeque};
 use std::mem;
 use std::rc::Rc;
@@ -298,13 +298,13 @@
             RowState::Failed => Phase::Failed,
         };
         // The window that it was made with may have been longer than today's.
-        let window = window.max(Micros(row.expires.saturating_sub(row.ingress)));
+        let window = window.max(row.expires.since(row.ingress));
         let whole_window = now.plus(window);
-        let wall = whole_window.wall.max(UnixTime(row.expires));
+        let wall = whole_window.wall.max(row.expires);
         let entry = Entry {
             holder: RequestId(row.holder),
             fingerprint: row.fingerprint,
-            ingress: UnixTime(row.ingress),
+            ingress: row.ingress,
             expires: Moment { mono: whole_window.mono, wall },
             sequence: row.sequence,
             phase,
--- a/crates/idempotency/src/table/state.rs
+++ b/crates/idempotency/src/table/state.rs
@@ -91,8 +91,8 @@
             key: key.to_string(),
             holder: self.holder.0,
             fingerprint: self.fingerprint,
-            ingress: self.ingress.0,
-            expires: self.expires.wall.0,
+            ingress: self.ingress,
+            expires: self.expires.wall,
             sequence: self.sequence,
             state,
         }
--- a/crates/idempotency/tests/stored_forms.rs
+++ b/crates/idempotency/tests/stored_forms.rs
@@ -7,6 +7,7 @@
 mod server_messages;
 
 use gaugestand_admission::log_record::LogRecord;
+use gaugestand_admission::time::UnixTime;
 use gaugestand_idempotency::consensus_log::ConsensusLog;
 use gaugestand_idempotency::postgres::{Event, Login, Session};
 use gaugestand_idempotency::row::{Batch, Outcome, Row, RowState, Work, Write};
@@ -23,9 +24,9 @@
 
 const LOG_OWNER: &str = "node n1 of fleet \"north\" (n1, n2, n3)";
 /// The end of a window that is over, in microseconds of Unix time.
-const PAST: u64 = 1_700_000_029_220_000;
+const PAST: UnixTime = UnixTime(1_700_000_029_220_000);
 /// The end of a window that is not, for some decades.
-const FUTURE: u64 = 4_000_000_000_000_000;
+const FUTURE: UnixTime = UnixTime(4_000_000_000_000_000);
 
 /// A folder of one test, removed with it.
 struct Folder(PathBuf);
@@ -52,11 +53,11 @@
 
 /// The rows of the fixtures: open, done, failed, and two that are past their window.
 fn rows() -> Vec<Row> {
-    let row = |key: &str, n: u128, expires: u64, state: RowState| Row {
+    let row = |key: &str, n: u128, expires: UnixTime, state: RowState| Row {
         key: key.into(),
         holder: u128::MAX - n,
         fingerprint: (n << 64) | 0x0102_0304,
-        ingress: 1_700_000_000_000_000 + n as u64,
+        ingress: UnixTime(1_700_000_000_000_000 + n as u64),
         expires,
         sequence: (1 << 40) | n as u64,
         state,
--- a/crates/idempotency/tests/stores.rs
+++ b/crates/idempotency/tests/stores.rs
@@ -1,5 +1,6 @@
 //! Both backends by themselves: what they promise of a batch, and what they say when they can't be used.
 
+use gaugestand_admission::time::UnixTime;
 use gaugestand_fakes::postgres::{Fault, Postgres};
 use gaugestand_idempotency::blocking_client::BlockingClient;
 use gaugestand_idempotency::postgres::{Login, Session};
@@ -42,8 +43,8 @@
         key: key.into(),
         holder: u128::MAX - 7,
         fingerprint: 9,
-        ingress: 1_000,
-        expires: 2_000,
+        ingress: UnixTime(1_000),
+        expires: UnixTime(2_000),
         sequence,
         state,
     }
@@ -358,13 +359,16 @@
     let folder = Folder::new();
     let mut store = Sqlite::open(&folder.file(), &Options::default()).expect("a store");
     assert_eq!(store.execute(&Work::Commit(vec![put("k", 1, good(b"r"))])), Outcome::Done);
-    assert_eq!((store.prune(1_999).expect("done"), store.prune(2_000).expect("done")), (0, 1));
+    assert_eq!(
+        (store.prune(UnixTime(1_999)).expect("done"), store.prune(UnixTime(2_000)).expect("done")),
+        (0, 1)
+    );
     let server = Postgres::start("pw").expect("it listens");
     let (mut client, _) = BlockingClient::take_name(server.address(), login("pw"), 10).expect("a login");
     let work = Work::Commit(vec![put("k", 1, good(b"r"))]);
     assert_eq!(client.execute(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
     for (before, left) in [(1_999, 1), (2_000, 0)] {
-        assert_eq!(client.prune(before).expect("sound"), Outcome::Done);
+        assert_eq!(client.prune(UnixTime(before)).expect("sound"), Outcome::Done);
         assert_eq!(server.rows(), left);
     }
 }
--- a/crates/idempotency/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -2,8 +2,7 @@
 
 use gaugestand_admission::RequestId;
 use gaugestand_admission::idempotency::*;
-use gaugestand_admission::time::Moment;
-use gaugestand_admission::time::{Micros, Timestamp, UnixTime};
+use gaugestand_admission::time::{Micros, Moment, Timestamp, UnixTime};
 use gaugestand_idempotency::row::{Cause, Outcome, Recovery, Row, RowState, Work, Write};
 use gaugestand_idempotency::{BreakerState, KeyTable, Limits};
 use std::rc::Rc;
@@ -88,7 +87,8 @@
 }
 
 fn row(key: &str, n: u128, state: RowState) -> Row {
-    let (ingress, expires) = (start().wall.0 - 5_000_000, start().wall.plus(WINDOW).0 - 5_000_000);
+    let ingress = start().wall.minus(Micros(5_000_000));
+    let expires = ingress.plus(WINDOW);
     Row { key: key.into(), holder: n, fingerprint: 1, ingress, expires, sequence: 7, state }
 }
 
--- a/src/idempotency_command.rs
+++ b/src/idempotency_command.rs
@@ -4,6 +4,7 @@
 //! from it; in a database it removes rows of one node beside that node. Whatever is wrong with a store is one line.
 
 use crate::Failure;
+use gaugestand_admission::time::{Micros, UnixTime};
 use gaugestand_idempotency::blocking_client::BlockingClient;
 use gaugestand_idempotency::postgres::Login;
 use gaugestand_idempotency::row::{Outcome, Row, RowState};
@@ -61,8 +62,7 @@
 }
 
 impl ShownRow {
-    /// `now` in microseconds of Unix time.
-    fn new(row: &Row, now: u64) -> Self {
+    fn new(row: &Row, now: UnixTime) -> Self {
         let state = match &row.state {
             RowState::Intent => "intent",
             RowState::Completed(_) => "good",
@@ -72,8 +72,8 @@
             key: row.key.clone(),
             state,
             txn: format!("{:016x}", row.holder),
-            ran_ms: row.ingress / MICROS_PER_MILLI,
-            until_ms: row.expires / MICROS_PER_MILLI,
+            ran_ms: row.ingress.0 / MICROS_PER_MILLI,
+            until_ms: row.expires.0 / MICROS_PER_MILLI,
             live: row.expires > now,
             result_bytes: row.state.result().map_or(0, <[u8]>::len),
         }
@@ -143,7 +143,7 @@
         return Err(Failure::Script(format!("{}: {problem}", target.settings.display())));
     };
     let backend = record.backend;
-    let now = unix_micros();
+    let now = unix_time();
     match task {
         Task::List => list(&backend, target, now),
         Task::Check => check(&backend, target, now),
@@ -153,13 +153,13 @@
             print_stats(&stats, json, "")
         }
         Task::Prune(seconds) => {
-            let before = now.saturating_sub(seconds.saturating_mul(MICROS_PER_SECOND));
+            let before = now.minus(Micros(seconds.saturating_mul(MICROS_PER_SECOND)));
             prune(&backend, target, before)
         }
     }
 }
 
-fn list(backend: &Backend, target: Target, now: u64) -> Result<(), Failure> {
+fn list(backend: &Backend, target: Target, now: UnixTime) -> Result<(), Failure> {
     let mut printed = Ok(());
     for_each_row(backend, target.node, |row| {
         if printed.is_ok() {
@@ -169,7 +169,7 @@
     printed
 }
 
-fn check(backend: &Backend, target: Target, now: u64) -> Result<(), Failure> {
+fn check(backend: &Backend, target: Target, now: UnixTime) -> Result<(), Failure> {
     if let Backend::Sqlite { path, .. } = backend {
         sqlite::check(path).map_err(start_failure)?;
     }
@@ -178,7 +178,7 @@
     print_stats(&stats, json, "sound: ")
 }
 
-fn stats(backend: &Backend, target: Target, now: u64) -> Result<Stats, Failure> {
+fn stats(backend: &Backend, target: Target, now: UnixTime) -> Result<Stats, Failure> {
     let name = if matches!(backend, Backend::Sqlite { .. }) { "sqlite" } else { "postgres" };
     let mut stats = Stats { backend: name, ..Stats::default() };
     for_each_row(backend, target.node, |row| stats.add(&ShownRow::new(&row, now)))?;
@@ -192,8 +192,8 @@
     print(&format!("{prefix}{}", stats.summary()))
 }
 
-/// Removes rows whose window ended before this moment of Unix time, in microseconds.
-fn prune(backend: &Backend, target: Target, before: u64) -> Result<(), Failure> {
+/// Removes rows whose window ended before this point of Unix time.
+fn prune(backend: &Backend, target: Target, before: UnixTime) -> Result<(), Failure> {
     let removed = match backend {
         Backend::Sqlite { path, .. } => prune_file(path, before)?,
         Backend::Postgres { address, .. } => prune_database(*address, login(backend, target.node)?, before)?,
@@ -204,7 +204,7 @@
     print(&format!("{removed} rows removed"))
 }
 
-fn prune_file(path: &Path, before: u64) -> Result<u64, Failure> {
+fn prune_file(path: &Path, before: UnixTime) -> Result<u64, Failure> {
     // Guards against making an empty store at a path that was mistyped.
     if !path.exists() {
         return Err(Failure::Start(format!("store of record {}: is not there", path.display())));
@@ -214,7 +214,7 @@
     Ok(removed as u64)
 }
 
-fn prune_database(address: SocketAddr, login: Login, before: u64) -> Result<u64, Failure> {
+fn prune_database(address: SocketAddr, login: Login, before: UnixTime) -> Result<u64, Failure> {
     let (mut client, found) = BlockingClient::read_only(address, login).map_err(start_failure)?;
     match client.prune(before).map_err(start_failure)? {
         Outcome::Done => Ok(found.iter().filter(|row| row.expires <= before).count() as u64),
@@ -260,8 +260,8 @@
     Failure::Start(format!("store of record {}: is damaged ({error}); restore it", path.display()))
 }
 
-fn unix_micros() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+fn unix_time() -> UnixTime {
+    UnixTime(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64)
 }
 
 fn to_json(value: &impl Serialize) -> Result<String, Failure> {
