--- a/benches/record.rs
+++ b/benches/record.rs
@@ -3,8 +3,8 @@
 //! `cargo bench --bench record -- [throughput|stall|recovery|cpu|memory|calls]`. For `cpu` and `memory`,
 //! GAUGESTAND_BEFORE names an earlier build to compare with. Figures go into docs/design/record.md.
 
-#[path = "../tests/peers/mod.rs"]
-mod peers;
+#[path = "../tests/support/mod.rs"]
+mod support;
 
 use gaugestand_fakes::kernel::AutoKernel;
 use gaugestand_fakes::postgres::Postgres;
@@ -13,7 +13,7 @@
 use gaugestand_idempotency::row::{Batch, Outcome, Row, RowState, Work, Write};
 use gaugestand_idempotency::sqlite::{Options, Sqlite};
 use hdrhistogram::Histogram;
-use peers::*;
+use support::*;
 use rusqlite::Connection;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -280,9 +280,9 @@
 
 /// Runs with an earlier build in the place of this one. Nothing else in this program runs meanwhile.
 fn with_before<T>(before: &std::ffi::OsStr, f: impl FnOnce() -> T) -> T {
-    peers::set_program(Some(before));
+    support::set_program(Some(before));
     let made = f();
-    peers::set_program(None);
+    support::set_program(None);
     made
 }
 
--- a/benches/upgrade.rs
+++ b/benches/upgrade.rs
@@ -2,11 +2,11 @@
 //!
 //! `cargo bench --bench upgrade`. Figures go into docs/design/operation.md.
 
-#[path = "../tests/peers/mod.rs"]
-mod peers;
+#[path = "../tests/support/mod.rs"]
+mod support;
 
 use gaugestand_fakes::kernel::AutoKernel;
-use peers::*;
+use support::*;
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,9 +1,9 @@
 //! Bad input and bad peers: each costs its own request, or its own connection where the framing is lost; counted, bounded,
 //! and without effect on others.
 
-mod peers;
+mod support;
 
-use peers::*;
+use support::*;
 use serde_json::json;
 use std::io::Read;
 use std::time::{Duration, Instant};
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,9 +1,9 @@
 //! Two events that cross: the program is paused, both are made to be there, and it goes on. The rows are those of
 //! `docs/design/crossings.md`.
 
-mod peers;
+mod support;
 
-use peers::*;
+use support::*;
 use serde_json::json;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpListener};
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,8 +1,8 @@
 //! Starts the program and speaks to it over loopback.
 
-mod peers;
+mod support;
 
-use peers::*;
+use support::*;
 use serde_json::json;
 use std::io::Write;
 use std::time::{Duration, Instant};
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,9 +1,9 @@
 //! What operators meet, on the real program: the second address, its figures, and new settings in service.
 
-mod peers;
+mod support;
 
 use gaugestand_node::config::{parse, validate_change};
-use peers::*;
+use support::*;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::TcpStream;
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -1,10 +1,10 @@
 //! The store of record behind the real program: what is durable, what is refused, and what never runs twice.
 
-mod peers;
+mod support;
 
 use gaugestand_fakes::kernel::AutoKernel;
 use gaugestand_fakes::postgres::{Fault, Postgres};
-use peers::*;
+use support::*;
 use rusqlite::Connection;
 use serde_json::Value;
 use std::net::TcpStream;
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -1,10 +1,10 @@
 //! The real program on sites that no operator has, drawn by seed: which fields requests carry and what is allowed decides,
 //! and nothing depends on the form of one site.
 
-mod peers;
+mod support;
 
 use gaugestand_simulation::site::{RequestClass, Site};
-use peers::*;
+use support::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
--- a/tests/peers/mod.rs
+++ b/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Scripted peers on loopback and the real program between them: each does only what its test says.
 #![allow(dead_code, missing_docs)]
 
-pub mod spoiler;
+pub mod frame_corruptor;
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,10 +1,10 @@
 //! One process of the node takes over from another, on the real program.
 
-mod peers;
+mod support;
 
 use gaugestand_fakes::kernel::AutoKernel;
-use peers::spoiler::Spoiler;
-use peers::*;
+use support::frame_corruptor::Spoiler;
+use support::*;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::TcpStream;
