--- a/benches/record.rs
+++ b/benches/record.rs
@@ -13,12 +13,12 @@
 use gaugestand_idempotency::row::{Batch, Outcome, Row, RowState, Work, Write};
 use gaugestand_idempotency::sqlite::{Options, Sqlite};
 use hdrhistogram::Histogram;
-use support::*;
 use rusqlite::Connection;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
+use support::*;
 
 enum Store {
     Off,
@@ -41,10 +41,11 @@
 
     /// All of them; a commit of the database takes this long.
     fn with_commits_of(time: Duration) -> [Store; 3] {
-        let password = place("pass");
+        let password = temporary_path("pass");
         std::fs::write(&password, "pw").expect("written");
         // On the disk that the build is on: a folder in memory would show nothing of what a commit costs.
-        let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(place("db").file_name().expect("a name"));
+        let file =
+            Path::new(env!("CARGO_TARGET_TMPDIR")).join(temporary_path("db").file_name().expect("a name"));
         let server = Postgres::start("pw").expect("listens");
         server.commit_time(time);
         [Store::Off, Store::Sqlite(file), Store::Postgres(server, password)]
@@ -67,7 +68,7 @@
     }
 
     fn scene(&self, more: &str) -> Scene {
-        Scene::with(self.script(more).as_deref(), wide)
+        Scene::with_script(self.script(more).as_deref(), lift_limits)
     }
 }
 
@@ -103,7 +104,7 @@
             .map(|_| {
                 let address = scene.address.clone();
                 scope.spawn(move || {
-                    let (mut gateway, mut mine) = (Gateway::to(&address), latencies());
+                    let (mut gateway, mut mine) = (Gateway::connect(&address), latencies());
                     while began.elapsed() < time {
                         let sent = Instant::now();
                         let txn = txn();
@@ -133,7 +134,7 @@
         for clients in [1, 16, 256] {
             let scene = store.scene(", entries = 2000000, memory_mb = 2048");
             let _kernel = AutoKernel::serve(&scene.kernel);
-            scene.await_good();
+            scene.await_healthy();
             let mut runs: Vec<(f64, u64, u64)> = (0..3)
                 .map(|_| {
                     let (rate, histogram) = bookings(&scene, clients, Duration::from_secs(2));
@@ -170,7 +171,7 @@
     let Store::Sqlite(path) = &store else { return };
     let scene = store.scene("");
     let _kernel = AutoKernel::serve(&scene.kernel);
-    scene.await_good();
+    scene.await_healthy();
     reads(&scene, Duration::from_secs(1));
     let mut ratios = Vec::new();
     for _ in 0..5 {
@@ -251,7 +252,7 @@
             let began = Instant::now();
             let scene = store.scene(", entries = 2000000, memory_mb = 4096");
             let _kernel = AutoKernel::serve(&scene.kernel);
-            scene.await_good();
+            scene.await_healthy();
             let (resident, peak) = memory_of(scene.pid());
             println!("{:8} {rows:9} {:13} {resident:13} {peak:9}", store.name(), began.elapsed().as_millis());
         }
@@ -271,7 +272,7 @@
 fn cost(clients: usize) -> f64 {
     let scene = Store::Off.scene("");
     let _kernel = AutoKernel::serve(&scene.kernel);
-    scene.await_good();
+    scene.await_healthy();
     bookings(&scene, clients, Duration::from_millis(500));
     let before = cpu_of(scene.pid());
     let (_, histogram) = bookings(&scene, clients, Duration::from_secs(3));
@@ -280,9 +281,9 @@
 
 /// Runs with an earlier build in the place of this one. Nothing else in this program runs meanwhile.
 fn with_before<T>(before: &std::ffi::OsStr, f: impl FnOnce() -> T) -> T {
-    support::set_program(Some(before));
+    support::override_program(Some(before));
     let made = f();
-    support::set_program(None);
+    support::override_program(None);
     made
 }
 
@@ -308,7 +309,7 @@
     let builds =
         std::env::var_os("GAUGESTAND_BEFORE").into_iter().chain([env!("CARGO_BIN_EXE_gaugestand").into()]);
     for build in builds {
-        let (wrapper, counts) = (place("sh"), place("calls"));
+        let (wrapper, counts) = (temporary_path("sh"), temporary_path("calls"));
         let script = format!(
             "#!/bin/sh\nexec strace -f -c -o {} {} \"$@\"\n",
             counts.display(),
@@ -319,14 +320,14 @@
         let made = with_before(wrapper.as_os_str(), || {
             let mut scene = Store::Off.scene("");
             let _kernel = AutoKernel::serve(&scene.kernel);
-            scene.await_good();
+            scene.await_healthy();
             let (_, histogram) = bookings(&scene, 1, Duration::from_secs(3));
             // The node ends by itself, so that strace writes what it has counted.
             let pid = scene.pid();
             let traced =
                 std::fs::read_to_string(format!("/proc/{pid}/task/{pid}/children")).expect("a process");
             std::process::Command::new("kill").args(["-TERM", traced.trim()]).status().expect("kill runs");
-            scene.ended_well();
+            scene.exits_successfully();
             histogram.len()
         });
         println!("{} bookings, one at a time, by {}:", made, std::path::Path::new(&build).display());
@@ -345,7 +346,7 @@
     let idle = |store: &Store, name: &str| {
         let scene = store.scene("");
         let _kernel = AutoKernel::serve(&scene.kernel);
-        scene.await_good();
+        scene.await_healthy();
         let (resident, peak) = memory_of(scene.pid());
         println!("{name:10} resident {resident} kB, peak {peak} kB");
     };
@@ -355,7 +356,7 @@
     for store in Store::all() {
         idle(&store, store.name());
     }
-    let scene = Scene::with(Some("log(level = \"info\")"), wide);
+    let scene = Scene::with_script(Some("log(level = \"info\")"), lift_limits);
     let (resident, peak) = memory_of(scene.pid());
     println!("script     resident {resident} kB, peak {peak} kB (settings alone, no store)");
 }
--- a/benches/upgrade.rs
+++ b/benches/upgrade.rs
@@ -6,11 +6,11 @@
 mod support;
 
 use gaugestand_fakes::kernel::AutoKernel;
-use support::*;
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
+use support::*;
 
 /// Rounds of each size.
 const ROUNDS: usize = 7;
@@ -19,8 +19,8 @@
 /// Milliseconds from the start of the new process to its yes, and the longest wait of a client that asks for health
 /// again and again while the old one is told to end.
 fn replace(keys: u64, open: u64) -> (f64, f64) {
-    let scene = Scene::shared_with(|text| {
-        wide(text);
+    let scene = Scene::replaceable_with(|text| {
+        lift_limits(text);
         text["limits"]["memory_mb"] = 512.into();
         text["settings"]["extra"]["cores"] = 64.into();
         for class in 0..2 {
@@ -29,7 +29,7 @@
     });
     let kernel = if open > 0 { AutoKernel::holding() } else { AutoKernel::default() };
     kernel.serve_also(&scene.kernel);
-    scene.await_good();
+    scene.await_healthy();
     let body = "b".repeat(200);
     let mut gateway = scene.gateway();
     for n in 0..keys {
@@ -43,21 +43,21 @@
             held.push(scene.gateway());
         }
         let (of, txn) = (held.last_mut().expect("one"), format!("{:016x}", (1 << 40) + n));
-        of.send(&try_records((n % 32) as u16 + 1, "quote", &txn, &[], body.as_bytes()));
+        of.send(&attempt_records((n % 32) as u16 + 1, "quote", &txn, &[], body.as_bytes()));
     }
     let began = Instant::now();
-    let next = scene.successor();
+    let next = scene.start_successor();
     kernel.serve_also(&next.kernel);
-    next.await_yes();
+    next.await_ready();
     let yes = began.elapsed();
     let over = AtomicBool::new(false);
     let longest = thread::scope(|scope| {
         let (address, over) = (&scene.address, &over);
         let client = scope.spawn(move || {
-            let (mut gateway, mut longest) = (Gateway::to(address), Duration::ZERO);
+            let (mut gateway, mut longest) = (Gateway::connect(address), Duration::ZERO);
             while !over.load(Ordering::Relaxed) {
                 let sent = Instant::now();
-                assert_eq!(&gateway.check("").status[..3], "200");
+                assert_eq!(&gateway.health_check("").status[..3], "200");
                 longest = longest.max(sent.elapsed());
             }
             longest
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -3,10 +3,10 @@
 mod support;
 
 use gaugestand_node::config::{parse, validate_change};
-use support::*;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::TcpStream;
+use support::*;
 
 fn txn(n: u64) -> String {
     format!("{n:016x}")
@@ -20,25 +20,25 @@
 #[test]
 fn a_process_says_yes_once_it_takes_clients_and_no_in_a_drain() {
     let mut scene = scene();
-    assert_eq!(scene.call("PING\n"), "error its kernel is not up\n");
-    let _kernel = scene.link();
-    scene.await_good();
-    assert_eq!(scene.call("PING\n"), "done\n");
-    assert_eq!(scene.call("PING\r\n"), "done\n");
+    assert_eq!(scene.admin_call("PING\n"), "error its kernel is not up\n");
+    let _kernel = scene.connect_kernel();
+    scene.await_healthy();
+    assert_eq!(scene.admin_call("PING\n"), "done\n");
+    assert_eq!(scene.admin_call("PING\r\n"), "done\n");
     for wrong in ["ping\n", "\n", "PING\nPING\n", &"P".repeat(200)] {
-        assert!(scene.call(wrong).starts_with("error "), "{wrong}");
+        assert!(scene.admin_call(wrong).starts_with("error "), "{wrong}");
     }
     scene.signal("-TERM");
-    while scene.call("PING\n") == "done\n" {}
-    assert_eq!(scene.call("PING\n"), "error it leaves service\n");
-    assert!(scene.ended_well());
+    while scene.admin_call("PING\n") == "done\n" {}
+    assert_eq!(scene.admin_call("PING\n"), "error it leaves service\n");
+    assert!(scene.exits_successfully());
 }
 
 // Guards against callers who wait behind the clients' table, or behind callers who say nothing.
 #[test]
 fn callers_are_answered_beside_a_full_table_and_beside_idle_callers() {
     let scene = scene();
-    let _kernel = scene.link();
+    let _kernel = scene.connect_kernel();
     let _idle: Vec<TcpStream> =
         (0..20).map(|_| TcpStream::connect(&scene.admin).expect("the second address")).collect();
     let mut cut = TcpStream::connect(&scene.admin).expect("the second address");
@@ -46,12 +46,12 @@
     let _busy: Vec<Gateway> = (0..60)
         .map(|_| {
             let mut gateway = scene.gateway();
-            gateway.send(&record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]));
+            gateway.send(&begin_record(1));
             gateway
         })
         .collect();
     for _ in 0..20 {
-        assert_eq!(scene.call("PING\n"), "done\n");
+        assert_eq!(scene.admin_call("PING\n"), "done\n");
     }
 }
 
@@ -61,17 +61,17 @@
     let scene = scene();
     let early = scene.gateway().read(&txn(1)).expect("an answer");
     assert_eq!(early, "503");
-    let mut kernel = scene.link();
-    scene.await_good();
+    let mut kernel = scene.connect_kernel();
+    scene.await_healthy();
     let mut gateway = scene.gateway();
     let mut asked = |id: &str, class: &str, body: &[u8], fate: &str| {
         gateway.request(1, class, id, body);
         if !fate.is_empty() {
             kernel.expect("SCHED", id);
-            assert_eq!(scene.figure("concurrent"), 1);
+            assert_eq!(scene.info_value("concurrent"), 1);
             kernel.reap(id, fate, b"r");
         }
-        gateway.answer().status[..3].to_string()
+        gateway.response().status[..3].to_string()
     };
     assert_eq!(asked(&txn(2), "quote", b"q", "good"), "200");
     assert_eq!(asked(&txn(3), "quote", b"q", "bad"), "500");
@@ -89,8 +89,8 @@
     drop(going);
     kernel.expect("PREEMPT", &txn(8));
     kernel.reap(&txn(8), "cut", b"");
-    let answer = scene.call("INFO\n");
-    let told = |name: &str| figure(&answer, name);
+    let answer = scene.admin_call("INFO\n");
+    let told = |name: &str| info_value(&answer, name);
     let of =
         |class: &str| ["success", "overload", "error"].map(|end| told(&format!("replies.{class}.{end}")));
     assert_eq!(of("quote"), [1, 1, 2]);
@@ -109,7 +109,7 @@
 // Guards against half a file, or an absurd one, that takes effect.
 #[test]
 fn a_file_is_turned_down_for_each_thing_that_is_wrong_with_it() {
-    let sound = config(1, 2, 3);
+    let sound = configuration(1, 2, 3);
     let text = sound.to_string();
     assert_eq!(turned_down(&sound, &text), None);
     for cut in 0..text.len() {
@@ -155,8 +155,8 @@
 #[test]
 fn classes_come_and_go_while_their_requests_are_open() {
     let mut scene = scene();
-    let mut kernel = scene.link();
-    scene.await_good();
+    let mut kernel = scene.connect_kernel();
+    scene.await_healthy();
     let mut gateway = scene.gateway();
     gateway.request(1, "booking", &txn(1), b"b");
     kernel.expect("SCHED", &txn(1));
@@ -174,34 +174,34 @@
             json!([0, 0].map(|n| if key == "class-calls" { json!(true) } else { json!(n) }));
     }
     scene.reload(&text.to_string());
-    scene.await_said("in effect");
+    scene.await_log_line("in effect");
     // A new class is served, one that is gone is refused; repeats of its keys still get what there is.
     gateway.request(3, "upgrade", &txn(3), b"u");
     let command = kernel.command();
     assert_eq!((&command["handle"], &command["entry"]), (&json!(txn(3)), &json!("upgrade")));
     kernel.reap(&txn(3), "good", b"up");
-    assert_eq!(gateway.answer().body, b"up");
-    gateway.send(&try_records(4, "booking", &txn(4), &[("HTTP_X_TXN_KEY", "other")], b"b"));
-    let refused = gateway.answer();
+    assert_eq!(gateway.response().body, b"up");
+    gateway.send(&attempt_records(4, "booking", &txn(4), &[("HTTP_X_TXN_KEY", "other")], b"b"));
+    let refused = gateway.response();
     assert_eq!((refused.id, &refused.status[..3]), (4, "503"));
     gateway.request(5, "booking", &txn(5), b"b");
     kernel.reap(&txn(1), "good", b"booked");
-    let mut both = [gateway.answer(), gateway.answer()].map(|a| (a.id, a.body));
+    let mut both = [gateway.response(), gateway.response()].map(|a| (a.id, a.body));
     both.sort();
     assert_eq!(both, [(1, b"booked".to_vec()), (5, b"booked".to_vec())]);
     gateway.request(6, "booking", &txn(6), b"b");
-    assert_eq!(gateway.answer().body, b"booked");
+    assert_eq!(gateway.response().body, b"booked");
     // The other one keeps the deadline that it came with, beyond that of its class today.
     std::thread::sleep(std::time::Duration::from_millis(1_800));
     kernel.reap(&txn(2), "good", b"quoted");
-    assert_eq!(gateway.answer().body, b"quoted");
-    assert_eq!(scene.figure("reload_success"), 1);
-    assert_eq!(scene.figure("replies.booking.overload"), 1);
-    assert_eq!(scene.figure("replies.booking.success"), 3);
+    assert_eq!(gateway.response().body, b"quoted");
+    assert_eq!(scene.info_value("reload_success"), 1);
+    assert_eq!(scene.info_value("replies.booking.overload"), 1);
+    assert_eq!(scene.info_value("replies.booking.success"), 3);
     // Turned down: nothing changes.
     scene.reload("");
-    scene.await_said("stays");
-    assert_eq!(scene.figure("reload_failure"), 1);
+    scene.await_log_line("stays");
+    assert_eq!(scene.info_value("reload_failure"), 1);
     gateway.request(7, "upgrade", &txn(7), b"u");
     kernel.expect("SCHED", &txn(7));
 }
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -4,7 +4,6 @@
 
 use gaugestand_fakes::kernel::AutoKernel;
 use gaugestand_fakes::postgres::{Fault, Postgres};
-use support::*;
 use rusqlite::Connection;
 use serde_json::Value;
 use std::net::TcpStream;
@@ -13,11 +12,11 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
+use support::*;
 
-const A: &str = "9b1f03aa5c7e2d41";
-const B: &str = "9b1f03aa5c7e2d42";
-const C: &str = "9b1f03aa5c7e2d43";
-const D: &str = "9b1f03aa5c7e2d44";
+const TXN_A: &str = "9b1f03aa5c7e2d41";
+const TXN_B: &str = "9b1f03aa5c7e2d42";
+const TXN_C: &str = "9b1f03aa5c7e2d43";
 const KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 /// Longest that any test waits for something to become so.
 const TIMEOUT: Duration = Duration::from_secs(20);
@@ -38,7 +37,7 @@
 
 impl Store {
     fn both() -> [Store; 2] {
-        let (path, password) = (place("db"), place("pass"));
+        let (path, password) = (temporary_path("db"), temporary_path("pass"));
         std::fs::write(&password, "correct horse\n").expect("written");
         let server = Postgres::start("correct horse").expect("it listens");
         [Store::Sqlite { path, lock: None }, Store::Postgres { server, password }]
@@ -59,7 +58,7 @@
     }
 
     fn scene(&self) -> Scene {
-        Scene::with(Some(&self.script()), short)
+        Scene::with_script(Some(&self.script()), short)
     }
 
     /// From the next write on it stands still.
@@ -120,8 +119,8 @@
 /// A node on this store that is in service, its kernel and a connection to it.
 fn serving(store: &Store) -> (Scene, Kernel, Gateway) {
     let scene = store.scene();
-    let kernel = scene.link();
-    scene.await_good();
+    let kernel = scene.connect_kernel();
+    scene.await_healthy();
     let gateway = scene.gateway();
     (scene, kernel, gateway)
 }
@@ -130,32 +129,28 @@
     gateway.request(id, "booking", txn, b"b");
 }
 
-fn status(answer: &Answer) -> (u16, &str, &[u8]) {
-    (answer.id, &answer.status[..3], &answer.body)
-}
-
 /// A node is killed right after it answered a booking. The caller's proxy sends the request again, and must get the same
 /// result without a second run.
 #[test]
 fn a_booking_is_durable_before_it_is_answered_and_a_repeat_after_a_kill_gets_the_same() {
     for store in Store::both() {
         let (mut scene, mut kernel, mut gateway) = serving(&store);
-        book(&mut gateway, 1, A);
-        kernel.expect("SCHED", A);
+        book(&mut gateway, 1, TXN_A);
+        kernel.expect("SCHED", TXN_A);
         // The intent is there before the run begins.
         assert_eq!(store.row(KEY, |_| true), (0, None));
-        kernel.reap(A, "good", b"booked");
-        assert_eq!(status(&gateway.answer()), (1, "200", &b"booked"[..]));
+        kernel.reap(TXN_A, "good", b"booked");
+        assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"booked"[..]));
         assert_eq!(store.row(KEY, |_| true), (1, Some(b"booked".to_vec())));
         scene.restart();
-        let mut kernel = scene.link();
-        scene.await_good();
+        let mut kernel = scene.connect_kernel();
+        scene.await_healthy();
         let mut gateway = scene.gateway();
-        book(&mut gateway, 1, B);
-        assert_eq!(status(&gateway.answer()), (1, "200", &b"booked"[..]));
+        book(&mut gateway, 1, TXN_B);
+        assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"booked"[..]));
         // Hard case 6: the same key with another body is another request.
-        gateway.request(2, "booking", C, b"other");
-        assert_eq!(status(&gateway.answer()), (2, "409", &b""[..]));
+        gateway.request(2, "booking", TXN_C, b"other");
+        assert_eq!(status_and_body(&gateway.response()), (2, "409", &b""[..]));
         kernel.expect_nothing(5);
     }
 }
@@ -165,17 +160,17 @@
 fn a_run_that_a_kill_left_in_doubt_fails_its_repeats_and_never_runs_again() {
     for store in Store::both() {
         let mut scene = store.scene();
-        let mut kernel = scene.link();
-        scene.await_good();
-        book(&mut scene.gateway(), 1, A);
-        kernel.expect("SCHED", A);
+        let mut kernel = scene.connect_kernel();
+        scene.await_healthy();
+        book(&mut scene.gateway(), 1, TXN_A);
+        kernel.expect("SCHED", TXN_A);
         scene.restart();
-        let mut kernel = scene.link();
-        scene.await_good();
+        let mut kernel = scene.connect_kernel();
+        scene.await_healthy();
         let mut gateway = scene.gateway();
-        for (id, txn) in [(1, B), (2, C)] {
+        for (id, txn) in [(1, TXN_B), (2, TXN_C)] {
             book(&mut gateway, id, txn);
-            assert_eq!(status(&gateway.answer()), (id, "500", &b""[..]));
+            assert_eq!(status_and_body(&gateway.response()), (id, "500", &b""[..]));
         }
         kernel.expect_nothing(5);
         assert_eq!(scene.counter("record_in_doubt"), 1);
@@ -188,20 +183,20 @@
 fn a_result_whose_write_stalls_fails_at_its_due_time_and_is_served_to_a_repeat_once_it_is_durable() {
     for mut store in Store::both() {
         let (_scene, mut kernel, mut gateway) = serving(&store);
-        book(&mut gateway, 1, A);
-        kernel.expect("SCHED", A);
+        book(&mut gateway, 1, TXN_A);
+        kernel.expect("SCHED", TXN_A);
         store.stall();
         let began = Instant::now();
-        kernel.reap(A, "good", b"booked");
-        assert_eq!(status(&gateway.answer()), (1, "500", &b""[..]));
+        kernel.reap(TXN_A, "good", b"booked");
+        assert_eq!(status_and_body(&gateway.response()), (1, "500", &b""[..]));
         assert!(began.elapsed() < Duration::from_millis(2_050), "{:?}", began.elapsed());
         // A repeat waits for the write, and gets the result as soon as that came through.
-        book(&mut gateway, 2, B);
+        book(&mut gateway, 2, TXN_B);
         kernel.expect_nothing(5);
         store.release();
-        assert_eq!(status(&gateway.answer()), (2, "200", &b"booked"[..]));
-        book(&mut gateway, 3, C);
-        assert_eq!(status(&gateway.answer()), (3, "200", &b"booked"[..]));
+        assert_eq!(status_and_body(&gateway.response()), (2, "200", &b"booked"[..]));
+        book(&mut gateway, 3, TXN_C);
+        assert_eq!(status_and_body(&gateway.response()), (3, "200", &b"booked"[..]));
         kernel.expect_nothing(5);
     }
 }
@@ -211,25 +206,25 @@
 fn a_result_whose_write_never_came_through_is_in_doubt_after_a_kill() {
     for mut store in Store::both() {
         let (mut scene, mut kernel, mut gateway) = serving(&store);
-        book(&mut gateway, 1, A);
-        kernel.expect("SCHED", A);
+        book(&mut gateway, 1, TXN_A);
+        kernel.expect("SCHED", TXN_A);
         store.stall();
-        kernel.reap(A, "good", b"booked");
+        kernel.reap(TXN_A, "good", b"booked");
         if let Store::Postgres { server, .. } = &mut store {
             // The transaction is lost with the server, and the node is killed before it can say it again.
             server.await_stall();
             server.stop();
         }
-        assert_eq!(status(&gateway.answer()), (1, "500", &b""[..]));
+        assert_eq!(status_and_body(&gateway.response()), (1, "500", &b""[..]));
         scene.restart_with(|| match &mut store {
             Store::Sqlite { lock, .. } => *lock = None,
             Store::Postgres { server, .. } => server.resume().expect("the same port"),
         });
-        let mut kernel = scene.link();
-        scene.await_good();
+        let mut kernel = scene.connect_kernel();
+        scene.await_healthy();
         let mut gateway = scene.gateway();
-        book(&mut gateway, 1, B);
-        assert_eq!(status(&gateway.answer()), (1, "500", &b""[..]));
+        book(&mut gateway, 1, TXN_B);
+        assert_eq!(status_and_body(&gateway.response()), (1, "500", &b""[..]));
         kernel.expect_nothing(5);
     }
 }
@@ -243,19 +238,19 @@
         store.stall();
         // The first one finds out; it is refused when the store is given up, long before its due time.
         let began = Instant::now();
-        book(&mut gateway, 1, A);
-        let answer = gateway.answer();
-        assert_eq!(status(&answer), (1, "503", &b""[..]));
-        assert!(answer.field("X-Throttle-Ms").is_some(), "{answer:?}");
+        book(&mut gateway, 1, TXN_A);
+        let response = gateway.response();
+        assert_eq!(status_and_body(&response), (1, "503", &b""[..]));
+        assert!(response.field("X-Throttle-Ms").is_some(), "{response:?}");
         assert!(began.elapsed() < Duration::from_millis(1_000), "{:?}", began.elapsed());
         // Now that it is known, further ones are rejected at once, and reads are served.
         let began = Instant::now();
-        gateway.send(&try_records(2, "booking", B, &[("HTTP_X_TXN_KEY", "k2")], b"b"));
-        assert_eq!(status(&gateway.answer()), (2, "503", &b""[..]));
-        gateway.request(3, "quote", C, b"q");
-        kernel.expect("SCHED", C);
-        kernel.reap(C, "good", b"read");
-        assert_eq!(status(&gateway.answer()), (3, "200", &b"read"[..]));
+        gateway.send(&attempt_records(2, "booking", TXN_B, &[("HTTP_X_TXN_KEY", "k2")], b"b"));
+        assert_eq!(status_and_body(&gateway.response()), (2, "503", &b""[..]));
+        gateway.request(3, "quote", TXN_C, b"q");
+        kernel.expect("SCHED", TXN_C);
+        kernel.reap(TXN_C, "good", b"read");
+        assert_eq!(status_and_body(&gateway.response()), (3, "200", &b"read"[..]));
         assert!(began.elapsed() < Duration::from_millis(200), "{:?}", began.elapsed());
         assert_eq!(scene.counter("record_open"), 1);
         store.release();
@@ -265,10 +260,10 @@
             assert!(began.elapsed() < TIMEOUT, "the store never came back");
             thread::sleep(Duration::from_millis(5));
         }
-        book(&mut gateway, 4, D);
-        kernel.expect("SCHED", D);
-        kernel.reap(D, "good", b"booked");
-        assert_eq!(status(&gateway.answer()), (4, "200", &b"booked"[..]));
+        book(&mut gateway, 4, TXN_D);
+        kernel.expect("SCHED", TXN_D);
+        kernel.reap(TXN_D, "good", b"booked");
+        assert_eq!(status_and_body(&gateway.response()), (4, "200", &b"booked"[..]));
     }
 }
 
@@ -290,7 +285,7 @@
     server.send_single_bytes(true);
     let mut scene = store.scene();
     let kernel = AutoKernel::serve(&scene.kernel);
-    scene.await_good();
+    scene.await_healthy();
     let mut txn = 0x2000u64;
     let mut book = |scene: &Scene, key: &str| {
         let (mut gateway, began) = (scene.gateway(), Instant::now());
@@ -337,7 +332,7 @@
     trouble: impl FnOnce(&mut Scene, &Mutex<String>),
 ) -> Burst {
     let kernel = AutoKernel::serve(&scene.kernel);
-    scene.await_good();
+    scene.await_healthy();
     let address = Mutex::new(scene.address.clone());
     let is_over = AtomicBool::new(false);
     let mut result = Burst { kernel, served: Vec::new(), reads: 0 };
@@ -472,7 +467,7 @@
         text["settings"]["classes"][1]["dedup-window"] = 600_000_000_000u64.into();
     };
     for store in Store::both() {
-        let mut scene = Scene::with(Some(&store.script()), long);
+        let mut scene = Scene::with_script(Some(&store.script()), long);
         let mut rng = fastrand::Rng::with_seed(seed);
         let burst = burst(&mut scene, 4, bookings_each, |scene, address| {
             for _ in 0..loops {
@@ -520,21 +515,21 @@
 fn a_drain_with_a_write_in_flight_answers_with_the_result_if_it_is_durable_and_ends_in_time() {
     for comes in [true, false] {
         for mut store in Store::both() {
-            let (mut scene, _kernel, mut gateway) = stalled(&mut store, A);
+            let (mut scene, _kernel, mut gateway) = stalled(&mut store, TXN_A);
             let began = Instant::now();
             scene.signal("-TERM");
             // The drain is under way once checks say so.
-            while scene.gateway().check("").status == "200 OK" {
+            while scene.gateway().health_check("").status == "200 OK" {
                 assert!(began.elapsed() < TIMEOUT, "no drain");
             }
             if comes {
                 store.release();
-                assert_eq!(status(&gateway.answer()), (1, "200", &b"booked"[..]));
+                assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"booked"[..]));
                 assert_eq!(store.row(KEY, |_| true).0, 1);
             } else {
-                assert_eq!(status(&gateway.answer()), (1, "500", &b""[..]));
+                assert_eq!(status_and_body(&gateway.response()), (1, "500", &b""[..]));
             }
-            assert!(scene.ended_well());
+            assert!(scene.exits_successfully());
             // It ends shortly before it is stopped, 4 s after the notice.
             assert!(began.elapsed() < Duration::from_millis(4_000), "{:?}", began.elapsed());
         }
@@ -546,7 +541,7 @@
 fn a_reload_during_a_stall_changes_bounds_and_no_store_and_loses_nothing() {
     for drains in [false, true] {
         for mut store in Store::both() {
-            let (mut scene, _kernel, mut gateway) = stalled(&mut store, A);
+            let (mut scene, _kernel, mut gateway) = stalled(&mut store, TXN_A);
             let script = store.script();
             let other = "record(backend = \"sqlite\", path = \"/elsewhere.db\", sync = \"full\")";
             let cases = [
@@ -564,12 +559,12 @@
             }
             for (text, output) in cases {
                 scene.reload_script(&text);
-                scene.await_said(output);
+                scene.await_log_line(output);
             }
             store.release();
-            assert_eq!(status(&gateway.answer()), (1, "200", &b"booked"[..]));
+            assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"booked"[..]));
             if drains {
-                assert!(scene.ended_well());
+                assert!(scene.exits_successfully());
             }
         }
     }
@@ -583,32 +578,32 @@
             short(text);
             text["settings"]["classes"][1]["dedup-window"] = 1_500_000_000u64.into();
         };
-        let mut scene = Scene::with(Some(&store.script()), window);
-        let mut kernel = scene.link();
-        scene.await_good();
+        let mut scene = Scene::with_script(Some(&store.script()), window);
+        let mut kernel = scene.connect_kernel();
+        scene.await_healthy();
         let mut gateway = scene.gateway();
         let began = Instant::now();
-        book(&mut gateway, 1, A);
-        kernel.expect("SCHED", A);
-        kernel.reap(A, "good", b"first");
-        assert_eq!(status(&gateway.answer()), (1, "200", &b"first"[..]));
-        book(&mut gateway, 2, B);
-        assert_eq!(status(&gateway.answer()), (2, "200", &b"first"[..]));
+        book(&mut gateway, 1, TXN_A);
+        kernel.expect("SCHED", TXN_A);
+        kernel.reap(TXN_A, "good", b"first");
+        assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"first"[..]));
+        book(&mut gateway, 2, TXN_B);
+        assert_eq!(status_and_body(&gateway.response()), (2, "200", &b"first"[..]));
         thread::sleep(Duration::from_millis(1_700).saturating_sub(began.elapsed()));
-        book(&mut gateway, 3, C);
-        kernel.expect("SCHED", C);
-        kernel.reap(C, "good", b"second");
-        assert_eq!(status(&gateway.answer()), (3, "200", &b"second"[..]));
+        book(&mut gateway, 3, TXN_C);
+        kernel.expect("SCHED", TXN_C);
+        kernel.reap(TXN_C, "good", b"second");
+        assert_eq!(status_and_body(&gateway.response()), (3, "200", &b"second"[..]));
         // After a restart what is there binds for a window from then on: longer, never shorter.
         scene.restart();
-        let mut kernel = scene.link();
-        scene.await_good();
+        let mut kernel = scene.connect_kernel();
+        scene.await_healthy();
         let (mut gateway, began) = (scene.gateway(), Instant::now());
-        book(&mut gateway, 1, D);
-        assert_eq!(status(&gateway.answer()), (1, "200", &b"second"[..]));
+        book(&mut gateway, 1, TXN_D);
+        assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"second"[..]));
         thread::sleep(Duration::from_millis(1_700).saturating_sub(began.elapsed()));
-        book(&mut gateway, 2, A);
-        kernel.expect("SCHED", A);
+        book(&mut gateway, 2, TXN_A);
+        kernel.expect("SCHED", TXN_A);
     }
 }
 
@@ -618,26 +613,26 @@
     let [_, store] = Store::both();
     let Store::Postgres { server, .. } = &store else { panic!("the second is the database") };
     let (mut scene, mut kernel, mut gateway) = serving(&store);
-    for (id, code, first, second) in [(1, "53100", A, B), (2, "25006", C, D)] {
+    for (id, code, first, second) in [(1, "53100", TXN_A, TXN_B), (2, "25006", TXN_C, TXN_D)] {
         server.failing(Some(code));
-        gateway.send(&try_records(id, "booking", first, &[("HTTP_X_TXN_KEY", code)], b"b"));
-        let answer = gateway.answer();
-        assert_eq!(status(&answer), (id, "503", &b""[..]));
-        assert!(answer.field("X-Throttle-Ms").is_some());
-        scene.await_said(if code == "53100" { "cause=\"full\"" } else { "cause=\"read-only\"" });
+        gateway.send(&attempt_records(id, "booking", first, &[("HTTP_X_TXN_KEY", code)], b"b"));
+        let response = gateway.response();
+        assert_eq!(status_and_body(&response), (id, "503", &b""[..]));
+        assert!(response.field("X-Throttle-Ms").is_some());
+        scene.await_log_line(if code == "53100" { "cause=\"full\"" } else { "cause=\"read-only\"" });
         let read = format!("{id:016x}");
         gateway.request(id, "quote", &read, b"q");
         kernel.expect("SCHED", &read);
         kernel.reap(&read, "good", b"read");
-        assert_eq!(status(&gateway.answer()), (id, "200", &b"read"[..]));
+        assert_eq!(status_and_body(&gateway.response()), (id, "200", &b"read"[..]));
         server.failing(None);
         while scene.counter("record_open") == 1 {
             thread::sleep(Duration::from_millis(5));
         }
-        gateway.send(&try_records(id, "booking", second, &[("HTTP_X_TXN_KEY", code)], b"b"));
+        gateway.send(&attempt_records(id, "booking", second, &[("HTTP_X_TXN_KEY", code)], b"b"));
         kernel.expect("SCHED", second);
         kernel.reap(second, "good", b"booked");
-        assert_eq!(status(&gateway.answer()), (id, "200", &b"booked"[..]));
+        assert_eq!(status_and_body(&gateway.response()), (id, "200", &b"booked"[..]));
         // A line a second at most tells of it; the next case waits for its own.
         thread::sleep(Duration::from_millis(1_100));
     }
@@ -646,7 +641,7 @@
 /// An operator names a damaged file, or a script with an error in it. The start ends with one line that says so.
 #[test]
 fn a_store_that_cannot_be_used_ends_the_start_with_one_line_and_a_script_with_status_two() {
-    let path = place("db");
+    let path = temporary_path("db");
     std::fs::write(&path, "not a database, but long enough to look at; ".repeat(40)).expect("written");
     let store = Store::Sqlite { path, lock: None };
     let [_, postgres] = Store::both();
@@ -663,8 +658,8 @@
         ("record(".into(), "serve", 2, "the script is Starlark"),
     ];
     for (script, subcommand, code, text) in cases {
-        let (mut command, config) = program(&config(1, 2, 3), subcommand);
-        let settings = place("star");
+        let (mut command, config) = program(&configuration(1, 2, 3), subcommand);
+        let settings = temporary_path("star");
         std::fs::write(&settings, script).expect("written");
         let out = command.arg("--settings").arg(&settings).output().expect("the program runs");
         let output = String::from_utf8_lossy(&out.stderr).into_owned();
@@ -676,8 +671,8 @@
 
 /// What a sub-command of `record` prints, and its status.
 fn record(store: &Store, arguments: &[&str]) -> (Option<i32>, String) {
-    let (mut command, config) = program(&config(1, 2, 3), "record");
-    let settings = place("star");
+    let (mut command, config) = program(&configuration(1, 2, 3), "record");
+    let settings = temporary_path("star");
     std::fs::write(&settings, store.script()).expect("written");
     let out = command.args(arguments).arg("--settings").arg(&settings).env("BALANCER_NAME", "n3").output();
     let out = out.expect("the program runs");
@@ -690,12 +685,12 @@
 fn a_store_is_read_beside_a_running_node_and_pruned_after_it() {
     for store in Store::both() {
         let (mut scene, mut kernel, mut gateway) = serving(&store);
-        book(&mut gateway, 1, A);
-        kernel.expect("SCHED", A);
-        kernel.reap(A, "good", b"booked");
-        assert_eq!(status(&gateway.answer()).1, "200");
-        gateway.send(&try_records(2, "booking", B, &[("HTTP_X_TXN_KEY", "k2")], b"b"));
-        kernel.expect("SCHED", B);
+        book(&mut gateway, 1, TXN_A);
+        kernel.expect("SCHED", TXN_A);
+        kernel.reap(TXN_A, "good", b"booked");
+        assert_eq!(status_and_body(&gateway.response()).1, "200");
+        gateway.send(&attempt_records(2, "booking", TXN_B, &[("HTTP_X_TXN_KEY", "k2")], b"b"));
+        kernel.expect("SCHED", TXN_B);
         let output = "2 rows (1 good, 0 failed, 1 intents), 2 live, 6 bytes of results\n";
         assert_eq!(record(&store, &["check"]), (Some(0), format!("sound: {output}")));
         assert_eq!(record(&store, &["stats"]), (Some(0), output.to_string()));
@@ -708,8 +703,8 @@
         assert_eq!((&rows[1]["key"], &rows[1]["state"], rows.len()), (&"k2".into(), &"intent".into(), 2));
         assert!(record(&store, &["list"]).1.contains(KEY));
         // Looking has disturbed nothing: the node still writes under its name.
-        kernel.reap(B, "good", b"too");
-        assert_eq!(status(&gateway.answer()), (2, "200", &b"too"[..]));
+        kernel.reap(TXN_B, "good", b"too");
+        assert_eq!(status_and_body(&gateway.response()), (2, "200", &b"too"[..]));
         // The window (9 s) is not over, let alone by an hour; a file that is in use is left alone.
         let (code, output) = record(&store, &["prune"]);
         match store {
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -4,9 +4,9 @@
 mod support;
 
 use gaugestand_simulation::site::{RequestClass, Site};
-use support::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
+use support::*;
 
 const SITES: u64 = 10;
 
@@ -36,8 +36,8 @@
             c.as_object_mut().expect("an object").remove("store");
         }
     });
-    let mut kernel = scene.link();
-    scene.await_good();
+    let mut kernel = scene.connect_kernel();
+    scene.await_healthy();
     let mut gateway = scene.gateway();
     for (i, class) in site.classes.iter().enumerate() {
         let what = format!("seed {seed}, {} of {site}", class.name);
@@ -45,24 +45,24 @@
         let key = format!("{i:032x}");
         let mut say = |n: usize, is_retry: bool, ttl: &str, body: &[u8]| {
             let params = params(&site, class, &key, is_retry, ttl);
-            gateway.send(&try_records(1, &class.name, &txn(n), &params, body));
+            gateway.send(&attempt_records(1, &class.name, &txn(n), &params, body));
         };
         say(1, false, "9000", b"body");
         assert_eq!(kernel.expect("SCHED", &txn(1)), b"body", "{what}");
         if class.calls && class.skipped_call_weight > 0.0 {
             // Nobody listens below.
-            kernel.io_req(&txn(1), b"call");
+            kernel.request_call(&txn(1), b"call");
             let on = json!({"event": "NOIO", "handle": txn(1), "cursor": kernel.cursor});
             assert_eq!(kernel.command(), on, "{what}");
         }
         kernel.reap(&txn(1), "good", b"result");
-        let answer = gateway.answer();
-        assert_eq!((&answer.status[..3], &answer.body[..]), ("200", &b"result"[..]), "{what}");
-        assert!(site.backpressure_signal != "silent" || answer.field("X-Capacity").is_none(), "{what}");
+        let response = gateway.response();
+        assert_eq!((&response.status[..3], &response.body[..]), ("200", &b"result"[..]), "{what}");
+        assert!(site.backpressure_signal != "silent" || response.field("X-Capacity").is_none(), "{what}");
         let mut say = |n: usize, is_retry: bool, ttl: &str, body: &[u8]| {
             let params = params(&site, class, &key, is_retry, ttl);
-            gateway.send(&try_records(1, &class.name, &txn(n), &params, body));
-            gateway.answer()
+            gateway.send(&attempt_records(1, &class.name, &txn(n), &params, body));
+            gateway.response()
         };
         if class.keyed {
             let again = say(2, true, "9000", b"body");
--- /dev/null
+++ b/tests/support/admin.rs
@@ -0,0 +1,25 @@
+//! A client of the second address, where operators send commands and read counters.
+
+use super::with_read_timeout;
+use std::io::{Read, Write};
+use std::net::TcpStream;
+
+/// Sends one line to the second address at `admin`; what it is answered, up to the end of the connection.
+pub fn admin_call(admin: &str, line: &str) -> String {
+    let mut caller = with_read_timeout(TcpStream::connect(admin).expect("the second address"));
+    caller.write_all(line.as_bytes()).expect("sent");
+    let mut answer = String::new();
+    caller.read_to_string(&mut answer).expect("text, then an end");
+    answer
+}
+
+/// The value of this name in the answer to `INFO`, which must be whole.
+pub fn info_value(answer: &str, name: &str) -> u64 {
+    assert!(answer.ends_with("\nend\n"), "{answer}");
+    let line =
+        answer.lines().find_map(|line| line.strip_prefix("balancer.")?.strip_prefix(name)?.strip_prefix(':'));
+    let (value, kind) =
+        line.and_then(|l| l.split_once('|')).unwrap_or_else(|| panic!("no {name} in {answer}"));
+    assert_eq!(kind, if name == "concurrent" { "g" } else { "c" }, "{name}");
+    value.parse().expect("a number")
+}
--- a/tests/support/frame_corruptor.rs
+++ b/tests/support/frame_corruptor.rs
@@ -1,5 +1,5 @@
-//! Stands between two processes of a node and spoils what the elder sends at its end, as a program that lays its state
-//! out otherwise would have it. Sockets that go along are passed on.
+//! A proxy between two processes of a node which corrupts the snapshot that the predecessor hands over, as if a program
+//! with another layout of its state had sent it. Sockets that are passed along with frames are passed on.
 
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
@@ -13,30 +13,31 @@
 use std::path::{Path, PathBuf};
 use std::thread;
 
-/// How the frame that holds the engine starts, in CBOR.
-const REST: &[u8] = b"\xa1\x64Rest";
-/// What each side says first.
-const WORD: usize = 8;
+/// How the frame that holds the engine's state starts, in CBOR.
+const STATE_FRAME_PREFIX: &[u8] = b"\xa1\x64Rest";
+/// Length in bytes of the greeting that each side sends first.
+const GREETING_LEN: usize = 8;
 
-pub struct Spoiler {
+/// The folder in which a successor finds the proxy instead of its predecessor.
+pub struct FrameCorruptor {
     folder: PathBuf,
 }
 
-impl Spoiler {
-    /// Serves a folder of its own, in which a heir finds the elder of the other one, and the same claim.
-    pub fn between(elder: &Path) -> Self {
-        let folder = super::place("spoilt");
+impl FrameCorruptor {
+    /// Serves a folder of its own with a socket for each of the predecessor's folder, and the same lock files.
+    pub fn between(predecessor: &Path) -> Self {
+        let folder = super::temporary_path("spoilt");
         fs::create_dir(&folder).expect("a folder");
-        for entry in fs::read_dir(elder).expect("a folder").flatten() {
+        for entry in fs::read_dir(predecessor).expect("a folder").flatten() {
             let (from, to) = (entry.path(), folder.join(entry.file_name()));
             if from.extension().is_some_and(|e| e == "lock") {
                 fs::hard_link(from, to).expect("the same lock");
             } else {
-                let door = UnixListener::bind(to).expect("a socket");
-                thread::spawn(move || serve(door, &from));
+                let listener = UnixListener::bind(to).expect("a socket");
+                thread::spawn(move || serve(listener, &from));
             }
         }
-        Spoiler { folder }
+        FrameCorruptor { folder }
     }
 
     pub fn folder(&self) -> &Path {
@@ -44,57 +45,61 @@
     }
 }
 
-impl Drop for Spoiler {
+impl Drop for FrameCorruptor {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Until the elder has ended: then nobody answers here either.
-fn serve(door: UnixListener, elder: &Path) {
-    while let Ok((heir, _)) = door.accept() {
-        let Ok(elder) = UnixStream::connect(elder) else { return };
-        let (from, to) = (elder.try_clone().expect("a socket"), heir.try_clone().expect("a socket"));
-        thread::spawn(move || pump(&from, &to, true));
-        thread::spawn(move || pump(&heir, &elder, false));
+/// Proxies connections until the predecessor has ended; then nobody answers here either.
+fn serve(listener: UnixListener, predecessor: &Path) {
+    while let Ok((successor, _)) = listener.accept() {
+        let Ok(predecessor) = UnixStream::connect(predecessor) else { return };
+        let from = predecessor.try_clone().expect("a socket");
+        let to = successor.try_clone().expect("a socket");
+        thread::spawn(move || forward(&from, &to, true));
+        thread::spawn(move || forward(&successor, &predecessor, false));
     }
 }
 
-/// Passes on what comes, frame by frame where frames are to be spoilt, until one side ends.
-fn pump(from: &UnixStream, to: &UnixStream, spoils: bool) {
-    let (mut waiting, mut fds, mut buf, mut greeted) = (Vec::new(), Vec::new(), vec![0; 64 * 1024], false);
-    'link: loop {
+/// Passes on what comes until one side ends; frame by frame, with the state corrupted, if `corrupts`.
+fn forward(from: &UnixStream, to: &UnixStream, corrupts: bool) {
+    let mut waiting = Vec::new();
+    let mut descriptors = Vec::new();
+    let mut buffer = vec![0; 64 * 1024];
+    let mut greeted = false;
+    'connection: loop {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
-        let slices = &mut [IoSliceMut::new(&mut buf)];
+        let slices = &mut [IoSliceMut::new(&mut buffer)];
         let Ok(read) = recvmsg(from, slices, &mut control, RecvFlags::CMSG_CLOEXEC) else { break };
         for message in control.drain() {
-            if let RecvAncillaryMessage::ScmRights(came) = message {
-                fds.extend(came);
+            if let RecvAncillaryMessage::ScmRights(received) = message {
+                descriptors.extend(received);
             }
         }
         if read.bytes == 0 {
             break;
         }
-        waiting.extend(&buf[..read.bytes]);
-        while let Some(mut frame) = next(&mut waiting, &mut greeted, spoils) {
-            if frame.len() > 4 && frame[4..].starts_with(REST) {
+        waiting.extend(&buffer[..read.bytes]);
+        while let Some(mut frame) = next_piece(&mut waiting, &mut greeted, corrupts) {
+            if frame.len() > 4 && frame[4..].starts_with(STATE_FRAME_PREFIX) {
                 frame[6] = b'?';
             }
-            // A socket may come before its frame: the other side takes them in order.
-            if send(to, &frame, &std::mem::take(&mut fds)).is_none() {
-                break 'link;
+            // A socket may come before its frame: the receiver assigns them in order.
+            if send(to, &frame, &std::mem::take(&mut descriptors)).is_none() {
+                break 'connection;
             }
         }
     }
     let _ = (from.shutdown(std::net::Shutdown::Both), to.shutdown(std::net::Shutdown::Both));
 }
 
-/// What can be passed on as one.
-fn next(waiting: &mut Vec<u8>, greeted: &mut bool, frames: bool) -> Option<Vec<u8>> {
+/// The greeting or frame that is complete, or whatever there is if frames do not matter.
+fn next_piece(waiting: &mut Vec<u8>, greeted: &mut bool, frames: bool) -> Option<Vec<u8>> {
     let len = match (frames, *greeted) {
         (false, _) => waiting.len(),
-        (true, false) => WORD,
+        (true, false) => GREETING_LEN,
         (true, true) => 4 + u32::from_be_bytes(*waiting.first_chunk::<4>()?) as usize,
     };
     if len == 0 || waiting.len() < len {
@@ -104,8 +109,8 @@
     Some(waiting.drain(..len).collect())
 }
 
-fn send(to: &UnixStream, bytes: &[u8], fds: &[OwnedFd]) -> Option<()> {
-    let borrowed: Vec<_> = fds.iter().map(|fd| fd.as_fd()).collect();
+fn send(to: &UnixStream, bytes: &[u8], descriptors: &[OwnedFd]) -> Option<()> {
+    let borrowed: Vec<_> = descriptors.iter().map(|fd| fd.as_fd()).collect();
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     if !borrowed.is_empty() {
