--- a/tests/node.rs
+++ b/tests/node/main.rs
@@ -1,5 +1,6 @@
 //! Starts the program and speaks to it over loopback.
 
+#[path = "../support/mod.rs"]
 mod support;
 
 use serde_json::json;
