--- /dev/null
+++ b/tests/node/health_checks.rs
@@ -0,0 +1,98 @@
+//! Health checks by gateways: shallow ones, and deep ones which probe the kernel.
+
+use crate::support::*;
+use serde_json::json;
+
+#[test]
+fn health_checks_carry_the_free_capacity_and_deep_ones_ask_the_kernel() {
+    let (scene, mut kernel) = Scene::with_kernel();
+    kernel.expect_nothing(80);
+    let mut gateway = scene.gateway();
+    let response = gateway.health_check("");
+    assert_eq!(&response.status[..3], "200");
+    assert!(response.field("X-Capacity").is_some());
+    for (end, status) in [("good", "200"), ("bad", "503")] {
+        // The result of a probe is cached for a second: 160 polls of the gauges take longer. Idle connections are closed by
+        // then.
+        kernel.expect_nothing(160);
+        let mut gateway = scene.gateway();
+        gateway.send(&request_records(
+            7,
+            &[("SCRIPT_NAME", "/status/live"), ("QUERY_STRING", "a=b&engine=1")],
+            &[],
+        ));
+        let post = kernel.command();
+        assert_eq!(post["event"], "POST");
+        kernel.notify(json!({"event": "POSTED", "ticket": post["ticket"], "fate": end}), false);
+        let response = gateway.response();
+        assert_eq!(&response.status[..3], status);
+        assert!(response.field("X-Capacity").is_some());
+    }
+}
+
+/// Many gateways check the node's health at once, each on its own. A probe costs the kernel as much as a request: one for
+/// each check would fill the cores.
+#[test]
+fn concurrent_deep_checks_share_one_probe_and_its_result_is_cached() {
+    for (end, status) in [("good", "200"), ("bad", "503")] {
+        let (mut scene, mut kernel) = Scene::with_kernel();
+        kernel.expect_nothing(3);
+        let deep = request_records(7, &[("SCRIPT_NAME", "/status/live"), ("QUERY_STRING", "engine=1")], &[]);
+        let mut gateways: Vec<Gateway> = (0..24).map(|_| scene.gateway()).collect();
+        for gateway in &mut gateways {
+            gateway.send(&deep);
+        }
+        let post = kernel.command();
+        assert_eq!(post["event"], "POST");
+        // All checks are read by then, and there is no probe for any of the others.
+        while scene.counter("checks_read") < 24 {
+            kernel.expect_nothing(1);
+        }
+        kernel.expect_nothing(3);
+        kernel.notify(json!({"event": "POSTED", "ticket": post["ticket"], "fate": end}), false);
+        for gateway in &mut gateways {
+            assert_eq!(&gateway.response().status[..3], status);
+        }
+        gateways[0].send(&deep);
+        assert_eq!(&gateways[0].response().status[..3], status);
+        assert_eq!(scene.counter("posts_sent"), 1);
+        kernel.expect_nothing(160);
+        scene.gateway().send(&deep);
+        assert_eq!(kernel.command()["event"], "POST");
+    }
+}
+
+/// The kernel never answers the probe of a deep health check. Later checks must not wait for it.
+#[test]
+fn a_deep_check_whose_probe_is_lost_fails_and_the_next_one_probes_again() {
+    let (scene, mut kernel) = Scene::with_kernel();
+    kernel.expect_nothing(3);
+    let mut gateway = scene.gateway();
+    let deep = request_records(7, &[("SCRIPT_NAME", "/status/live"), ("QUERY_STRING", "engine=1")], &[]);
+    gateway.send(&deep);
+    assert_eq!(kernel.command()["event"], "POST");
+    assert_eq!(&gateway.response().status[..3], "503");
+    gateway.send(&deep);
+    let post = kernel.command();
+    assert_eq!(post["event"], "POST");
+    kernel.notify(json!({"event": "POSTED", "ticket": post["ticket"], "fate": "good"}), false);
+    assert_eq!(&gateway.response().status[..3], "200");
+}
+
+/// The kernel's connection breaks for a moment during a deep health check, though the work gets done.
+#[test]
+fn a_deep_check_survives_a_broken_kernel_connection() {
+    let (scene, mut kernel) = Scene::with_kernel();
+    kernel.expect_nothing(3);
+    let mut gateway = scene.gateway();
+    gateway.send(&request_records(7, &[("SCRIPT_NAME", "/status/live"), ("QUERY_STRING", "engine=1")], &[]));
+    assert_eq!(kernel.command()["event"], "POST");
+    drop(kernel);
+    let mut kernel = scene.accept_kernel();
+    kernel.command();
+    kernel.boot();
+    let post = kernel.command();
+    assert_eq!(post["event"], "POST");
+    kernel.notify(json!({"event": "POSTED", "ticket": post["ticket"], "fate": "good"}), false);
+    assert_eq!(&gateway.response().status[..3], "200");
+}
--- /dev/null
+++ b/tests/node/requests.rs
@@ -0,0 +1,151 @@
+//! Requests from their arrival to their response.
+
+use crate::support::*;
+use serde_json::json;
+use std::time::{Duration, Instant};
+
+#[test]
+fn a_request_is_run_and_served_with_its_result_unchanged() {
+    let (scene, mut kernel) = Scene::with_kernel();
+    let mut gateway = scene.gateway();
+    // One period of the concurrency limit passes before there is a free capacity to announce.
+    kernel.expect_nothing(80);
+    let body = [0u8, 255, b'\n', b'"', 128];
+    let result = [7u8, 0, b'\r', b'\n', 254];
+    gateway.request(1, "quote", TXN_A, &body);
+    let command = kernel.command();
+    assert_eq!((&command["event"], &command["entry"]), (&json!("SCHED"), &json!("quote")));
+    assert_eq!(command["arg"], "AP8KIoA=");
+    kernel.reap(TXN_A, "good", &result);
+    let response = gateway.response();
+    assert_eq!((status_and_body(&response), response.protocol_status), ((1, "200", &result[..]), 0));
+    let capacity: f64 = response.field("X-Capacity").expect("a free value").parse().expect("a number");
+    assert!(capacity >= 0.0);
+    // The connection and the request id can be used again, and a run that fails fails its request.
+    gateway.request(1, "quote", TXN_B, &[]);
+    assert!(kernel.expect("SCHED", TXN_B).is_empty());
+    kernel.reap(TXN_B, "bad", &[]);
+    assert_eq!(status_and_body(&gateway.response()), (1, "500", &[][..]));
+}
+
+/// The network delivers a request one byte at a time, with padded records.
+#[test]
+fn a_request_that_arrives_byte_by_byte_with_padding_is_parsed_the_same() {
+    let (scene, mut kernel) = Scene::with_kernel();
+    let mut gateway = scene.gateway();
+    for byte in attempt_records(3, "quote", TXN_A, &[], b"body") {
+        gateway.send(&[byte]);
+    }
+    assert_eq!(kernel.expect("SCHED", TXN_A), b"body");
+    kernel.reap(TXN_A, "good", b"r");
+    assert_eq!(status_and_body(&gateway.response()), (3, "200", &b"r"[..]));
+}
+
+/// A gateway aborts its requests: one while it runs, one in the same packet as its begin, one after its response was sent.
+#[test]
+fn an_aborted_request_is_preempted_and_gets_at_most_one_response() {
+    let (mut scene, mut kernel) = Scene::with_kernel();
+    let mut gateway = scene.gateway();
+    gateway.request(1, "quote", TXN_A, b"q");
+    kernel.expect("SCHED", TXN_A);
+    gateway.send(&fcgi_record(ABORT_REQUEST, 1, &[]));
+    kernel.expect("PREEMPT", TXN_A);
+    kernel.reap(TXN_A, "cut", &[]);
+    assert_eq!(gateway.response().id, 1);
+    // Sent and aborted in one piece; then an abort that arrives after the response was sent.
+    let mut bytes = attempt_records(2, "quote", TXN_B, &[], b"q");
+    bytes.extend(fcgi_record(ABORT_REQUEST, 2, &[]));
+    gateway.send(&bytes);
+    kernel.expect("SCHED", TXN_B);
+    kernel.expect("PREEMPT", TXN_B);
+    kernel.reap(TXN_B, "good", b"too late");
+    assert_eq!(status_and_body(&gateway.response()), (2, "500", &[][..]));
+    gateway.send(&fcgi_record(ABORT_REQUEST, 2, &[]));
+    gateway.request(3, "quote", TXN_C, b"q");
+    kernel.expect("SCHED", TXN_C);
+    kernel.reap(TXN_C, "good", b"r");
+    assert_eq!(status_and_body(&gateway.response()), (3, "200", &b"r"[..]));
+    assert_eq!(scene.counter("aborts_read"), 2);
+}
+
+/// The kernel's connection breaks while a run is under way and is never made again.
+#[test]
+fn a_request_gets_its_response_by_its_deadline_though_the_kernel_is_lost() {
+    let scene = Scene::new(|c| c["settings"]["classes"][1]["hard-limit"] = json!(4_000_000_000u64));
+    let mut kernel = scene.connect_kernel();
+    let mut gateway = scene.gateway();
+    // Half of its 4 s have passed before the node reads it: deadlines count from the ingress time.
+    let ingress = (unix_ms() - 2_000).to_string();
+    let began = Instant::now();
+    gateway.send(&attempt_records(1, "booking", TXN_A, &[("HTTP_X_INGRESS_TIME", &ingress)], b"b"));
+    kernel.expect("SCHED", TXN_A);
+    drop(kernel);
+    let response = gateway.response();
+    assert_eq!(status_and_body(&response).1, "500", "it may have run");
+    assert!(began.elapsed().as_millis() < 2_500, "{:?}", began.elapsed());
+}
+
+/// A gateway sends requests before the node has a kernel to run them on.
+#[test]
+fn requests_and_health_checks_are_rejected_until_the_kernel_is_up() {
+    let scene = Scene::new(|_| ());
+    let mut gateway = scene.gateway();
+    assert_eq!(&gateway.health_check("").status[..3], "503");
+    gateway.request(2, "quote", TXN_A, b"q");
+    let response = gateway.response();
+    assert_eq!(status_and_body(&response), (2, "503", &[][..]));
+    assert!(response.field("X-Throttle-Ms").is_some());
+    let mut kernel = scene.connect_kernel();
+    // The kernel's notice and a gateway's request come on two connections: the node may read either first.
+    scene.await_healthy();
+    gateway.request(3, "quote", TXN_B, b"q");
+    kernel.expect("SCHED", TXN_B);
+    assert!(scene.membership_report().starts_with("HB n3 UP"));
+}
+
+/// A gateway sends a second attempt with the transaction id of one that still runs.
+#[test]
+fn an_attempt_with_a_transaction_id_in_use_fails_and_never_runs() {
+    let (scene, mut kernel) = Scene::with_kernel();
+    let mut gateway = scene.gateway();
+    gateway.request(1, "quote", TXN_A, b"q");
+    kernel.expect("SCHED", TXN_A);
+    gateway.request(2, "quote", TXN_A, b"q");
+    assert_eq!(status_and_body(&gateway.response()), (2, "400", &[][..]));
+    kernel.reap(TXN_A, "good", b"r");
+    assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
+}
+
+/// A gateway waits for less than the deadline of the class. A response after that reaches nobody: the attempt's own
+/// time to live binds.
+#[test]
+fn an_attempt_gets_its_response_within_its_stated_ttl_and_an_invalid_ttl_is_rejected() {
+    let (scene, mut kernel) = Scene::with_kernel();
+    let mut gateway = scene.gateway();
+    let began = Instant::now();
+    gateway.send(&attempt_records(
+        1,
+        "quote",
+        TXN_A,
+        &[("HTTP_X_TTL_MS", "700"), ("HTTP_X_SECOND_TRY", "1")],
+        b"q",
+    ));
+    kernel.expect("SCHED", TXN_A);
+    assert_eq!(status_and_body(&gateway.response()).1, "500");
+    // The deadline of its class is later.
+    assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
+    gateway.send(&attempt_records(1, "quote", TXN_B, &[("HTTP_X_TTL_MS", "0")], b"q"));
+    assert_eq!(status_and_body(&gateway.response()).1, "503");
+    for (name, value) in [
+        ("HTTP_X_TTL_MS", "-1"),
+        ("HTTP_X_TTL_MS", "soon"),
+        ("HTTP_X_TTL_MS", "1e300"),
+        ("HTTP_X_TTL_MS", "NaN"),
+        ("HTTP_X_SECOND_TRY", "yes"),
+        ("HTTP_X_ROW", "7f3a"),
+    ] {
+        let mut gateway = scene.gateway();
+        gateway.send(&attempt_records(1, "quote", TXN_C, &[(name, value)], b"q"));
+        assert_eq!(status_and_body(&gateway.response()).1, "400", "{name} {value}");
+    }
+}
--- /dev/null
+++ b/tests/node/store_calls.rs
@@ -0,0 +1,217 @@
+//! Calls that runs make to the store through the node.
+
+use crate::support::*;
+use serde_json::json;
+use std::time::{Duration, Instant};
+
+#[test]
+fn calls_and_their_replies_pass_unchanged() {
+    let (scene, mut kernel) = Scene::with_kernel();
+    let mut gateway = scene.gateway();
+    gateway.request(1, "booking", TXN_A, b"b");
+    kernel.expect("SCHED", TXN_A);
+    let (call, reply) = (b"\r\n\0call", b"\xff\r\n9b1f03aa5c7e2d41 BUSY\r\n");
+    kernel.request_call(TXN_A, call);
+    let mut store = scene.accept_store();
+    assert_eq!(store.expect_call(TXN_A), call);
+    let mut line = format!("{TXN_A} OK {}\r\n", reply.len()).into_bytes();
+    line.extend(reply);
+    line.extend(b"\r\n");
+    store.reply(&line);
+    assert_eq!(kernel.expect("IODONE", TXN_A), reply);
+    kernel.reap(TXN_A, "good", b"booked");
+    assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"booked"[..]));
+}
+
+/// The store's connection breaks while a call is out. Whether the call had its effect cannot be known.
+#[test]
+fn a_broken_store_connection_proves_nothing_about_a_call() {
+    let (scene, mut kernel) = Scene::with_kernel();
+    let mut gateway = scene.gateway();
+    gateway.request(1, "booking", TXN_A, b"b");
+    kernel.expect("SCHED", TXN_A);
+    kernel.request_call(TXN_A, b"c");
+    let mut store = scene.accept_store();
+    store.expect_call(TXN_A);
+    drop(store);
+    // The run has had its chance to take effect: it fails, is not rejected, and its call is not retried.
+    assert_eq!(status_and_body(&gateway.response()).1, "500");
+    // A run that may be repeated retries its call on a new connection, and so does one whose call was rejected.
+    gateway.request(2, "quote", TXN_B, b"q");
+    kernel.expect("SCHED", TXN_B);
+    kernel.request_call(TXN_B, b"c");
+    let mut store = scene.accept_store();
+    store.expect_call(TXN_B);
+    drop(store);
+    let mut store = scene.accept_store();
+    store.expect_call(TXN_B);
+    store.reply(format!("{TXN_B} BUSY\r\n").as_bytes());
+    scene.accept_store().expect_call(TXN_B);
+}
+
+/// The store does not listen yet when the first call is made.
+#[test]
+fn a_refused_store_connection_proves_that_a_call_never_ran() {
+    let scene = Scene::new(|_| ());
+    let mut kernel = scene.connect_kernel();
+    let mut gateway = scene.gateway();
+    gateway.request(1, "booking", TXN_A, b"b");
+    kernel.expect("SCHED", TXN_A);
+    kernel.request_call(TXN_A, b"c");
+    kernel.expect_nothing(10);
+    scene.store.listen(16).expect("listening");
+    let mut store = scene.accept_store();
+    store.expect_call(TXN_A);
+    store.reply(format!("{TXN_A} OK 1\r\nr\r\n").as_bytes());
+    assert_eq!(kernel.expect("IODONE", TXN_A), b"r");
+}
+
+/// The store is overloaded and answers BUSY six times in a row. Retries without a pause would add to its load.
+#[test]
+fn a_call_that_the_store_rejects_is_retried_with_backoff() {
+    let (scene, mut kernel) = Scene::with_kernel();
+    let mut gateway = scene.gateway();
+    gateway.request(1, "quote", TXN_A, b"q");
+    kernel.expect("SCHED", TXN_A);
+    kernel.request_call(TXN_A, b"c");
+    let began = Instant::now();
+    for _ in 0..6 {
+        let mut store = scene.accept_store();
+        store.expect_call(TXN_A);
+        store.reply(format!("{TXN_A} BUSY\r\n").as_bytes());
+    }
+    // Pauses of 4.5 ms and its doubles, for a latency objective of 3 s; a busy machine only makes them longer.
+    assert!(began.elapsed().as_millis() >= 100, "{:?}", began.elapsed());
+}
+
+/// The store fails calls of keyed runs: after they may have had their effect, or because the call is void.
+#[test]
+fn a_call_that_may_have_had_its_effect_fails_a_keyed_run_and_a_void_call_waits_for_its_end() {
+    let (scene, mut kernel) = Scene::with_kernel();
+    let mut gateway = scene.gateway();
+    let mut store = None;
+    for (n, word) in ["ERR", "LATE", "VOID"].into_iter().enumerate() {
+        let id = format!("9b1f03aa5c7e2d5{n}");
+        gateway.send(&attempt_records(1, "booking", &id, &[("HTTP_X_TXN_KEY", word)], b"b"));
+        kernel.expect("SCHED", &id);
+        kernel.request_call(&id, b"c");
+        let store = store.get_or_insert_with(|| scene.accept_store());
+        store.expect_call(&id);
+        store.reply(format!("{id} {word}\r\n").as_bytes());
+        if word == "VOID" {
+            kernel.expect_nothing(3);
+            kernel.reap(&id, "cut", &[]);
+        }
+        assert_eq!(status_and_body(&gateway.response()).1, "500", "{word}");
+    }
+}
+
+/// The store sends a malformed reply to one of two calls that are out. Each has a connection of its own, so that the other
+/// one is not affected.
+#[test]
+fn a_malformed_reply_costs_only_its_own_call() {
+    for malformed in [
+        &b"\x00\xffnoise\r\n"[..],
+        b"9b1f03aa5c7e2d41 OK 3000000000\r\nxxxx",
+        b"9b1f03aa5c7e2d41 OK 9\r\nx\r\n",
+    ] {
+        let (scene, mut kernel) = Scene::with_kernel();
+        let mut gateway = scene.gateway();
+        let mut stores = Vec::new();
+        for (n, id) in [TXN_A, TXN_B].into_iter().enumerate() {
+            gateway.request(n as u16, "quote", id, b"q");
+            kernel.expect("SCHED", id);
+            kernel.request_call(id, b"c");
+            let mut store = scene.accept_store();
+            store.expect_call(id);
+            stores.push(store);
+        }
+        stores[0].reply(malformed);
+        // The run may be repeated, and so may its call: it is retried on another connection.
+        let mut retry = scene.accept_store();
+        retry.expect_call(TXN_A);
+        stores[1].reply(format!("{TXN_B} OK 1\r\nr\r\n").as_bytes());
+        assert_eq!(kernel.expect("IODONE", TXN_B), b"r");
+        retry.reply(format!("{TXN_A} OK 1\r\ns\r\n").as_bytes());
+        assert_eq!(kernel.expect("IODONE", TXN_A), b"s");
+    }
+}
+
+/// The store sends a reply twice, and one with an unknown id. Neither may pass for the reply to another call.
+#[test]
+fn a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_call() {
+    let (mut scene, mut kernel) = Scene::with_kernel();
+    let mut gateway = scene.gateway();
+    gateway.request(1, "quote", TXN_A, b"q");
+    kernel.expect("SCHED", TXN_A);
+    kernel.request_call(TXN_A, b"c1");
+    let mut first = scene.accept_store();
+    first.expect_call(TXN_A);
+    first.reply(format!("{TXN_B} OK 1\r\nx\r\n{TXN_A} OK 1\r\n1\r\n").as_bytes());
+    assert_eq!(kernel.expect("IODONE", TXN_A), b"1");
+    kernel.request_call(TXN_A, b"c2");
+    let mut second = scene.accept_store();
+    assert_eq!(second.expect_call(TXN_A), b"c2");
+    first.reply(format!("{TXN_A} OK 1\r\n1\r\n").as_bytes());
+    kernel.expect_nothing(5);
+    second.reply(format!("{TXN_A} OK 1\r\n2\r\n").as_bytes());
+    assert_eq!(kernel.expect("IODONE", TXN_A), b"2");
+    assert!(scene.counter("replies_unasked") >= 1);
+}
+
+/// A scene whose `quote` runs may skip their call, with one run that has asked for its call.
+fn scene_with_skippable_call() -> (Scene, Kernel, Gateway) {
+    let scene = Scene::new(|c| c["settings"]["extra"]["class-skip-worth"] = json!([0.3, 0.0]));
+    let mut kernel = scene.connect_kernel();
+    let mut gateway = scene.gateway();
+    gateway.request(1, "quote", TXN_A, b"q");
+    kernel.expect("SCHED", TXN_A);
+    // The store does not listen: the call cannot be made.
+    kernel.request_call(TXN_A, b"c");
+    (scene, kernel, gateway)
+}
+
+/// The store is away and the run may do without its call. The kernel's connection breaks before it is known whether the
+/// kernel read that.
+#[test]
+fn a_skipped_call_is_announced_by_its_notice_number_and_again_on_a_new_connection() {
+    let (scene, mut kernel, mut gateway) = scene_with_skippable_call();
+    let skip_command = json!({"event": "NOIO", "handle": TXN_A, "cursor": 1});
+    assert_eq!(kernel.command(), skip_command);
+    // The connection breaks: the node cannot know whether the command was read.
+    drop(kernel);
+    let mut kernel = scene.accept_kernel();
+    assert_eq!(kernel.command(), json!({"event": "OPEN", "cursor": 1}));
+    kernel.cursor = 1;
+    kernel.boot();
+    assert_eq!(kernel.command(), skip_command);
+    kernel.reap(TXN_A, "good", b"poorer");
+    assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"poorer"[..]));
+}
+
+/// The kernel rejects the command by which a run would go on without its call.
+#[test]
+fn a_run_whose_skipped_call_the_kernel_rejects_fails_at_once() {
+    let (_scene, mut kernel, mut gateway) = scene_with_skippable_call();
+    kernel.expect("NOIO", TXN_A);
+    let began = Instant::now();
+    kernel.notify(json!({"event": "EINVAL", "fate": "NOIO", "handle": TXN_A}), false);
+    assert_eq!(status_and_body(&gateway.response()).1, "500");
+    assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
+}
+
+/// The store is away while the node drains.
+#[test]
+fn a_run_may_skip_its_call_during_a_drain_and_is_served_before_the_end() {
+    let scene = Scene::new(|c| c["settings"]["extra"]["class-skip-worth"] = json!([0.3, 0.0]));
+    let mut kernel = scene.connect_kernel();
+    let mut gateway = scene.gateway();
+    gateway.request(1, "quote", TXN_A, b"q");
+    kernel.expect("SCHED", TXN_A);
+    scene.signal("-TERM");
+    while scene.membership_report() != "HB n3 OUT" {}
+    kernel.request_call(TXN_A, b"c");
+    kernel.expect("NOIO", TXN_A);
+    kernel.reap(TXN_A, "good", b"poorer");
+    assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"poorer"[..]));
+}
