--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -8,18 +8,19 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-// Records of requests that were never begun, of kinds that no gateway sends, and bytes behind a request's end.
+/// A gateway sends records of a request that was never begun, of types that no gateway sends, and after the end of a request.
 #[test]
-fn records_that_belong_to_nothing_are_passed_over() {
+fn records_of_no_open_request_are_ignored() {
     let (mut scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     let params = name_value_pair("SCRIPT_NAME", "/svc/quote");
-    for (kind, content) in [(2, &[][..]), (3, &[0; 8]), (4, &params), (5, b"body"), (6, b"out"), (8, b"data")]
+    for (record_type, content) in
+        [(2, &[][..]), (3, &[0; 8]), (4, &params), (5, b"body"), (6, b"out"), (8, b"data")]
     {
-        gateway.send(&fcgi_record(kind, 9, content));
+        gateway.send(&fcgi_record(record_type, 9, content));
     }
     gateway.request(1, "quote", TXN_A, b"q");
-    // Its end has come: neither more of its body nor a second end is part of it.
+    // The request has ended: neither more of its body nor a second end is part of it.
     gateway.send(&fcgi_record(STDIN, 1, b"more"));
     gateway.send(&fcgi_record(STDIN, 1, &[]));
     gateway.send(&fcgi_record(PARAMS, 1, &params));
@@ -33,54 +34,58 @@
     assert_eq!((scene.counter("requests_bad"), scene.counter("framing_lost")), (0, 0));
 }
 
-// A second beginning of an open request: what follows could belong to either, so the connection ends once it is answered.
+/// A gateway begins a request with the id of an open one. Further records could belong to either, so that the connection
+/// ends after the response.
 #[test]
-fn a_request_that_is_begun_twice_ends_its_connection_after_the_first_is_answered() {
+fn a_request_begun_twice_ends_its_connection_after_the_first_response() {
     let (mut scene, mut kernel) = Scene::with_kernel();
-    let (mut bad, mut gateway) = (scene.gateway(), scene.gateway());
-    bad.request(1, "quote", TXN_A, b"q");
+    let mut faulty = scene.gateway();
+    let mut gateway = scene.gateway();
+    faulty.request(1, "quote", TXN_A, b"q");
     kernel.expect("SCHED", TXN_A);
-    bad.request(1, "quote", TXN_B, b"q");
+    faulty.request(1, "quote", TXN_B, b"q");
     gateway.request(1, "quote", TXN_C, b"q");
     kernel.expect("SCHED", TXN_C);
     kernel.reap(TXN_A, "good", b"r");
-    assert_eq!(status_and_body(&bad.response()), (1, "200", &b"r"[..]));
-    assert_eq!(bad.stream.read(&mut [0]).map_err(|e| e.kind()), Ok(0), "an end, and no reset");
+    assert_eq!(status_and_body(&faulty.response()), (1, "200", &b"r"[..]));
+    assert_eq!(faulty.stream.read(&mut [0]).map_err(|error| error.kind()), Ok(0), "an end, and no reset");
     kernel.reap(TXN_C, "good", b"s");
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"s"[..]));
     assert_eq!(scene.counter("framing_lost"), 1);
 }
 
-// A flood of half requests over many connections, with the true ones among them: each gets its end, and memory stays bounded.
+/// Many connections send incomplete requests while others send complete ones. Each has to end, within bounded memory.
 #[test]
-fn a_flood_of_half_requests_costs_the_others_nothing() {
+fn a_flood_of_incomplete_requests_costs_other_requests_nothing() {
     let (scene, mut kernel) = Scene::with_kernel();
-    let whole = attempt_records(1, "quote", TXN_A, &[], &[7; 2000]);
-    let mut halves: Vec<Gateway> = (0..30).map(|_| scene.gateway()).collect();
-    for (n, half) in halves.iter_mut().enumerate() {
-        half.send(&whole[..whole.len() - 8 - n * 30]);
+    let records = attempt_records(1, "quote", TXN_A, &[], &[7; 2000]);
+    let mut senders: Vec<Gateway> = (0..30).map(|_| scene.gateway()).collect();
+    for (n, sender) in senders.iter_mut().enumerate() {
+        sender.send(&records[..records.len() - 8 - n * 30]);
     }
     for n in 0..5 {
-        let (mut gateway, id) = (scene.gateway(), format!("9b1f03aa5c7e2e0{n}"));
+        let mut gateway = scene.gateway();
+        let id = format!("9b1f03aa5c7e2e0{n}");
         gateway.request(1, "quote", &id, b"q");
         kernel.expect("SCHED", &id);
         kernel.reap(&id, "good", b"r");
         assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
     }
-    // Within the time that such clients are owed an end: a refusal, an error or a close.
+    // Within the time in which such requests have to end: a rejection, an error or a close.
     let began = Instant::now();
-    for half in &mut halves {
-        let end = half.next_record().map(|(kind, ..)| kind);
+    for sender in &mut senders {
+        let end = sender.next_record().map(|(record_type, ..)| record_type);
         assert!(matches!(end, Ok(6) | Err(_)), "{end:?}");
     }
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
 }
 
-// What the kernel says of runs that it does not have, twice, out of order, unasked or too long.
+/// The kernel sends notices of runs that it does not have, twice, out of order, without a question, or too long.
 #[test]
-fn notices_that_fit_nothing_change_nothing_and_an_endless_one_costs_the_link() {
+fn notices_that_match_nothing_are_ignored_and_an_endless_one_ends_the_connection() {
     let (mut scene, mut kernel) = Scene::with_kernel();
-    let (mut gateway, mut checker) = (scene.gateway(), scene.gateway());
+    let mut gateway = scene.gateway();
+    let mut checker = scene.gateway();
     gateway.request(1, "booking", TXN_A, b"b");
     kernel.expect("SCHED", TXN_A);
     for id in [TXN_B, "not an id"] {
@@ -88,7 +93,7 @@
         kernel.request_call(id, b"x");
     }
     kernel.notify(json!({"event": "INFO", "ticket": "99999999", "figures": [0.1, 0.0, 0.1, 3.0]}), false);
-    // An answer to no question does not pass for one to the next.
+    // A result that nobody asked for is not taken for that of the next probe.
     kernel.notify(json!({"event": "POSTED", "ticket": "99999999", "fate": "bad"}), false);
     checker.send(&request_records(7, &[("SCRIPT_NAME", "/status/live"), ("QUERY_STRING", "engine=1")], &[]));
     let post = kernel.command();
@@ -97,7 +102,7 @@
         kernel.notify(json!({"event": "POSTED", "ticket": post["ticket"], "fate": fate}), false);
     }
     assert_eq!(&checker.response().status[..3], "200");
-    // A long remark is one; a line without an end is none.
+    // A long line is one notice; a line without an end is none.
     kernel.notify(json!({"event": "DMESG", "fate": "x".repeat(60_000)}), true);
     kernel.reap(TXN_A, "good", b"r");
     kernel.reap(TXN_A, "good", b"other");
@@ -114,9 +119,9 @@
     assert!(scene.counter("lines_bad") >= 3);
 }
 
-// Store replies that are slow: in pieces each of which comes in time they are whole; ones that stop cost their own call.
+/// The store sends a reply in pieces, each in time; then it stops in the middle of another.
 #[test]
-fn a_reply_that_comes_in_slow_pieces_is_whole_and_one_that_stops_fails_alone() {
+fn a_reply_in_slow_pieces_is_complete_and_one_that_stalls_fails_alone() {
     let (scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     gateway.request(1, "booking", TXN_A, b"b");
@@ -126,15 +131,15 @@
     store.expect_call(TXN_A);
     for piece in [&TXN_A[..5], &TXN_A[5..], " O", "K 3\r", "\nab"] {
         store.reply(piece.as_bytes());
-        // Together they take far longer than a reply may stand still for.
+        // Together they take far longer than a reply may stall.
         kernel.expect_nothing(11);
     }
     store.reply(b"c\r\n");
     assert_eq!(kernel.expect("IODONE", TXN_A), b"abc");
     kernel.reap(TXN_A, "good", b"r");
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
-    // One that stops half way: a run that may not be repeated fails, long before its time. By then the connection that the
-    // first call had is closed, as it rested.
+    // A reply that stalls: a run that may not be repeated fails long before its deadline. The idle connection of the first
+    // call is closed by then.
     kernel.expect_nothing(40);
     let began = Instant::now();
     gateway.send(&attempt_records(1, "booking", TXN_B, &[("HTTP_X_TXN_KEY", "k2")], b"b"));
@@ -147,16 +152,17 @@
     assert!(began.elapsed() < Duration::from_millis(2_500), "{:?}", began.elapsed());
 }
 
-// Store replies that are too long, of another id alone, or never come.
+/// The store sends a reply that is too long, or only one with another id, or none.
 #[test]
-fn replies_too_long_of_another_id_or_never_cost_their_own_call_alone() {
+fn a_reply_too_long_or_missing_or_with_another_id_costs_only_its_own_call() {
     let (scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     for (n, reply) in [format!("{TXN_C} OK 1\r\nx\r\n"), format!("{TXN_A} OK 65537\r\n"), "x".repeat(200)]
         .iter()
         .enumerate()
     {
-        let (id, other) = (format!("9b1f03aa5c7e2f0{n}"), format!("9b1f03aa5c7e2f1{n}"));
+        let id = format!("9b1f03aa5c7e2f0{n}");
+        let other = format!("9b1f03aa5c7e2f1{n}");
         gateway.send(&attempt_records(
             1,
             "booking",
@@ -177,11 +183,11 @@
         second.reply(format!("{other} OK 1\r\nr\r\n").as_bytes());
         assert_eq!(kernel.expect("IODONE", &other), b"r");
         kernel.reap(&other, "good", b"s");
-        let mut answers = [gateway.response(), gateway.response()];
-        answers.sort_by_key(|a| a.id);
-        assert_eq!(status_and_body(&answers[0]).1, "500", "{reply:?}");
-        assert_eq!(status_and_body(&answers[1]), (2, "200", &b"s"[..]));
-        // The run that failed ends too: its place on the cores is free for the next. What rests meanwhile is closed.
+        let mut responses = [gateway.response(), gateway.response()];
+        responses.sort_by_key(|response| response.id);
+        assert_eq!(status_and_body(&responses[0]).1, "500", "{reply:?}");
+        assert_eq!(status_and_body(&responses[1]), (2, "200", &b"s"[..]));
+        // The failed run ends too, which frees its place on the cores for the next. Idle connections are closed meanwhile.
         kernel.reap(&id, "cut", &[]);
         kernel.expect_nothing(40);
     }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,16 +1,16 @@
-//! Two events that cross: the program is paused, both are made to be there, and it goes on. The rows are those of
-//! `docs/design/crossings.md`.
+//! Races of two events: the program is stopped (SIGSTOP), both events are made to happen, and it continues. The tests
+//! are the rows of `docs/design/crossings.md`.
 
 mod support;
 
 use serde_json::json;
 use std::io::{ErrorKind, Read, Write};
-use std::net::{Shutdown, TcpListener};
+use std::net::{Shutdown, TcpListener, UdpSocket};
 use std::time::{Duration, Instant};
 use support::*;
 
-/// A scene whose program is stopped so many milliseconds after the notice.
-fn brief(stop_ms: u64) -> (Scene, Kernel) {
+/// A scene in service whose program must have ended so many milliseconds after SIGTERM.
+fn scene_with_stop_ms(stop_ms: u64) -> (Scene, Kernel) {
     let scene = Scene::new(|c| c["stop_ms"] = json!(stop_ms));
     scene.store.listen(16).expect("listening");
     let kernel = scene.connect_kernel();
@@ -18,32 +18,35 @@
     (scene, kernel)
 }
 
-/// The kernel is told to run this request next.
-fn ran(kernel: &mut Kernel, id: &str) {
+/// Expects that the next command has the kernel run this request.
+fn expect_run(kernel: &mut Kernel, id: &str) {
     kernel.expect("SCHED", id);
 }
 
-// SIGTERM x accept pending, bytes unread, a request half read, a run handed over, a reload, a second SIGTERM.
+/// SIGTERM arrives twice, and a reload with it, while one connection waits to be accepted, one request is unread, one is
+/// incomplete and one runs.
 #[test]
-fn a_notice_to_leave_that_crosses_all_kinds_of_requests_loses_none_of_them() {
-    let (mut scene, mut kernel) = brief(4_000);
-    let (mut running, mut unread, mut half) = (scene.gateway(), scene.gateway(), scene.gateway());
+fn a_sigterm_loses_no_request_whatever_state_it_is_in() {
+    let (mut scene, mut kernel) = scene_with_stop_ms(4_000);
+    let mut running = scene.gateway();
+    let mut unread = scene.gateway();
+    let mut incomplete = scene.gateway();
     running.request(1, "quote", TXN_A, b"a");
-    ran(&mut kernel, TXN_A);
-    let whole = attempt_records(1, "booking", TXN_C, &[], b"c");
-    let (first, last) = whole.split_at(whole.len() - 8);
-    half.send(first);
-    let text = scene.configuration().to_string();
+    expect_run(&mut kernel, TXN_A);
+    let records = attempt_records(1, "booking", TXN_C, &[], b"c");
+    let (first, last) = records.split_at(records.len() - 8);
+    incomplete.send(first);
+    let unchanged = scene.configuration().to_string();
     scene.pause();
     unread.request(1, "quote", TXN_B, b"b");
     let mut pending = scene.gateway();
     pending.request(1, "quote", TXN_D, b"d");
     scene.signal("-TERM");
     scene.signal("-TERM");
-    scene.reload(&text);
-    half.send(last);
+    scene.reload(&unchanged);
+    incomplete.send(last);
     scene.resume();
-    // All of them reached the machine before the grace was over: each is run, and served.
+    // All of them reached the machine before the grace period was over: each is run, and served.
     let mut started: Vec<String> = Vec::new();
     while started.len() < 3 {
         let command = kernel.command();
@@ -56,100 +59,101 @@
         kernel.reap(id, "good", id.as_bytes());
     }
     for (gateway, id) in
-        [(&mut running, TXN_A), (&mut unread, TXN_B), (&mut half, TXN_C), (&mut pending, TXN_D)]
+        [(&mut running, TXN_A), (&mut unread, TXN_B), (&mut incomplete, TXN_C), (&mut pending, TXN_D)]
     {
         assert_eq!(status_and_body(&gateway.response()), (1, "200", id.as_bytes()));
     }
     while scene.membership_report() != "HB n3 OUT" {}
     assert_eq!(scene.counter("reloads"), 1);
-    drop((running, unread, half, pending));
+    drop((running, unread, incomplete, pending));
     assert!(scene.exits_successfully());
 }
 
-// SIGTERM x a request half read, to the end: it never ran, and its connection may not end without a word.
+/// A request is still incomplete when the drain ends. It never ran, and its connection may not end without a response.
 #[test]
-fn a_request_that_is_not_whole_at_the_end_of_a_drain_is_refused_and_its_connection_ends_without_a_reset() {
-    let (mut scene, mut kernel) = brief(1_000);
-    let mut resting = scene.gateway();
-    assert_eq!(&resting.health_check("").status[..3], "200");
+fn an_incomplete_request_at_the_end_of_a_drain_is_rejected_and_its_connection_ends_without_a_reset() {
+    let (mut scene, mut kernel) = scene_with_stop_ms(1_000);
+    let mut idle = scene.gateway();
+    assert_eq!(&idle.health_check("").status[..3], "200");
     scene.signal("-TERM");
     kernel.expect_nothing(1);
-    let mut half = scene.gateway();
-    let whole = attempt_records(7, "booking", TXN_A, &[], b"b");
-    let (first, last) = whole.split_at(whole.len() - 8);
-    half.send(first);
-    let response = half.response();
+    let mut incomplete = scene.gateway();
+    let records = attempt_records(7, "booking", TXN_A, &[], b"b");
+    let (first, last) = records.split_at(records.len() - 8);
+    incomplete.send(first);
+    let response = incomplete.response();
     assert_eq!(status_and_body(&response), (7, "503", &[][..]));
-    assert_eq!(half.stream.read(&mut [0]).map_err(|e| e.kind()), Ok(0), "an end, and no reset");
-    assert!(resting.is_closed());
-    // What still comes finds nobody: it is not run.
-    let _ = half.stream.write_all(last);
+    assert_eq!(incomplete.stream.read(&mut [0]).map_err(|error| error.kind()), Ok(0), "an end, and no reset");
+    assert!(idle.is_closed());
+    // What arrives now is not read and not run.
+    let _ = incomplete.stream.write_all(last);
     kernel.expect_only_gauges_until_end();
-    drop((half, resting));
+    drop((incomplete, idle));
     assert!(scene.exits_successfully());
 }
 
-// SIGTERM x bytes unread, at the very end: what was written before the end is read and answered.
+/// Requests are written just before the drain ends and the node has not read them yet.
 #[test]
-fn a_request_that_lies_unread_as_the_time_of_a_drain_is_up_is_answered() {
-    let (mut scene, mut kernel) = brief(1_000);
-    let (mut resting, mut later) = (scene.gateway(), scene.gateway());
-    for gateway in [&mut resting, &mut later] {
+fn a_request_that_is_unread_when_the_drain_ends_gets_a_response() {
+    let (mut scene, mut kernel) = scene_with_stop_ms(1_000);
+    let mut idle = scene.gateway();
+    let mut later = scene.gateway();
+    for gateway in [&mut idle, &mut later] {
         assert_eq!(&gateway.health_check("").status[..3], "200");
     }
     scene.signal("-TERM");
-    let told = Instant::now();
+    let sigterm_at = Instant::now();
     while scene.membership_report() != "HB n3 OUT" {}
     kernel.expect_nothing(1);
     scene.pause();
-    resting.request(1, "booking", TXN_A, b"b");
+    idle.request(1, "booking", TXN_A, b"b");
     later.request(1, "quote", TXN_B, b"q");
-    std::thread::sleep(Duration::from_millis(1_100).saturating_sub(told.elapsed()));
+    std::thread::sleep(Duration::from_millis(1_100).saturating_sub(sigterm_at.elapsed()));
     scene.resume();
-    for gateway in [&mut resting, &mut later] {
+    for gateway in [&mut idle, &mut later] {
         assert_eq!(status_and_body(&gateway.response()).1, "503");
     }
-    drop((resting, later));
+    drop((idle, later));
     assert!(scene.exits_successfully());
 }
 
-// Lost framing x more bytes: the answer that is owed is read, whatever comes behind.
+/// A gateway loses its framing while a request of it runs, and goes on sending. It still has to get the response.
 #[test]
-fn an_answer_on_a_connection_whose_framing_is_lost_outlives_what_comes_behind() {
+fn a_pending_response_survives_further_bytes_after_the_framing_is_lost() {
     let (mut scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     gateway.request(1, "quote", TXN_A, b"q");
-    ran(&mut kernel, TXN_A);
+    expect_run(&mut kernel, TXN_A);
     gateway.send(&[9; 40]);
     while scene.counter("framing_lost") < 1 {}
     gateway.send(&[9; 4_000]);
     kernel.reap(TXN_A, "good", b"r");
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
-    assert_eq!(gateway.stream.read(&mut [0]).map_err(|e| e.kind()), Ok(0), "an end, and no reset");
+    assert_eq!(gateway.stream.read(&mut [0]).map_err(|error| error.kind()), Ok(0), "an end, and no reset");
 }
 
-// Idle close x half a record, and x a peer that half-closes with a request open.
+/// A gateway half-closes its connection with a request open, after the beginning of a further record.
 #[test]
-fn a_peer_that_ends_its_side_gets_its_answer_and_half_a_record_fails_alone() {
+fn a_half_closed_connection_gets_its_response_and_an_incomplete_record_fails_alone() {
     let (scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     gateway.request(1, "quote", TXN_A, b"q");
     gateway.send(&[1, 1, 0, 2]);
     gateway.stream.shutdown(Shutdown::Write).expect("still there");
-    ran(&mut kernel, TXN_A);
+    expect_run(&mut kernel, TXN_A);
     kernel.reap(TXN_A, "good", b"r");
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
     assert!(gateway.is_closed());
 }
 
-// Answer complete x client gone, in the same turn and in both orders: one answer at most, and the node goes on.
+/// A run ends and its gateway aborts it in the same iteration of the event loop, in both orders.
 #[test]
-fn an_end_and_an_abort_that_come_together_make_one_answer() {
+fn the_end_of_a_run_and_an_abort_at_once_make_one_response() {
     for reap_first in [true, false] {
         let (scene, mut kernel) = Scene::with_kernel();
         let mut gateway = scene.gateway();
         gateway.request(1, "quote", TXN_A, b"q");
-        ran(&mut kernel, TXN_A);
+        expect_run(&mut kernel, TXN_A);
         scene.pause();
         let mut reap = || kernel.reap(TXN_A, "good", b"r");
         if reap_first {
@@ -162,42 +166,43 @@
         scene.resume();
         let response = gateway.response();
         assert!(["200", "500"].contains(&&response.status[..3]), "{response:?}");
-        // The next answer on the connection is the next request's: there was only one to the first.
+        // The next response on the connection is that of the next request: the first one had only one.
         gateway.send(&request_records(2, &[("SCRIPT_NAME", "/status/live")], &[]));
         assert_eq!(gateway.response().id, 2);
     }
 }
 
-// Answer complete x repeat of the same key: whichever is seen first, it is run once and both are served.
+/// A run ends and a retry with its key arrives in the same iteration of the event loop, in both orders.
 #[test]
-fn a_repeat_that_crosses_the_end_of_the_run_is_served_and_not_run() {
+fn a_retry_that_crosses_the_end_of_the_run_is_served_and_not_run() {
     for reap_first in [true, false] {
         let (scene, mut kernel) = Scene::with_kernel();
-        let (mut one, mut other) = (scene.gateway(), scene.gateway());
-        one.request(1, "booking", TXN_A, b"b");
-        ran(&mut kernel, TXN_A);
+        let mut first = scene.gateway();
+        let mut retrying = scene.gateway();
+        first.request(1, "booking", TXN_A, b"b");
+        expect_run(&mut kernel, TXN_A);
         scene.pause();
         if reap_first {
             kernel.reap(TXN_A, "good", b"r");
         }
-        other.request(1, "booking", TXN_B, b"b");
+        retrying.request(1, "booking", TXN_B, b"b");
         if !reap_first {
             kernel.reap(TXN_A, "good", b"r");
         }
         scene.resume();
-        assert_eq!(status_and_body(&one.response()), (1, "200", &b"r"[..]));
-        assert_eq!(status_and_body(&other.response()), (1, "200", &b"r"[..]));
+        assert_eq!(status_and_body(&first.response()), (1, "200", &b"r"[..]));
+        assert_eq!(status_and_body(&retrying.response()), (1, "200", &b"r"[..]));
         kernel.expect_nothing(5);
     }
 }
 
-// Connection gone x run, for a keyed request: the run goes on and its repeat gets the result.
+/// The connection of a keyed request closes during its run, and a retry comes on another one.
 #[test]
-fn a_keyed_run_whose_connection_is_gone_serves_its_repeat() {
+fn a_keyed_run_whose_connection_has_closed_serves_its_retry() {
     let (scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     gateway.request(1, "booking", TXN_A, b"b");
-    ran(&mut kernel, TXN_A);
+    expect_run(&mut kernel, TXN_A);
     scene.pause();
     drop(gateway);
     let mut gateway = scene.gateway();
@@ -208,13 +213,13 @@
     kernel.expect_nothing(5);
 }
 
-// Kernel lost x its last notice: what it said just before the end of the link counts.
+/// The kernel's connection ends right after a notice, which the kernel repeats on the next connection.
 #[test]
-fn a_notice_that_comes_together_with_the_end_of_its_link_counts_once() {
+fn a_notice_just_before_the_end_of_its_connection_applies_once() {
     let (scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     gateway.request(1, "booking", TXN_A, b"b");
-    ran(&mut kernel, TXN_A);
+    expect_run(&mut kernel, TXN_A);
     kernel.expect_nothing(3);
     scene.pause();
     kernel.reap(TXN_A, "good", b"r");
@@ -229,16 +234,16 @@
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
 }
 
-// Kernel lost x a command: what goes out onto a link that has ended is said again on the next one, once.
+/// The kernel's connection ends, in one case after an incomplete notice, while the node has a command to send.
 #[test]
-fn a_command_that_crosses_the_end_of_the_link_is_said_on_the_next() {
-    for half_a_notice in [false, true] {
+fn a_command_that_crosses_the_end_of_the_connection_is_sent_on_the_next() {
+    for sends_partial_notice in [false, true] {
         let (scene, mut kernel) = Scene::with_kernel();
         let mut gateway = scene.gateway();
         kernel.expect_nothing(3);
         scene.pause();
         gateway.request(1, "booking", TXN_A, b"b");
-        if half_a_notice {
+        if sends_partial_notice {
             kernel.notify_partially("{\"event\":\"REAP\",\"cursor\":1,\"han");
         }
         drop(kernel);
@@ -246,21 +251,21 @@
         let mut kernel = scene.accept_kernel();
         assert_eq!(kernel.command(), json!({"event": "OPEN", "cursor": 0}));
         kernel.boot();
-        ran(&mut kernel, TXN_A);
+        expect_run(&mut kernel, TXN_A);
         kernel.expect_nothing(5);
         kernel.reap(TXN_A, "good", b"r");
         assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
     }
 }
 
-// Store lost x its reply: whole before the end it counts; cut by the end it proves nothing.
+/// The store's connection ends right after a reply. A complete reply counts; one that is cut off proves nothing.
 #[test]
-fn a_reply_that_comes_together_with_the_end_of_its_connection_counts_if_it_is_whole() {
+fn a_reply_just_before_the_end_of_its_connection_counts_if_it_is_complete() {
     for (reply, counts) in [("OK 1\r\nr\r\n", true), ("OK 1\r\nr", false), ("BUSY\r\n", true)] {
         let (scene, mut kernel) = Scene::with_kernel();
         let mut gateway = scene.gateway();
         gateway.request(1, "booking", TXN_A, b"b");
-        ran(&mut kernel, TXN_A);
+        expect_run(&mut kernel, TXN_A);
         kernel.request_call(TXN_A, b"c");
         let mut store = scene.accept_store();
         store.expect_call(TXN_A);
@@ -271,33 +276,33 @@
         match (reply, counts) {
             ("BUSY\r\n", _) => drop(scene.accept_store().expect_call(TXN_A)),
             (_, true) => assert_eq!(kernel.expect("IODONE", TXN_A), b"r"),
-            // It may have had its effect: a failure, and never a second call.
+            // The call may have had its effect: the request fails, and the call is never retried.
             (_, false) => assert_eq!(status_and_body(&gateway.response()).1, "500"),
         }
     }
 }
 
-// Store x a dial that the other side never takes up: the call never ran, and the next tries again on a new one.
+/// The backlog of the store is full: a connection attempt gets no answer until the request of its call has timed out.
 #[test]
-fn a_dial_that_is_given_up_costs_no_other_call() {
+fn an_abandoned_connection_attempt_costs_no_other_call() {
     let scene = Scene::new(|_| ());
     let mut kernel = scene.connect_kernel();
     scene.await_healthy();
-    // Its queue is full: whoever dials now gets no word.
+    // The backlog is full: a connection attempt gets no answer now.
     scene.store.listen(0).expect("listening");
-    let full: Vec<_> = (0..2).map(|_| scene.fill_store_backlog()).collect();
+    let backlog: Vec<_> = (0..2).map(|_| scene.fill_store_backlog()).collect();
     let mut gateway = scene.gateway();
     gateway.send(&attempt_records(1, "booking", TXN_A, &[("HTTP_X_TTL_MS", "600")], b"b"));
-    ran(&mut kernel, TXN_A);
+    expect_run(&mut kernel, TXN_A);
     kernel.request_call(TXN_A, b"c");
     assert_eq!(status_and_body(&gateway.response()).1, "500");
     scene.store.listen(16).expect("listening");
-    drop(full);
+    drop(backlog);
     gateway.request(1, "quote", TXN_B, b"q");
-    ran(&mut kernel, TXN_B);
+    expect_run(&mut kernel, TXN_B);
     kernel.request_call(TXN_B, b"d");
     let mut store = loop {
-        // Those that filled the queue, and the one that was given up, come first and say nothing.
+        // Those that filled the backlog, and the abandoned one, come first and send nothing.
         let mut store = scene.accept_store();
         if store.receives_call(TXN_B) {
             break store;
@@ -307,57 +312,57 @@
     assert_eq!(kernel.expect("IODONE", TXN_B), b"r");
 }
 
-// Reload x a moved kernel while the link to the old one is being made: the old one is let go of, the new one found.
+/// A reload moves the kernel while the connection to the old one is being opened.
 #[test]
-fn a_kernel_that_moves_before_it_has_said_that_it_is_up_is_found_at_its_new_address() {
+fn a_kernel_that_moves_before_it_is_up_is_found_at_its_new_address() {
     let scene = Scene::new(|_| ());
     let mut old = scene.accept_kernel();
     assert_eq!(old.command()["event"], "OPEN");
-    let new = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut text = scene.configuration();
-    text["kernel"] = json!(new.local_addr().expect("bound").to_string());
+    let new_kernel = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let mut changed = scene.configuration();
+    changed["kernel"] = json!(new_kernel.local_addr().expect("bound").to_string());
     scene.pause();
     old.boot();
-    scene.reload(&text.to_string());
+    scene.reload(&changed.to_string());
     scene.resume();
-    let mut kernel = Kernel::new(new.accept().expect("a link").0);
+    let mut kernel = Kernel::new(new_kernel.accept().expect("a link").0);
     assert_eq!(kernel.command(), json!({"event": "OPEN", "cursor": 0}));
     kernel.boot();
     scene.await_healthy();
     let mut gateway = scene.gateway();
     gateway.request(1, "quote", TXN_A, b"q");
-    ran(&mut kernel, TXN_A);
+    expect_run(&mut kernel, TXN_A);
 }
 
-// Reload x drain: a class that goes while a request of it is open, and one of it that comes after.
+/// SIGTERM, a reload that removes a class, and a further request of that class arrive at once while one of its requests runs.
 #[test]
-fn a_class_that_goes_in_a_drain_keeps_the_requests_that_it_has() {
-    let (mut scene, mut kernel) = brief(2_000);
+fn a_class_that_a_reload_removes_during_a_drain_keeps_its_open_requests() {
+    let (mut scene, mut kernel) = scene_with_stop_ms(2_000);
     let mut gateway = scene.gateway();
     gateway.request(1, "quote", TXN_A, b"q");
-    ran(&mut kernel, TXN_A);
-    let mut text = scene.configuration();
-    text["settings"]["classes"].as_array_mut().expect("classes").remove(0);
-    text["settings"]["extra"]["class-calls"] = json!([true]);
-    text["settings"]["extra"]["class-skip-worth"] = json!([0.0]);
+    expect_run(&mut kernel, TXN_A);
+    let mut changed = scene.configuration();
+    changed["settings"]["classes"].as_array_mut().expect("classes").remove(0);
+    changed["settings"]["extra"]["class-calls"] = json!([true]);
+    changed["settings"]["extra"]["class-skip-worth"] = json!([0.0]);
     scene.pause();
     scene.signal("-TERM");
-    scene.reload(&text.to_string());
+    scene.reload(&changed.to_string());
     gateway.request(2, "quote", TXN_B, b"q");
     scene.resume();
     kernel.reap(TXN_A, "good", b"r");
-    let mut answers = [gateway.response(), gateway.response()];
-    answers.sort_by_key(|a| a.id);
-    assert_eq!(status_and_body(&answers[0]), (1, "200", &b"r"[..]));
-    // It came with the reload: read before it, it is run (and failed at the end); after it, the class is unknown.
-    assert!(["404", "500", "503"].contains(&&answers[1].status[..3]), "{answers:?}");
+    let mut responses = [gateway.response(), gateway.response()];
+    responses.sort_by_key(|response| response.id);
+    assert_eq!(status_and_body(&responses[0]), (1, "200", &b"r"[..]));
+    // It arrived with the reload: read before that, it runs and fails at the end; after it, the class is unknown.
+    assert!(["404", "500", "503"].contains(&&responses[1].status[..3]), "{responses:?}");
     drop(gateway);
     assert!(scene.exits_successfully());
 }
 
-// A clock read before a stall and used after it: what ran out meanwhile is not run.
+/// The process is stopped for longer than a request waits. The time of the iteration that reads it must not be from before.
 #[test]
-fn a_request_whose_time_ran_out_while_the_process_stood_still_is_answered_and_never_run() {
+fn a_request_that_times_out_while_the_process_is_stopped_gets_a_response_and_never_runs() {
     let (scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     kernel.expect_nothing(2);
@@ -368,56 +373,56 @@
     scene.resume();
     let response = gateway.response();
     assert_eq!(status_and_body(&response).1, "503", "{response:?}");
-    ran(&mut kernel, TXN_B);
+    expect_run(&mut kernel, TXN_B);
 }
 
-// Membership x moved service, and x a service that is away: reports go on to whoever is named now, OUT again and again.
+/// The membership service moves just before the node leaves, and datagrams may be lost.
 #[test]
-fn reports_follow_the_service_and_say_again_that_the_node_leaves() {
-    let (mut scene, mut kernel) = brief(2_000);
+fn membership_reports_follow_a_moved_service_and_repeat_that_the_node_leaves() {
+    let (mut scene, mut kernel) = scene_with_stop_ms(2_000);
     assert_eq!(scene.membership_report(), "HB n3 UP");
-    let new = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
-    new.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
-    let mut text = scene.configuration();
-    text["members"] = json!(new.local_addr().expect("bound").to_string());
+    let new_members = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    new_members.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
+    let mut changed = scene.configuration();
+    changed["members"] = json!(new_members.local_addr().expect("bound").to_string());
     scene.pause();
-    scene.reload(&text.to_string());
+    scene.reload(&changed.to_string());
     scene.signal("-TERM");
     scene.resume();
-    // The first one may be lost on its way: it is said again while the node drains.
-    let mut outs = 0;
-    while outs < 3 {
-        let mut buf = [0; 64];
-        let n = new.recv(&mut buf).expect("a report");
-        outs += usize::from(&buf[..n] == b"HB n3 OUT");
+    // A report may be lost on its way: it is repeated while the node drains.
+    let mut reports_out = 0;
+    while reports_out < 3 {
+        let mut datagram = [0; 64];
+        let len = new_members.recv(&mut datagram).expect("a report");
+        reports_out += usize::from(&datagram[..len] == b"HB n3 OUT");
     }
     kernel.expect_nothing(1);
     assert!(scene.exits_successfully());
 }
 
-// Kill behind an accept, and a restart at the same address while the old one's connections end.
+/// The process is killed with one request running and one connection not accepted yet, and is started at the same address.
 #[test]
-fn a_process_that_is_killed_behind_an_accept_comes_back_at_its_address() {
+fn a_process_that_is_killed_with_connections_pending_restarts_at_its_address() {
     let port = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port").port();
     let mut scene = Scene::new(|c| c["listen"] = json!(format!("127.0.0.1:{port}")));
     let mut kernel = scene.connect_kernel();
     scene.await_healthy();
-    let mut served_once = scene.gateway();
-    served_once.request(1, "quote", TXN_A, b"q");
-    ran(&mut kernel, TXN_A);
+    let mut running = scene.gateway();
+    running.request(1, "quote", TXN_A, b"q");
+    expect_run(&mut kernel, TXN_A);
     scene.pause();
     let mut pending = scene.gateway();
     pending.request(1, "booking", TXN_B, b"b");
     scene.restart();
-    for gateway in [&mut served_once, &mut pending] {
-        let end = gateway.stream.read(&mut [0]).map_err(|e| e.kind());
+    for gateway in [&mut running, &mut pending] {
+        let end = gateway.stream.read(&mut [0]).map_err(|error| error.kind());
         assert!(matches!(end, Ok(0) | Err(ErrorKind::ConnectionReset)), "{end:?}");
     }
     let mut kernel = scene.connect_kernel();
     scene.await_healthy();
     let mut gateway = scene.gateway();
     gateway.request(1, "booking", TXN_C, b"b");
-    ran(&mut kernel, TXN_C);
+    expect_run(&mut kernel, TXN_C);
     kernel.reap(TXN_C, "good", b"r");
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
 }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,4 +1,4 @@
-//! What operators meet, on the real program: the second address, its figures, and new settings in service.
+//! What operators work with, on the real program: the second address, its counters, and new settings in service.
 
 mod support;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_process_says_yes_once_it_takes_clients_and_no_in_a_drain() {
+fn ping_is_affirmed_once_the_node_takes_requests_and_denied_during_a_drain() {
     let mut scene = scene();
     assert_eq!(scene.admin_call("PING\n"), "error its kernel is not up\n");
     let _kernel = scene.connect_kernel();
@@ -34,15 +34,16 @@
     assert!(scene.exits_successfully());
 }
 
-// Guards against callers who wait behind the clients' table, or behind callers who say nothing.
+/// The table of gateways' connections is full, and operators' connections are open that send nothing. Further calls must
+/// not wait for either.
 #[test]
-fn callers_are_answered_beside_a_full_table_and_beside_idle_callers() {
+fn admin_calls_are_answered_beside_a_full_connection_table_and_idle_callers() {
     let scene = scene();
     let _kernel = scene.connect_kernel();
     let _idle: Vec<TcpStream> =
         (0..20).map(|_| TcpStream::connect(&scene.admin).expect("the second address")).collect();
-    let mut cut = TcpStream::connect(&scene.admin).expect("the second address");
-    cut.write_all(b"PIN").expect("sent");
+    let mut incomplete = TcpStream::connect(&scene.admin).expect("the second address");
+    incomplete.write_all(b"PIN").expect("sent");
     let _busy: Vec<Gateway> = (0..60)
         .map(|_| {
             let mut gateway = scene.gateway();
@@ -55,16 +56,16 @@
     }
 }
 
-// Guards against a path on which a request ends uncounted, twice, or as something else than its client was told.
+/// Requests end in every way there is. Each must be counted once, as what its client got.
 #[test]
-fn figures_are_what_the_clients_and_the_kernel_saw() {
+fn counters_match_what_clients_and_kernel_saw() {
     let scene = scene();
     let early = scene.gateway().read(&txn(1)).expect("an answer");
     assert_eq!(early, "503");
     let mut kernel = scene.connect_kernel();
     scene.await_healthy();
     let mut gateway = scene.gateway();
-    let mut asked = |id: &str, class: &str, body: &[u8], fate: &str| {
+    let mut send_and_run = |id: &str, class: &str, body: &[u8], fate: &str| {
         gateway.request(1, class, id, body);
         if !fate.is_empty() {
             kernel.expect("SCHED", id);
@@ -73,61 +74,61 @@
         }
         gateway.response().status[..3].to_string()
     };
-    assert_eq!(asked(&txn(2), "quote", b"q", "good"), "200");
-    assert_eq!(asked(&txn(3), "quote", b"q", "bad"), "500");
-    assert_eq!(asked(&txn(4), "booking", b"b", "good"), "200");
-    // A repeat gets the stored result, another body is a conflict: neither runs.
-    assert_eq!(asked(&txn(5), "booking", b"b", ""), "200");
-    assert_eq!(asked(&txn(6), "booking", b"c", ""), "409");
-    // No class that is known, and a parameter that cannot be read.
-    assert_eq!(asked(&txn(7), "nothing", b"", ""), "404");
-    assert_eq!(asked("short", "quote", b"", ""), "400");
-    // One whose client goes away while it runs.
-    let mut going = scene.gateway();
-    going.request(1, "quote", &txn(8), b"q");
+    assert_eq!(send_and_run(&txn(2), "quote", b"q", "good"), "200");
+    assert_eq!(send_and_run(&txn(3), "quote", b"q", "bad"), "500");
+    assert_eq!(send_and_run(&txn(4), "booking", b"b", "good"), "200");
+    // A retry gets the stored result, another body is a conflict: neither runs.
+    assert_eq!(send_and_run(&txn(5), "booking", b"b", ""), "200");
+    assert_eq!(send_and_run(&txn(6), "booking", b"c", ""), "409");
+    // An unknown class, and an invalid parameter.
+    assert_eq!(send_and_run(&txn(7), "nothing", b"", ""), "404");
+    assert_eq!(send_and_run("short", "quote", b"", ""), "400");
+    // A request whose client closes its connection during the run.
+    let mut leaving = scene.gateway();
+    leaving.request(1, "quote", &txn(8), b"q");
     kernel.expect("SCHED", &txn(8));
-    drop(going);
+    drop(leaving);
     kernel.expect("PREEMPT", &txn(8));
     kernel.reap(&txn(8), "cut", b"");
     let answer = scene.admin_call("INFO\n");
-    let told = |name: &str| info_value(&answer, name);
-    let of =
-        |class: &str| ["success", "overload", "error"].map(|end| told(&format!("replies.{class}.{end}")));
-    assert_eq!(of("quote"), [1, 1, 2]);
-    assert_eq!(of("booking"), [2, 0, 1]);
-    assert_eq!([told("dispatches"), told("concurrent")], [4, 0]);
-    assert_eq!([told("reload_success"), told("reload_failure")], [0, 0]);
+    let value = |name: &str| info_value(&answer, name);
+    let replies =
+        |class: &str| ["success", "overload", "error"].map(|end| value(&format!("replies.{class}.{end}")));
+    assert_eq!(replies("quote"), [1, 1, 2]);
+    assert_eq!(replies("booking"), [2, 0, 1]);
+    assert_eq!([value("dispatches"), value("concurrent")], [4, 0]);
+    assert_eq!([value("reload_success"), value("reload_failure")], [0, 0]);
 }
 
-/// A file is turned down, and why.
-fn turned_down(old: &Value, text: &str) -> Option<String> {
+/// Why a change to this configuration is rejected, if it is.
+fn rejection(old: &Value, text: &str) -> Option<String> {
     let old = parse(&old.to_string(), None, None, None).expect("sound");
     let new = parse(text, None, None, None);
     new.and_then(|new| validate_change(&old, &new)).err().map(|e| e.to_string())
 }
 
-// Guards against half a file, or an absurd one, that takes effect.
+/// A configuration is cut off, lacks a key or has an absurd value. It must not take effect in part.
 #[test]
-fn a_file_is_turned_down_for_each_thing_that_is_wrong_with_it() {
-    let sound = configuration(1, 2, 3);
-    let text = sound.to_string();
-    assert_eq!(turned_down(&sound, &text), None);
+fn a_configuration_is_rejected_for_each_of_its_mistakes() {
+    let valid = configuration(1, 2, 3);
+    let text = valid.to_string();
+    assert_eq!(rejection(&valid, &text), None);
     for cut in 0..text.len() {
-        assert!(turned_down(&sound, &text[..cut]).is_some(), "cut at {cut}");
+        assert!(rejection(&valid, &text[..cut]).is_some(), "cut at {cut}");
     }
     // Every key, one after the other.
     let mut paths = vec![String::new()];
     while let Some(path) = paths.pop() {
-        let children: Vec<String> = match sound.pointer(&path) {
+        let children: Vec<String> = match valid.pointer(&path) {
             Some(Value::Object(object)) => object.keys().cloned().collect(),
             Some(Value::Array(array)) => (0..array.len()).map(|i| i.to_string()).collect(),
             _ => Vec::new(),
         };
         for child in children {
-            let mut lacks = sound.clone();
-            if let Some(Value::Object(parent)) = lacks.pointer_mut(&path) {
+            let mut incomplete = valid.clone();
+            if let Some(Value::Object(parent)) = incomplete.pointer_mut(&path) {
                 parent.remove(&child);
-                assert!(turned_down(&sound, &lacks.to_string()).is_some(), "without {path}/{child}");
+                assert!(rejection(&valid, &incomplete.to_string()).is_some(), "without {path}/{child}");
             }
             paths.push(format!("{path}/{child}"));
         }
@@ -137,23 +138,23 @@
         for value in
             ["0", "-1", "-0.0", "1e300", "1e999", "NaN", "Infinity", "\"9700\"", "null", "[]", "true"]
         {
-            let mut absurd = sound.clone();
+            let mut absurd = valid.clone();
             *absurd.pointer_mut(&at).expect("there") = json!("HERE");
             let absurd = absurd.to_string().replace("\"HERE\"", value);
-            assert!(turned_down(&sound, &absurd).is_some(), "{key} {value}");
+            assert!(rejection(&valid, &absurd).is_some(), "{key} {value}");
         }
-        let mut fine = sound.clone();
-        *fine.pointer_mut(&at).expect("there") = json!(2.5e9);
-        assert_eq!(turned_down(&sound, &fine.to_string()), None);
+        let mut changed = valid.clone();
+        *changed.pointer_mut(&at).expect("there") = json!(2.5e9);
+        assert_eq!(rejection(&valid, &changed.to_string()), None);
     }
-    let mut twice = sound.clone();
-    twice["settings"]["classes"][1]["name"] = json!("quote");
-    assert!(turned_down(&sound, &twice.to_string()).is_some());
+    let mut duplicate = valid.clone();
+    duplicate["settings"]["classes"][1]["name"] = json!("quote");
+    assert!(rejection(&valid, &duplicate.to_string()).is_some());
 }
 
-// Guards against open requests that lose their class, and against keys that go with a class.
+/// A reload removes a class which has open requests and stored results, and shortens the deadline of another.
 #[test]
-fn classes_come_and_go_while_their_requests_are_open() {
+fn a_reload_adds_and_removes_classes_while_their_requests_are_open() {
     let mut scene = scene();
     let mut kernel = scene.connect_kernel();
     scene.await_healthy();
@@ -175,30 +176,30 @@
     }
     scene.reload(&text.to_string());
     scene.await_log_line("in effect");
-    // A new class is served, one that is gone is refused; repeats of its keys still get what there is.
+    // The new class is served and the removed one rejected; retries of its keys still get the stored results.
     gateway.request(3, "upgrade", &txn(3), b"u");
     let command = kernel.command();
     assert_eq!((&command["handle"], &command["entry"]), (&json!(txn(3)), &json!("upgrade")));
     kernel.reap(&txn(3), "good", b"up");
     assert_eq!(gateway.response().body, b"up");
     gateway.send(&attempt_records(4, "booking", &txn(4), &[("HTTP_X_TXN_KEY", "other")], b"b"));
-    let refused = gateway.response();
-    assert_eq!((refused.id, &refused.status[..3]), (4, "503"));
+    let rejected = gateway.response();
+    assert_eq!((rejected.id, &rejected.status[..3]), (4, "503"));
     gateway.request(5, "booking", &txn(5), b"b");
     kernel.reap(&txn(1), "good", b"booked");
-    let mut both = [gateway.response(), gateway.response()].map(|a| (a.id, a.body));
+    let mut both = [gateway.response(), gateway.response()].map(|response| (response.id, response.body));
     both.sort();
     assert_eq!(both, [(1, b"booked".to_vec()), (5, b"booked".to_vec())]);
     gateway.request(6, "booking", &txn(6), b"b");
     assert_eq!(gateway.response().body, b"booked");
-    // The other one keeps the deadline that it came with, beyond that of its class today.
+    // The other request keeps the deadline that it arrived with, beyond the present one of its class.
     std::thread::sleep(std::time::Duration::from_millis(1_800));
     kernel.reap(&txn(2), "good", b"quoted");
     assert_eq!(gateway.response().body, b"quoted");
     assert_eq!(scene.info_value("reload_success"), 1);
     assert_eq!(scene.info_value("replies.booking.overload"), 1);
     assert_eq!(scene.info_value("replies.booking.success"), 3);
-    // Turned down: nothing changes.
+    // An invalid reload changes nothing.
     scene.reload("");
     scene.await_log_line("stays");
     assert_eq!(scene.info_value("reload_failure"), 1);
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -1,5 +1,5 @@
-//! The real program on sites that no operator has, drawn by seed: which fields requests carry and what is allowed decides,
-//! and nothing depends on the form of one site.
+//! The real program on sites drawn by seed. They differ in the fields that requests carry and in what the site allows;
+//! nothing may depend on the form of one site.
 
 mod support;
 
@@ -8,6 +8,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
+/// Number of sites, with the seeds from 0.
 const SITES: u64 = 10;
 
 /// The parameters that an attempt of this class has at this site.
@@ -27,8 +28,8 @@
     params
 }
 
-/// Plays one request of each class through all that the site allows; what is wrong names the seed.
-fn play(seed: u64) {
+/// Sends requests of each class and checks all that the site allows; a failure names the seed.
+fn check_site(seed: u64) {
     let site = Site::draw(seed);
     let scene = Scene::new(|c| {
         c["settings"] = site.settings(2);
@@ -39,42 +40,42 @@
     let mut kernel = scene.connect_kernel();
     scene.await_healthy();
     let mut gateway = scene.gateway();
-    for (i, class) in site.classes.iter().enumerate() {
-        let what = format!("seed {seed}, {} of {site}", class.name);
-        let txn = |n: usize| format!("{:016x}", i * 16 + n);
-        let key = format!("{i:032x}");
-        let mut say = |n: usize, is_retry: bool, ttl: &str, body: &[u8]| {
+    for (index, class) in site.classes.iter().enumerate() {
+        let context = format!("seed {seed}, {} of {site}", class.name);
+        let txn = |n: usize| format!("{:016x}", index * 16 + n);
+        let key = format!("{index:032x}");
+        let mut attempt = |n: usize, is_retry: bool, ttl: &str, body: &[u8]| {
             let params = params(&site, class, &key, is_retry, ttl);
             gateway.send(&attempt_records(1, &class.name, &txn(n), &params, body));
         };
-        say(1, false, "9000", b"body");
-        assert_eq!(kernel.expect("SCHED", &txn(1)), b"body", "{what}");
+        attempt(1, false, "9000", b"body");
+        assert_eq!(kernel.expect("SCHED", &txn(1)), b"body", "{context}");
         if class.calls && class.skipped_call_weight > 0.0 {
-            // Nobody listens below.
+            // The store is away.
             kernel.request_call(&txn(1), b"call");
-            let on = json!({"event": "NOIO", "handle": txn(1), "cursor": kernel.cursor});
-            assert_eq!(kernel.command(), on, "{what}");
+            let skip_command = json!({"event": "NOIO", "handle": txn(1), "cursor": kernel.cursor});
+            assert_eq!(kernel.command(), skip_command, "{context}");
         }
         kernel.reap(&txn(1), "good", b"result");
         let response = gateway.response();
-        assert_eq!((&response.status[..3], &response.body[..]), ("200", &b"result"[..]), "{what}");
-        assert!(site.backpressure_signal != "silent" || response.field("X-Capacity").is_none(), "{what}");
-        let mut say = |n: usize, is_retry: bool, ttl: &str, body: &[u8]| {
+        assert_eq!((&response.status[..3], &response.body[..]), ("200", &b"result"[..]), "{context}");
+        assert!(site.backpressure_signal != "silent" || response.field("X-Capacity").is_none(), "{context}");
+        let mut attempt = |n: usize, is_retry: bool, ttl: &str, body: &[u8]| {
             let params = params(&site, class, &key, is_retry, ttl);
             gateway.send(&attempt_records(1, &class.name, &txn(n), &params, body));
             gateway.response()
         };
         if class.keyed {
-            let again = say(2, true, "9000", b"body");
-            assert_eq!((&again.status[..3], &again.body[..]), ("200", &b"result"[..]), "{what}");
-            assert_eq!(&say(3, true, "9000", b"other").status[..3], "409", "{what}");
+            let retried = attempt(2, true, "9000", b"body");
+            assert_eq!((&retried.status[..3], &retried.body[..]), ("200", &b"result"[..]), "{context}");
+            assert_eq!(&attempt(3, true, "9000", b"other").status[..3], "409", "{context}");
         } else if site.sends_timeout {
-            let spent = say(4, false, "0", b"body");
-            assert_eq!(&spent.status[..3], "503", "{what}");
-            assert_eq!(spent.field("X-Throttle-Ms").is_some(), site.accepts_retry_after, "{what}");
+            let timed_out = attempt(4, false, "0", b"body");
+            assert_eq!(&timed_out.status[..3], "503", "{context}");
+            assert_eq!(timed_out.field("X-Throttle-Ms").is_some(), site.accepts_retry_after, "{context}");
             let began = Instant::now();
-            assert_eq!(&say(5, false, "400", b"body").status[..3], "500", "{what}");
-            assert!(began.elapsed() < Duration::from_millis(1_500), "{what}: {:?}", began.elapsed());
+            assert_eq!(&attempt(5, false, "400", b"body").status[..3], "500", "{context}");
+            assert!(began.elapsed() < Duration::from_millis(1_500), "{context}: {:?}", began.elapsed());
             kernel.expect("SCHED", &txn(5));
             if site.preemption != "silent" {
                 kernel.expect("PREEMPT", &txn(5));
@@ -85,11 +86,12 @@
     }
 }
 
+/// Guards against code that depends on the form of one site: the fields of its requests, or what it allows.
 #[test]
 fn sites_of_every_form_are_served() {
-    let forms: Vec<Site> = (0..SITES).map(Site::draw).collect();
-    // They differ in all that a site may be.
-    let both = |of: fn(&Site) -> bool| forms.iter().any(of) && !forms.iter().all(of);
+    let sites: Vec<Site> = (0..SITES).map(Site::draw).collect();
+    // The seeds cover both values of each property.
+    let both = |of: fn(&Site) -> bool| sites.iter().any(of) && !sites.iter().all(of);
     assert!(
         both(|s| s.sends_timeout)
             && both(|s| s.marks_retries)
@@ -101,5 +103,5 @@
     );
     assert!(both(|s| s.classes.len() == 1) && both(|s| s.classes.iter().any(|k| k.keyed)));
     assert!(both(|s| s.classes.iter().any(|k| k.calls && k.skipped_call_weight > 0.0)));
-    (0..SITES).for_each(play);
+    (0..SITES).for_each(check_site);
 }
