--- a/tests/record.rs
+++ b/tests/record.rs
@@ -1,4 +1,4 @@
-//! The store of record behind the real program: what is durable, what is refused, and what never runs twice.
+//! The idempotency store behind the real program: what is durable, what is rejected, and what never runs twice.
 
 mod support;
 
@@ -14,22 +14,19 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-const TXN_A: &str = "9b1f03aa5c7e2d41";
-const TXN_B: &str = "9b1f03aa5c7e2d42";
-const TXN_C: &str = "9b1f03aa5c7e2d43";
 const KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-/// Longest that any test waits for something to become so.
+/// Longest that any test waits for a condition.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Deadlines short enough to be waited for.
-fn short(text: &mut Value) {
+/// Sets deadlines that are short enough for a test to wait for.
+fn shorten_deadlines(configuration: &mut Value) {
     for class in 0..2 {
-        text["settings"]["classes"][class]["goal-time"] = 1_500_000_000u64.into();
-        text["settings"]["classes"][class]["hard-limit"] = 2_000_000_000u64.into();
+        configuration["settings"]["classes"][class]["goal-time"] = 1_500_000_000u64.into();
+        configuration["settings"]["classes"][class]["hard-limit"] = 2_000_000_000u64.into();
     }
 }
 
-/// A store of either kind, and how it is made to stall.
+/// An idempotency store of either backend, and how it is made to stall.
 enum Store {
     Sqlite { path: PathBuf, lock: Option<Connection> },
     Postgres { server: Postgres, password: PathBuf },
@@ -37,7 +34,8 @@
 
 impl Store {
     fn both() -> [Store; 2] {
-        let (path, password) = (temporary_path("db"), temporary_path("pass"));
+        let path = temporary_path("db");
+        let password = temporary_path("pass");
         std::fs::write(&password, "correct horse\n").expect("written");
         let server = Postgres::start("correct horse").expect("it listens");
         [Store::Sqlite { path, lock: None }, Store::Postgres { server, password }]
@@ -58,17 +56,17 @@
     }
 
     fn scene(&self) -> Scene {
-        Scene::with_script(Some(&self.script()), short)
+        Scene::with_script(Some(&self.script()), shorten_deadlines)
     }
 
-    /// From the next write on it stands still.
+    /// Blocks it from the next write on, until [`Store::release`].
     fn stall(&mut self) {
         match self {
             Store::Sqlite { path, lock } => {
-                let other = Connection::open(path).expect("a second connection");
-                other.busy_timeout(TIMEOUT).expect("set");
-                other.execute_batch("BEGIN IMMEDIATE").expect("the lock");
-                *lock = Some(other);
+                let blocker = Connection::open(path).expect("a second connection");
+                blocker.busy_timeout(TIMEOUT).expect("set");
+                blocker.execute_batch("BEGIN IMMEDIATE").expect("the lock");
+                *lock = Some(blocker);
             }
             Store::Postgres { server, .. } => server.faults(&[Fault::StallBefore]),
         }
@@ -86,15 +84,15 @@
         let began = Instant::now();
         loop {
             let row = match self {
-                Store::Sqlite { path, .. } => Connection::open(path).ok().and_then(|c| {
-                    let get = "SELECT state, result FROM record WHERE key = ?1";
-                    c.query_row(get, [key], |r| Ok((r.get(0)?, r.get(1)?))).ok()
+                Store::Sqlite { path, .. } => Connection::open(path).ok().and_then(|connection| {
+                    let select = "SELECT state, result FROM record WHERE key = ?1";
+                    connection.query_row(select, [key], |row| Ok((row.get(0)?, row.get(1)?))).ok()
                 }),
                 Store::Postgres { server, .. } => {
-                    server.row("n3", key).map(|r| (i64::from(r.state), r.result))
+                    server.row("n3", key).map(|row| (i64::from(row.state), row.result))
                 }
             };
-            if let Some(row) = row.filter(|r: &(i64, _)| holds(r.0)) {
+            if let Some(row) = row.filter(|(state, _): &(i64, _)| holds(*state)) {
                 return row;
             }
             assert!(began.elapsed() < TIMEOUT, "no such row of {key}");
@@ -116,8 +114,8 @@
     }
 }
 
-/// A node on this store that is in service, its kernel and a connection to it.
-fn serving(store: &Store) -> (Scene, Kernel, Gateway) {
+/// A node on this store in service, its kernel and a gateway.
+fn start_in_service(store: &Store) -> (Scene, Kernel, Gateway) {
     let scene = store.scene();
     let kernel = scene.connect_kernel();
     scene.await_healthy();
@@ -125,19 +123,20 @@
     (scene, kernel, gateway)
 }
 
-fn book(gateway: &mut Gateway, id: u16, txn: &str) {
+/// Sends an attempt of the one keyed request of these tests.
+fn send_booking(gateway: &mut Gateway, id: u16, txn: &str) {
     gateway.request(id, "booking", txn, b"b");
 }
 
 /// A node is killed right after it answered a booking. The caller's proxy sends the request again, and must get the same
 /// result without a second run.
 #[test]
-fn a_booking_is_durable_before_it_is_answered_and_a_repeat_after_a_kill_gets_the_same() {
+fn a_result_is_durable_before_its_response_and_a_retry_after_a_kill_gets_the_same() {
     for store in Store::both() {
-        let (mut scene, mut kernel, mut gateway) = serving(&store);
-        book(&mut gateway, 1, TXN_A);
+        let (mut scene, mut kernel, mut gateway) = start_in_service(&store);
+        send_booking(&mut gateway, 1, TXN_A);
         kernel.expect("SCHED", TXN_A);
-        // The intent is there before the run begins.
+        // The intent is durable before the run begins.
         assert_eq!(store.row(KEY, |_| true), (0, None));
         kernel.reap(TXN_A, "good", b"booked");
         assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"booked"[..]));
@@ -146,9 +145,9 @@
         let mut kernel = scene.connect_kernel();
         scene.await_healthy();
         let mut gateway = scene.gateway();
-        book(&mut gateway, 1, TXN_B);
+        send_booking(&mut gateway, 1, TXN_B);
         assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"booked"[..]));
-        // Hard case 6: the same key with another body is another request.
+        // The same key with another body is another request.
         gateway.request(2, "booking", TXN_C, b"other");
         assert_eq!(status_and_body(&gateway.response()), (2, "409", &b""[..]));
         kernel.expect_nothing(5);
@@ -157,19 +156,19 @@
 
 /// A node is killed while a booking runs. Nobody knows whether it was made, so that its repeats fail and never run.
 #[test]
-fn a_run_that_a_kill_left_in_doubt_fails_its_repeats_and_never_runs_again() {
+fn a_run_that_a_kill_left_in_doubt_fails_its_retries_and_never_runs_again() {
     for store in Store::both() {
         let mut scene = store.scene();
         let mut kernel = scene.connect_kernel();
         scene.await_healthy();
-        book(&mut scene.gateway(), 1, TXN_A);
+        send_booking(&mut scene.gateway(), 1, TXN_A);
         kernel.expect("SCHED", TXN_A);
         scene.restart();
         let mut kernel = scene.connect_kernel();
         scene.await_healthy();
         let mut gateway = scene.gateway();
         for (id, txn) in [(1, TXN_B), (2, TXN_C)] {
-            book(&mut gateway, id, txn);
+            send_booking(&mut gateway, id, txn);
             assert_eq!(status_and_body(&gateway.response()), (id, "500", &b""[..]));
         }
         kernel.expect_nothing(5);
@@ -180,22 +179,22 @@
 /// The store stalls with a result in flight. The caller is answered in time with a failure; a repeat gets the result once
 /// it is durable.
 #[test]
-fn a_result_whose_write_stalls_fails_at_its_due_time_and_is_served_to_a_repeat_once_it_is_durable() {
+fn a_request_whose_write_stalls_fails_at_its_deadline_and_its_retry_gets_the_result_once_durable() {
     for mut store in Store::both() {
-        let (_scene, mut kernel, mut gateway) = serving(&store);
-        book(&mut gateway, 1, TXN_A);
+        let (_scene, mut kernel, mut gateway) = start_in_service(&store);
+        send_booking(&mut gateway, 1, TXN_A);
         kernel.expect("SCHED", TXN_A);
         store.stall();
         let began = Instant::now();
         kernel.reap(TXN_A, "good", b"booked");
         assert_eq!(status_and_body(&gateway.response()), (1, "500", &b""[..]));
         assert!(began.elapsed() < Duration::from_millis(2_050), "{:?}", began.elapsed());
-        // A repeat waits for the write, and gets the result as soon as that came through.
-        book(&mut gateway, 2, TXN_B);
+        // A retry waits for the write, and gets the result as soon as that is durable.
+        send_booking(&mut gateway, 2, TXN_B);
         kernel.expect_nothing(5);
         store.release();
         assert_eq!(status_and_body(&gateway.response()), (2, "200", &b"booked"[..]));
-        book(&mut gateway, 3, TXN_C);
+        send_booking(&mut gateway, 3, TXN_C);
         assert_eq!(status_and_body(&gateway.response()), (3, "200", &b"booked"[..]));
         kernel.expect_nothing(5);
     }
@@ -203,15 +202,15 @@
 
 /// The store loses a result, and the node is killed before it can write it again. Only the intent is known afterwards.
 #[test]
-fn a_result_whose_write_never_came_through_is_in_doubt_after_a_kill() {
+fn a_result_whose_write_was_lost_is_in_doubt_after_a_kill() {
     for mut store in Store::both() {
-        let (mut scene, mut kernel, mut gateway) = serving(&store);
-        book(&mut gateway, 1, TXN_A);
+        let (mut scene, mut kernel, mut gateway) = start_in_service(&store);
+        send_booking(&mut gateway, 1, TXN_A);
         kernel.expect("SCHED", TXN_A);
         store.stall();
         kernel.reap(TXN_A, "good", b"booked");
         if let Store::Postgres { server, .. } = &mut store {
-            // The transaction is lost with the server, and the node is killed before it can say it again.
+            // The transaction is lost with the server, and the node is killed before it can repeat it.
             server.await_stall();
             server.stop();
         }
@@ -223,7 +222,7 @@
         let mut kernel = scene.connect_kernel();
         scene.await_healthy();
         let mut gateway = scene.gateway();
-        book(&mut gateway, 1, TXN_B);
+        send_booking(&mut gateway, 1, TXN_B);
         assert_eq!(status_and_body(&gateway.response()), (1, "500", &b""[..]));
         kernel.expect_nothing(5);
     }
@@ -232,13 +231,13 @@
 /// The store stalls before any run begins. Keyed requests are rejected with when to come back; requests without a key are
 /// served as always.
 #[test]
-fn what_cannot_be_recorded_is_rejected_at_once_with_retry_after_and_reads_go_on() {
+fn keyed_requests_are_rejected_with_retry_after_while_the_store_stalls_and_reads_go_on() {
     for mut store in Store::both() {
-        let (mut scene, mut kernel, mut gateway) = serving(&store);
+        let (mut scene, mut kernel, mut gateway) = start_in_service(&store);
         store.stall();
-        // The first one finds out; it is refused when the store is given up, long before its due time.
+        // The first request is rejected when the circuit breaker opens, long before its deadline.
         let began = Instant::now();
-        book(&mut gateway, 1, TXN_A);
+        send_booking(&mut gateway, 1, TXN_A);
         let response = gateway.response();
         assert_eq!(status_and_body(&response), (1, "503", &b""[..]));
         assert!(response.field("X-Throttle-Ms").is_some(), "{response:?}");
@@ -254,22 +253,22 @@
         assert!(began.elapsed() < Duration::from_millis(200), "{:?}", began.elapsed());
         assert_eq!(scene.counter("record_open"), 1);
         store.release();
-        // Once it is back, the same request is a first one and runs.
+        // Once the store is back, the same request has never run, and runs.
         let began = Instant::now();
         while scene.counter("record_open") == 1 {
             assert!(began.elapsed() < TIMEOUT, "the store never came back");
             thread::sleep(Duration::from_millis(5));
         }
-        book(&mut gateway, 4, TXN_D);
+        send_booking(&mut gateway, 4, TXN_D);
         kernel.expect("SCHED", TXN_D);
         kernel.reap(TXN_D, "good", b"booked");
         assert_eq!(status_and_body(&gateway.response()), (4, "200", &b"booked"[..]));
     }
 }
 
-/// Every way in which a transaction can go wrong, under an outcome and under an intent.
+/// A transaction fails in each of the ways that it can, for the intent and for the outcome.
 #[test]
-fn whatever_goes_wrong_with_a_transaction_the_booking_runs_once_and_gets_its_result() {
+fn a_request_runs_once_and_gets_its_result_whatever_fault_a_transaction_has() {
     let faults = [
         Fault::BreakBefore,
         Fault::BreakAfter,
@@ -281,55 +280,60 @@
     ];
     let [_, store] = Store::both();
     let Store::Postgres { server, .. } = &store else { panic!("the second is the database") };
-    // Replies cut into single bytes are no fault at all.
+    // Replies in single bytes are not a fault.
     server.send_single_bytes(true);
     let mut scene = store.scene();
     let kernel = AutoKernel::serve(&scene.kernel);
     scene.await_healthy();
     let mut txn = 0x2000u64;
     let mut book = |scene: &Scene, key: &str| {
-        let (mut gateway, began) = (scene.gateway(), Instant::now());
+        let mut gateway = scene.gateway();
+        let began = Instant::now();
         loop {
             txn += 1;
             let (status, body) = gateway.book(&format!("{txn:016x}"), key, key).expect("an answer");
             match status.as_str() {
                 "200" => return String::from_utf8(body).expect("text"),
-                // Refused as the store is given up: it never ran, and will be taken later.
+                // Rejected by the open circuit breaker: it never ran, and is accepted later.
                 "503" => thread::sleep(Duration::from_millis(5)),
                 other => panic!("{key}: {other}"),
             }
             assert!(began.elapsed() < TIMEOUT, "{key} got no result");
         }
     };
-    for (i, fault) in faults.into_iter().enumerate() {
-        for (of, script) in [("intent", vec![fault]), ("outcome", vec![Fault::None, fault])] {
-            let key = format!("{of}-{i}");
+    for (number, fault) in faults.into_iter().enumerate() {
+        for (write, script) in [("intent", vec![fault]), ("outcome", vec![Fault::None, fault])] {
+            let key = format!("{write}-{number}");
             server.faults(&script);
             let first = book(&scene, &key);
-            assert_eq!(kernel.results(&key), [first.as_str()], "{fault:?} under an {of}");
-            assert_eq!(book(&scene, &key), first, "{fault:?} under an {of}");
-            assert_eq!(store.row(&key, |_| true), (1, Some(first.into_bytes())), "{fault:?} under an {of}");
+            assert_eq!(kernel.results(&key), [first.as_str()], "{fault:?} under an {write}");
+            assert_eq!(book(&scene, &key), first, "{fault:?} under an {write}");
+            assert_eq!(
+                store.row(&key, |_| true),
+                (1, Some(first.into_bytes())),
+                "{fault:?} under an {write}"
+            );
         }
     }
     assert!(scene.counter("record_failures") >= 2 * faults.len() as u64);
     assert_eq!(scene.counter("record_waiting"), 0);
 }
 
-/// Bookings that clients repeat until each has its result, as a burst.
+/// What clients saw which retried each keyed request until it had its result.
 struct Burst {
     kernel: AutoKernel,
-    /// Key and body of each booking, and every answer that was a 200.
+    /// Key of each request, and the bodies of all its responses with status 200.
     served: Vec<(String, Vec<Vec<u8>>)>,
     reads: u32,
 }
 
-/// Runs a burst of bookings from several clients, at least so many each and for as long as `trouble` goes on; the
-/// address at which the node serves may change with it. Ends when every booking has a result or a failure that stays.
-fn burst(
+/// Sends keyed requests from several clients, at least so many each and for as long as `disturb` runs, which may change
+/// the address at which the node serves. Ends when every request has a result or has failed for good.
+fn run_burst(
     scene: &mut Scene,
     clients: usize,
     bookings_each: usize,
-    trouble: impl FnOnce(&mut Scene, &Mutex<String>),
+    disturb: impl FnOnce(&mut Scene, &Mutex<String>),
 ) -> Burst {
     let kernel = AutoKernel::serve(&scene.kernel);
     scene.await_healthy();
@@ -340,11 +344,11 @@
         let clients: Vec<_> = (0..clients)
             .map(|client| {
                 let (address, is_over) = (&address, &is_over);
-                scope.spawn(move || client_of_burst(client, bookings_each, address, is_over))
+                scope.spawn(move || send_keyed_requests(client, bookings_each, address, is_over))
             })
             .collect();
-        let reader = scope.spawn(|| reads(&address, &is_over));
-        trouble(scene, &address);
+        let reader = scope.spawn(|| send_reads(&address, &is_over));
+        disturb(scene, &address);
         is_over.store(true, Ordering::Relaxed);
         for client in clients {
             result.served.extend(client.join().expect("a client"));
@@ -361,18 +365,22 @@
     Some(Gateway { stream })
 }
 
-fn client_of_burst(
+/// One client: its keys, with the bodies of all responses of status 200.
+fn send_keyed_requests(
     client: usize,
     bookings_each: usize,
     address: &Mutex<String>,
     is_over: &AtomicBool,
 ) -> Vec<(String, Vec<Vec<u8>>)> {
-    let (mut gateway, mut txn) = (None, (client as u64 + 1) << 32);
+    let mut gateway = None;
+    let mut txn = (client as u64 + 1) << 32;
     let mut all = Vec::new();
     for n in (0..).take_while(|n| *n < bookings_each || !is_over.load(Ordering::Relaxed)) {
         let key = format!("key-{client}-{n}");
-        let (mut served, began, mut failures) = (Vec::new(), Instant::now(), 0);
-        // Two results: one and its repeat. Some failures in a row are one that stays: its run is in doubt.
+        let mut served = Vec::new();
+        let mut failures = 0;
+        let began = Instant::now();
+        // Two results: that of the run and that of a retry. Several failures mean that the run is in doubt.
         while served.len() < 2 && failures < 3 {
             assert!(began.elapsed() < TIMEOUT, "{key} got no answer that stays");
             gateway = gateway.or_else(|| connect(address));
@@ -388,7 +396,7 @@
                     assert_eq!(status, "503", "{key}");
                     thread::sleep(Duration::from_millis(5));
                 }
-                // The node was killed: nobody knows what became of it.
+                // The node was killed: whether the request ran is not known.
                 Err(_) => gateway = None,
             }
         }
@@ -397,29 +405,30 @@
     all
 }
 
-/// Reads all the while; each that the node has taken in must be served.
-fn reads(address: &Mutex<String>, is_over: &AtomicBool) -> u32 {
-    let (mut gateway, mut n) = (None, 0);
+/// Sends requests without a key until it is over; each that the node admits must be served. Returns their number.
+fn send_reads(address: &Mutex<String>, is_over: &AtomicBool) -> u32 {
+    let mut gateway = None;
+    let mut reads = 0;
     while !is_over.load(Ordering::Relaxed) {
         gateway = gateway.or_else(|| connect(address));
         let Some(to) = gateway.as_mut() else {
             thread::sleep(Duration::from_millis(2));
             continue;
         };
-        let txn = format!("{:016x}", (0xffu64 << 32) + u64::from(n));
+        let txn = format!("{:016x}", (0xffu64 << 32) + u64::from(reads));
         match to.read(&txn) {
-            Ok(status) if status == "200" => n += 1,
-            // A node that has just started has no kernel yet, and says that nothing ran.
+            Ok(status) if status == "200" => reads += 1,
+            // A node that has just started has no kernel yet, and rejects.
             Ok(status) => assert_eq!(status, "503"),
             Err(_) => gateway = None,
         }
         thread::sleep(Duration::from_millis(2));
     }
-    n
+    reads
 }
 
 impl Burst {
-    /// Nothing ran twice, whatever was served is what its one run made, and it is what the store has.
+    /// Checks that nothing ran twice, and that what was served is the result of its one run and is in the store.
     fn check(&self, store: &Store) {
         for (key, served) in &self.served {
             let runs = self.kernel.results(key);
@@ -437,7 +446,7 @@
 fn a_store_that_restarts_during_a_burst_costs_nothing_but_time() {
     for mut store in Store::both() {
         let mut scene = store.scene();
-        let burst = burst(&mut scene, 4, 30, |_, _| {
+        let burst = run_burst(&mut scene, 4, 30, |_, _| {
             for _ in 0..3 {
                 thread::sleep(Duration::from_millis(30));
                 match &mut store {
@@ -452,7 +461,7 @@
             }
         });
         burst.check(&store);
-        // Without a kill nothing is in doubt: every booking got its result, and its repeat the same.
+        // Without a kill nothing is in doubt: every request got its result, and its retry the same.
         let twice = burst.served.iter().filter(|(_, served)| served.len() == 2).count();
         assert_eq!(twice, burst.served.len());
         assert!(burst.reads > 100, "{} reads", burst.reads);
@@ -460,16 +469,16 @@
 }
 
 /// Kills the program outright `loops` times at points drawn from a seed, under load.
-fn kills(loops: u32, bookings_each: usize, seed: u64) {
-    // A window that outlasts the test: what was served is looked for at its end.
-    let long = |text: &mut Value| {
-        short(text);
-        text["settings"]["classes"][1]["dedup-window"] = 600_000_000_000u64.into();
+fn kill_under_load(loops: u32, bookings_each: usize, seed: u64) {
+    // A window that outlasts the test, at whose end the results are looked for.
+    let long_window = |configuration: &mut Value| {
+        shorten_deadlines(configuration);
+        configuration["settings"]["classes"][1]["dedup-window"] = 600_000_000_000u64.into();
     };
     for store in Store::both() {
-        let mut scene = Scene::with_script(Some(&store.script()), long);
+        let mut scene = Scene::with_script(Some(&store.script()), long_window);
         let mut rng = fastrand::Rng::with_seed(seed);
-        let burst = burst(&mut scene, 4, bookings_each, |scene, address| {
+        let burst = run_burst(&mut scene, 4, bookings_each, |scene, address| {
             for _ in 0..loops {
                 thread::sleep(Duration::from_micros(rng.u64(2_000..60_000)));
                 scene.restart();
@@ -487,20 +496,20 @@
 /// The node is killed twenty times at random points while clients repeat every booking until it has a result.
 #[test]
 fn a_program_killed_at_random_points_under_load_runs_nothing_twice_and_keeps_what_it_served() {
-    kills(20, 20, 7);
+    kill_under_load(20, 20, 7);
 }
 
-/// The long one: `cargo test --release --test record -- --ignored`.
+/// The same for two hundred kills: `cargo test --release --test record -- --ignored`.
 #[test]
 #[ignore = "minutes"]
 fn two_hundred_kills() {
-    kills(200, 20, 11);
+    kill_under_load(200, 20, 11);
 }
 
-/// A booking whose run has ended and whose outcome the store does not take.
-fn stalled(store: &mut Store, txn: &str) -> (Scene, Kernel, Gateway) {
-    let (scene, mut kernel, mut gateway) = serving(store);
-    book(&mut gateway, 1, txn);
+/// A scene with a keyed request whose run has ended and whose result cannot be written, as the store stalls.
+fn scene_with_stalled_result(store: &mut Store, txn: &str) -> (Scene, Kernel, Gateway) {
+    let (scene, mut kernel, mut gateway) = start_in_service(store);
+    send_booking(&mut gateway, 1, txn);
     kernel.expect("SCHED", txn);
     store.stall();
     kernel.reap(txn, "good", b"booked");
@@ -510,19 +519,19 @@
     (scene, kernel, gateway)
 }
 
-/// Hard case 4, the drain.
+/// SIGTERM arrives while the store stalls with a result in flight; in one case the store recovers, in the other it does not.
 #[test]
-fn a_drain_with_a_write_in_flight_answers_with_the_result_if_it_is_durable_and_ends_in_time() {
-    for comes in [true, false] {
+fn a_drain_with_a_write_in_flight_serves_the_result_if_it_becomes_durable_and_ends_in_time() {
+    for becomes_durable in [true, false] {
         for mut store in Store::both() {
-            let (mut scene, _kernel, mut gateway) = stalled(&mut store, TXN_A);
+            let (mut scene, _kernel, mut gateway) = scene_with_stalled_result(&mut store, TXN_A);
             let began = Instant::now();
             scene.signal("-TERM");
-            // The drain is under way once checks say so.
+            // The drain is under way once health checks are bad.
             while scene.gateway().health_check("").status == "200 OK" {
                 assert!(began.elapsed() < TIMEOUT, "no drain");
             }
-            if comes {
+            if becomes_durable {
                 store.release();
                 assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"booked"[..]));
                 assert_eq!(store.row(KEY, |_| true).0, 1);
@@ -530,18 +539,18 @@
                 assert_eq!(status_and_body(&gateway.response()), (1, "500", &b""[..]));
             }
             assert!(scene.exits_successfully());
-            // It ends shortly before it is stopped, 4 s after the notice.
+            // It ends by itself within `stop_ms`, 4 s after SIGTERM.
             assert!(began.elapsed() < Duration::from_millis(4_000), "{:?}", began.elapsed());
         }
     }
 }
 
-/// Hard case 4, the reload, and both at once.
+/// An operator reloads other settings of the store while it stalls with a result in flight, also during a drain.
 #[test]
-fn a_reload_during_a_stall_changes_bounds_and_no_store_and_loses_nothing() {
+fn a_reload_during_a_stall_changes_limits_but_not_the_store_and_loses_nothing() {
     for drains in [false, true] {
         for mut store in Store::both() {
-            let (mut scene, _kernel, mut gateway) = stalled(&mut store, TXN_A);
+            let (mut scene, _kernel, mut gateway) = scene_with_stalled_result(&mut store, TXN_A);
             let script = store.script();
             let other = "record(backend = \"sqlite\", path = \"/elsewhere.db\", sync = \"full\")";
             let cases = [
@@ -570,49 +579,51 @@
     }
 }
 
-/// Hard case 5 on the real program: the window counts from the ingress that the request states.
+/// Retries come within and after the window of their key, which counts from the ingress time that the request states;
+/// then the node is restarted.
 #[test]
-fn a_repeat_past_the_window_runs_again_and_one_within_does_not_before_and_after_a_restart() {
+fn a_retry_past_its_window_runs_again_and_one_within_it_does_not_across_a_restart() {
     for store in Store::both() {
-        let window = |text: &mut Value| {
-            short(text);
-            text["settings"]["classes"][1]["dedup-window"] = 1_500_000_000u64.into();
+        let short_window = |configuration: &mut Value| {
+            shorten_deadlines(configuration);
+            configuration["settings"]["classes"][1]["dedup-window"] = 1_500_000_000u64.into();
         };
-        let mut scene = Scene::with_script(Some(&store.script()), window);
+        let mut scene = Scene::with_script(Some(&store.script()), short_window);
         let mut kernel = scene.connect_kernel();
         scene.await_healthy();
         let mut gateway = scene.gateway();
         let began = Instant::now();
-        book(&mut gateway, 1, TXN_A);
+        send_booking(&mut gateway, 1, TXN_A);
         kernel.expect("SCHED", TXN_A);
         kernel.reap(TXN_A, "good", b"first");
         assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"first"[..]));
-        book(&mut gateway, 2, TXN_B);
+        send_booking(&mut gateway, 2, TXN_B);
         assert_eq!(status_and_body(&gateway.response()), (2, "200", &b"first"[..]));
         thread::sleep(Duration::from_millis(1_700).saturating_sub(began.elapsed()));
-        book(&mut gateway, 3, TXN_C);
+        send_booking(&mut gateway, 3, TXN_C);
         kernel.expect("SCHED", TXN_C);
         kernel.reap(TXN_C, "good", b"second");
         assert_eq!(status_and_body(&gateway.response()), (3, "200", &b"second"[..]));
-        // After a restart what is there binds for a window from then on: longer, never shorter.
+        // Stored results are kept for a whole window from a restart on: longer, never shorter.
         scene.restart();
         let mut kernel = scene.connect_kernel();
         scene.await_healthy();
-        let (mut gateway, began) = (scene.gateway(), Instant::now());
-        book(&mut gateway, 1, TXN_D);
+        let mut gateway = scene.gateway();
+        let began = Instant::now();
+        send_booking(&mut gateway, 1, TXN_D);
         assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"second"[..]));
         thread::sleep(Duration::from_millis(1_700).saturating_sub(began.elapsed()));
-        book(&mut gateway, 2, TXN_A);
+        send_booking(&mut gateway, 2, TXN_A);
         kernel.expect("SCHED", TXN_A);
     }
 }
 
-/// Hard case 7 with a database: no room, then room again; only reads, then writes again.
+/// The database is out of space, then it has space again; it is read-only, then it takes writes again.
 #[test]
-fn a_database_that_takes_no_writes_costs_keyed_requests_alone_and_is_used_again_when_it_does() {
+fn a_database_that_rejects_writes_costs_only_keyed_requests_and_is_used_again_afterwards() {
     let [_, store] = Store::both();
     let Store::Postgres { server, .. } = &store else { panic!("the second is the database") };
-    let (mut scene, mut kernel, mut gateway) = serving(&store);
+    let (mut scene, mut kernel, mut gateway) = start_in_service(&store);
     for (id, code, first, second) in [(1, "53100", TXN_A, TXN_B), (2, "25006", TXN_C, TXN_D)] {
         server.failing(Some(code));
         gateway.send(&attempt_records(id, "booking", first, &[("HTTP_X_TXN_KEY", code)], b"b"));
@@ -633,14 +644,14 @@
         kernel.expect("SCHED", second);
         kernel.reap(second, "good", b"booked");
         assert_eq!(status_and_body(&gateway.response()), (id, "200", &b"booked"[..]));
-        // A line a second at most tells of it; the next case waits for its own.
+        // The failure is logged at most once a second: the next case needs its own line.
         thread::sleep(Duration::from_millis(1_100));
     }
 }
 
 /// An operator names a damaged file, or a script with an error in it. The start ends with one line that says so.
 #[test]
-fn a_store_that_cannot_be_used_ends_the_start_with_one_line_and_a_script_with_status_two() {
+fn an_unusable_store_or_script_ends_the_start_with_one_line_and_its_status() {
     let path = temporary_path("db");
     std::fs::write(&path, "not a database, but long enough to look at; ".repeat(40)).expect("written");
     let store = Store::Sqlite { path, lock: None };
@@ -661,52 +672,52 @@
         let (mut command, config) = program(&configuration(1, 2, 3), subcommand);
         let settings = temporary_path("star");
         std::fs::write(&settings, script).expect("written");
-        let out = command.arg("--settings").arg(&settings).output().expect("the program runs");
-        let output = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert_eq!(out.status.code(), Some(code), "{output}");
+        let result = command.arg("--settings").arg(&settings).output().expect("the program runs");
+        let output = String::from_utf8_lossy(&result.stderr).into_owned();
+        assert_eq!(result.status.code(), Some(code), "{output}");
         assert!(output.contains(text) && output.lines().count() == 1, "{output}");
         let _ = (std::fs::remove_file(settings), std::fs::remove_file(config));
     }
 }
 
-/// What a sub-command of `record` prints, and its status.
-fn record(store: &Store, arguments: &[&str]) -> (Option<i32>, String) {
+/// Runs a sub-command of `record`: its exit status and its output.
+fn record_subcommand(store: &Store, arguments: &[&str]) -> (Option<i32>, String) {
     let (mut command, config) = program(&configuration(1, 2, 3), "record");
     let settings = temporary_path("star");
     std::fs::write(&settings, store.script()).expect("written");
-    let out = command.args(arguments).arg("--settings").arg(&settings).env("BALANCER_NAME", "n3").output();
-    let out = out.expect("the program runs");
+    let result = command.args(arguments).arg("--settings").arg(&settings).env("BALANCER_NAME", "n3").output();
+    let result = result.expect("the program runs");
     let _ = (std::fs::remove_file(settings), std::fs::remove_file(config));
-    let output = [out.stdout, out.stderr].concat();
-    (out.status.code(), String::from_utf8_lossy(&output).into_owned())
+    let output = [result.stdout, result.stderr].concat();
+    (result.status.code(), String::from_utf8_lossy(&output).into_owned())
 }
 
 #[test]
-fn a_store_is_read_beside_a_running_node_and_pruned_after_it() {
+fn the_record_subcommand_reads_the_store_of_a_running_node_and_prunes_it_afterwards() {
     for store in Store::both() {
-        let (mut scene, mut kernel, mut gateway) = serving(&store);
-        book(&mut gateway, 1, TXN_A);
+        let (mut scene, mut kernel, mut gateway) = start_in_service(&store);
+        send_booking(&mut gateway, 1, TXN_A);
         kernel.expect("SCHED", TXN_A);
         kernel.reap(TXN_A, "good", b"booked");
         assert_eq!(status_and_body(&gateway.response()).1, "200");
         gateway.send(&attempt_records(2, "booking", TXN_B, &[("HTTP_X_TXN_KEY", "k2")], b"b"));
         kernel.expect("SCHED", TXN_B);
         let output = "2 rows (1 good, 0 failed, 1 intents), 2 live, 6 bytes of results\n";
-        assert_eq!(record(&store, &["check"]), (Some(0), format!("sound: {output}")));
-        assert_eq!(record(&store, &["stats"]), (Some(0), output.to_string()));
-        let (_, stats) = record(&store, &["stats", "--json"]);
+        assert_eq!(record_subcommand(&store, &["check"]), (Some(0), format!("sound: {output}")));
+        assert_eq!(record_subcommand(&store, &["stats"]), (Some(0), output.to_string()));
+        let (_, stats) = record_subcommand(&store, &["stats", "--json"]);
         assert_eq!(serde_json::from_str::<Value>(&stats).expect("JSON")["intents"], 1);
-        let (_, list) = record(&store, &["list", "--json"]);
+        let (_, list) = record_subcommand(&store, &["list", "--json"]);
         let mut rows: Vec<Value> = list.lines().map(|l| serde_json::from_str(l).expect("JSON")).collect();
         rows.sort_by_key(|r| r["txn"].to_string());
         assert_eq!((&rows[0]["key"], &rows[0]["state"]), (&KEY.into(), &"good".into()));
         assert_eq!((&rows[1]["key"], &rows[1]["state"], rows.len()), (&"k2".into(), &"intent".into(), 2));
-        assert!(record(&store, &["list"]).1.contains(KEY));
-        // Looking has disturbed nothing: the node still writes under its name.
+        assert!(record_subcommand(&store, &["list"]).1.contains(KEY));
+        // Reading has not disturbed the node: it still writes.
         kernel.reap(TXN_B, "good", b"too");
         assert_eq!(status_and_body(&gateway.response()), (2, "200", &b"too"[..]));
-        // The window (9 s) is not over, let alone by an hour; a file that is in use is left alone.
-        let (code, output) = record(&store, &["prune"]);
+        // The window of 9 s is not over, let alone by an hour; a file in use is left alone.
+        let (code, output) = record_subcommand(&store, &["prune"]);
         match store {
             Store::Sqlite { .. } => {
                 assert!(code == Some(1) && output.contains("another process"), "{output}")
@@ -714,7 +725,10 @@
             Store::Postgres { .. } => assert_eq!((code, output.as_str()), (Some(0), "0 rows removed\n")),
         }
         scene.restart_with(|| {
-            assert_eq!(record(&store, &["prune", "--json"]), (Some(0), "{\"removed\":0}\n".to_string()));
+            assert_eq!(
+                record_subcommand(&store, &["prune", "--json"]),
+                (Some(0), "{\"removed\":0}\n".to_string())
+            );
         });
     }
 }
