--- a/benches/record.rs
+++ b/benches/record.rs
@@ -47,7 +47,7 @@
         let file =
             Path::new(env!("CARGO_TARGET_TMPDIR")).join(temporary_path("db").file_name().expect("a name"));
         let server = Postgres::start("pw").expect("listens");
-        server.commit_time(time);
+        server.set_commit_time(time);
         [Store::Off, Store::Sqlite(file), Store::Postgres(server, password)]
     }
 
--- a/benches/upgrade.rs
+++ b/benches/upgrade.rs
@@ -27,7 +27,7 @@
             text["settings"]["classes"][class]["dedup-window"] = 120_000_000_000u64.into();
         }
     });
-    let kernel = if open > 0 { AutoKernel::holding() } else { AutoKernel::default() };
+    let kernel = if open > 0 { AutoKernel::never_completing() } else { AutoKernel::default() };
     kernel.serve_also(&scene.kernel);
     scene.await_healthy();
     let body = "b".repeat(200);
--- a/crates/fakes/src/kernel.rs
+++ b/crates/fakes/src/kernel.rs
@@ -1,4 +1,4 @@
-//! A kernel on real sockets, without cores: what it is asked is done at once.
+//! A kernel on real sockets, without cores: every run completes at once.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -6,28 +6,35 @@
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, PoisonError};
 
-/// A kernel that does at once whatever it is asked, for one life of the node after the other. The result of a run
-/// is the body and the number of the run among all, so that no two are alike.
+/// A kernel that completes every run at once, for successive incarnations of a node. The result of a run is its body
+/// and the number of the run among all, so that no two results are equal.
 #[derive(Clone, Debug, Default)]
 pub struct AutoKernel {
-    runs: Arc<Mutex<Vec<(String, String)>>>,
-    holds: bool,
+    runs: Arc<Mutex<Vec<CompletedRun>>>,
+    never_completes: bool,
 }
 
-/// What a life of the node has at its address of the kernel, over its links.
+#[derive(Clone, Debug)]
+struct CompletedRun {
+    body: String,
+    result: String,
+}
+
+/// What one incarnation of the node has at one address of the kernel, across its connections.
 #[derive(Debug, Default)]
-struct Life {
-    /// Numbered from 1.
+struct Incarnation {
+    /// Lines; the cursor of the first is 1.
     notices: Vec<String>,
+    /// Of the runs that were begun.
     handles: BTreeSet<String>,
 }
 
 impl AutoKernel {
-    /// One that ends no run.
-    pub fn holding() -> Self {
-        AutoKernel { holds: true, ..AutoKernel::default() }
+    /// A kernel that never completes a run.
+    pub fn never_completing() -> Self {
+        AutoKernel { never_completes: true, ..AutoKernel::default() }
     }
 
     /// Serves on this listener until the test ends.
@@ -39,68 +46,82 @@
 
     /// Serves on this listener as well: one kernel with several addresses.
     pub fn serve_also(&self, listener: &TcpListener) {
-        let (Ok(listener), kernel) = (listener.try_clone(), self.clone()) else { return };
-        let life = Arc::new(Mutex::new(Life::default()));
+        let Ok(listener) = listener.try_clone() else { return };
+        let kernel = self.clone();
+        let incarnation = Arc::new(Mutex::new(Incarnation::default()));
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
-                let (kernel, life) = (kernel.clone(), life.clone());
-                std::thread::spawn(move || kernel.link(stream, &life));
+                let kernel = kernel.clone();
+                let incarnation = incarnation.clone();
+                std::thread::spawn(move || kernel.serve_connection(stream, &incarnation));
             }
         });
     }
 
-    fn link(&self, stream: TcpStream, life: &Mutex<Life>) {
+    fn serve_connection(&self, mut stream: TcpStream, incarnation: &Mutex<Incarnation>) {
         let Ok(copy) = stream.try_clone() else { return };
         let _ = stream.set_nodelay(true);
         let mut lines = BufReader::new(copy);
-        let mut stream = stream;
         let mut line = String::new();
-        // The node may be killed at any point: then its link ends, in the middle of a line or not.
+        // The node may be killed at any point: the connection then ends, perhaps in the middle of a line.
         while matches!(lines.read_line(&mut line), Ok(n) if n > 0) {
             let Ok(command) = serde_json::from_str::<Value>(&line) else { return };
             line.clear();
-            let mut life = life.lock().unwrap_or_else(|e| e.into_inner());
-            let said = match command["event"].as_str() {
-                Some("OPEN") => {
-                    let read = command["cursor"].as_u64().unwrap_or(0) as usize;
-                    if read == 0 {
-                        *life = Life::default();
-                    }
-                    let boot = json!({"event": "BOOTED", "fate": "old", "lasted": 5}).to_string();
-                    boot + "\n" + &life.notices.get(read..).unwrap_or_default().concat()
-                }
-                Some("SYSINFO") => {
-                    json!({"event": "INFO", "ticket": command["ticket"], "figures": [0.1, 0.0, 0.1, 3.0]})
-                        .to_string()
-                        + "\n"
-                }
-                Some("SCHED") if !self.holds => {
-                    // One that has run, or runs, is not run again.
-                    if !life.handles.insert(command["handle"].to_string()) {
-                        continue;
-                    }
-                    let body = STANDARD.decode(command["arg"].as_str().unwrap_or("")).unwrap_or_default();
-                    let body = String::from_utf8_lossy(&body).into_owned();
-                    let mut runs = self.runs.lock().unwrap_or_else(|e| e.into_inner());
-                    let result = format!("{body}#{}", runs.len());
-                    runs.push((body, result.clone()));
-                    let cursor = life.notices.len() + 1;
-                    let notice = json!({"event": "REAP", "cursor": cursor, "handle": command["handle"],
-                        "fate": "good", "lasted": 1, "arg": STANDARD.encode(result)});
-                    life.notices.push(format!("{notice}\n"));
-                    format!("{notice}\n")
-                }
+            let mut incarnation = incarnation.lock().unwrap_or_else(PoisonError::into_inner);
+            let reply = match command["event"].as_str() {
+                Some("OPEN") => incarnation.open(&command),
+                Some("SYSINFO") => gauges(&command),
+                Some("SCHED") if !self.never_completes => match self.run(&command, &mut incarnation) {
+                    Some(notice) => notice,
+                    None => continue,
+                },
                 _ => continue,
             };
-            if stream.write_all(said.as_bytes()).is_err() {
+            if stream.write_all(reply.as_bytes()).is_err() {
                 return;
             }
         }
     }
 
+    /// Completes the run that this command begins; nothing if it was begun before, as commands may be repeated.
+    fn run(&self, command: &Value, incarnation: &mut Incarnation) -> Option<String> {
+        if !incarnation.handles.insert(command["handle"].to_string()) {
+            return None;
+        }
+        let body = STANDARD.decode(command["arg"].as_str().unwrap_or("")).unwrap_or_default();
+        let body = String::from_utf8_lossy(&body).into_owned();
+        let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
+        let result = format!("{body}#{}", runs.len());
+        runs.push(CompletedRun { body, result: result.clone() });
+        let cursor = incarnation.notices.len() + 1;
+        let notice = json!({"event": "REAP", "cursor": cursor, "handle": command["handle"],
+            "fate": "good", "lasted": 1, "arg": STANDARD.encode(result)});
+        let line = format!("{notice}\n");
+        incarnation.notices.push(line.clone());
+        Some(line)
+    }
+
     /// Results of the runs of this body, in order.
     pub fn results(&self, body: &str) -> Vec<String> {
-        let runs = self.runs.lock().unwrap_or_else(|e| e.into_inner());
-        runs.iter().filter(|(b, _)| b == body).map(|(_, r)| r.clone()).collect()
+        let runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
+        runs.iter().filter(|run| run.body == body).map(|run| run.result.clone()).collect()
     }
 }
+
+impl Incarnation {
+    /// Replies to a new connection: that the kernel is up, and every notice after the cursor. A cursor of 0 is that of a
+    /// new incarnation, which starts without notices.
+    fn open(&mut self, command: &Value) -> String {
+        let cursor = command["cursor"].as_u64().unwrap_or(0) as usize;
+        if cursor == 0 {
+            *self = Incarnation::default();
+        }
+        let boot = json!({"event": "BOOTED", "fate": "old", "lasted": 5}).to_string();
+        boot + "\n" + &self.notices.get(cursor..).unwrap_or_default().concat()
+    }
+}
+
+/// Answers a question for gauges: those of a machine with little to do.
+fn gauges(command: &Value) -> String {
+    json!({"event": "INFO", "ticket": command["ticket"], "figures": [0.1, 0.0, 0.1, 3.0]}).to_string() + "\n"
+}
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for what is outside a booking node, written from public specifications, with the faults built in.
+//! Fakes of the systems around a node, written from public specifications, with injectable faults.
 //!
-//! They listen on loopback only, at ports that the system picks, and do what their test says. The product never
-//! links them.
+//! They listen on loopback only, at ports that the system picks, and do what their test says. The product does not
+//! depend on them.
 #![forbid(unsafe_code)]
 
 pub mod kernel;
--- a/crates/fakes/src/postgres/client.rs
+++ b/crates/fakes/src/postgres/client.rs
@@ -24,19 +24,19 @@
     id: u64,
     shared: Arc<Shared>,
     stream: TcpStream,
-    /// The run of the server that it belongs to.
+    /// The run of the server, between restarts, in which it connected.
     run: u64,
-    /// Texts of statements by name.
+    /// Texts of the prepared statements, by name.
     prepared: HashMap<String, String>,
     bound: Option<Call>,
-    /// Writes of the transaction that is open.
+    /// Writes of the open transaction.
     writes: Vec<Call>,
-    /// An error came: all is skipped up to Sync.
+    /// A statement has failed: messages are skipped up to Sync.
     has_failed: bool,
     output: Vec<u8>,
 }
 
-/// Ends the connection.
+/// The error that ends the connection.
 fn broken<T>() -> io::Result<T> {
     Err(io::ErrorKind::ConnectionReset.into())
 }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Serves until the connection ends; however that is, the other side sees a connection that ends.
+    /// Serves until the connection ends, and closes it whatever the reason.
     pub(super) fn run(mut self) {
         let _ = self.serve();
         self.unlock();
@@ -109,7 +109,7 @@
         self.flush()?;
         let (_, client_final) = self.read_message()?;
         let Some(server_final) = scram.server_final(&self.shared.password, &client_final)? else {
-            self.shared.database().refused_logins += 1;
+            self.shared.database().rejected_logins += 1;
             self.send_error("28P01", "password authentication failed");
             self.flush()?;
             return broken();
@@ -162,9 +162,9 @@
     }
 
     fn read_message(&mut self) -> io::Result<(u8, Vec<u8>)> {
-        let mut head = [0; 5];
-        self.stream.read_exact(&mut head)?;
-        let [tag, len @ ..] = head;
+        let mut header = [0; 5];
+        self.stream.read_exact(&mut header)?;
+        let [tag, len @ ..] = header;
         Ok((tag, self.read_body(len)?))
     }
 
@@ -314,7 +314,7 @@
         if database.run == self.run { Ok(database) } else { broken() }
     }
 
-    /// The transaction is over, whichever way.
+    /// Releases the transaction's locks: it has ended.
     fn unlock(&self) {
         self.shared.database().locks.retain(|_, id| *id != self.id);
         self.shared.changed.notify_all();
@@ -369,7 +369,7 @@
         Ok(())
     }
 
-    /// Stands still until it is released; a restart meanwhile loses what is not committed.
+    /// Stalls until it is released; a restart meanwhile loses what is not committed.
     fn stall<'a>(&self, mut database: MutexGuard<'a, Database>) -> io::Result<MutexGuard<'a, Database>> {
         let released = database.released;
         database.stalled += 1;
--- a/crates/fakes/src/postgres/database.rs
+++ b/crates/fakes/src/postgres/database.rs
@@ -1,4 +1,4 @@
-//! What the server keeps, and what its script says of the next transactions.
+//! What the server stores, and the faults of its next transactions.
 
 use super::Fault;
 use gaugestand_idempotency::postgres::sql;
@@ -35,7 +35,7 @@
 impl StoredRow {
     /// From the parameters of a put.
     fn from_params(params: &[Param]) -> Self {
-        let bytes = |i: usize| param(params, i).clone().unwrap_or_default();
+        let bytes = |index: usize| param(params, index).clone().unwrap_or_default();
         StoredRow {
             holder: bytes(2),
             fingerprint: bytes(3),
@@ -66,7 +66,7 @@
     }
 }
 
-/// A statement with its parameters, bound and to be carried out.
+/// A prepared statement with its bound parameters.
 #[derive(Clone)]
 pub(super) struct Call {
     pub(super) query: String,
@@ -74,21 +74,21 @@
 }
 
 impl Call {
-    pub(super) fn param(&self, i: usize) -> &Param {
-        param(&self.params, i)
+    pub(super) fn param(&self, index: usize) -> &Param {
+        param(&self.params, index)
     }
 
-    pub(super) fn text(&self, i: usize) -> String {
-        String::from_utf8_lossy(self.param(i).as_deref().unwrap_or_default()).into_owned()
+    pub(super) fn text(&self, index: usize) -> String {
+        String::from_utf8_lossy(self.param(index).as_deref().unwrap_or_default()).into_owned()
     }
 
-    pub(super) fn int(&self, i: usize) -> i64 {
-        int(self.param(i))
+    pub(super) fn int(&self, index: usize) -> i64 {
+        int(self.param(index))
     }
 }
 
-fn param(params: &[Param], i: usize) -> &Param {
-    params.get(i).unwrap_or(&None)
+fn param(params: &[Param], index: usize) -> &Param {
+    params.get(index).unwrap_or(&None)
 }
 
 fn int(param: &Param) -> i64 {
@@ -101,41 +101,41 @@
 
 #[derive(Default)]
 pub(super) struct Database {
-    /// The tables were made.
+    /// The tables were created.
     pub(super) has_tables: bool,
-    /// The version that they are said to have.
+    /// What the schema table reports as its version.
     pub(super) version: i32,
     /// By node.
     pub(super) epochs: BTreeMap<String, i64>,
     /// By node and key.
     pub(super) rows: BTreeMap<(String, String), StoredRow>,
-    /// Of the next transactions that write, one each.
+    /// Faults of the next transactions that write, one each.
     pub(super) faults: VecDeque<Fault>,
     /// Every transaction that writes fails with this code while it is set.
     pub(super) failing: Option<&'static str>,
     /// Replies go out a byte at a time.
     pub(super) sends_single_bytes: bool,
-    /// How long a commit takes, as a disk would make it.
+    /// How long a commit takes.
     pub(super) commit_time: Duration,
-    /// Transactions that wrote and were committed.
+    /// Number of transactions that wrote and were committed.
     pub(super) commits: u64,
-    /// Counts releases.
+    /// Number of releases.
     pub(super) released: u64,
-    /// Transactions that stand still now.
+    /// Number of transactions that stall now.
     pub(super) stalled: u64,
     /// The client whose transaction has the row of a node locked, by node.
     pub(super) locks: HashMap<String, u64>,
-    /// Clients so far.
+    /// Number of clients so far.
     pub(super) clients: u64,
     pub(super) connections: Vec<TcpStream>,
-    /// Counts restarts: a connection of an earlier run does nothing more.
+    /// Number of restarts: connections of an earlier run are closed.
     pub(super) run: u64,
     pub(super) logins: u64,
-    pub(super) refused_logins: u64,
+    pub(super) rejected_logins: u64,
 }
 
 impl Database {
-    /// Carries out a write of a transaction that commits.
+    /// Executes a write of a transaction that commits.
     pub(super) fn apply(&mut self, call: &Call) {
         let key = (call.text(0), call.text(1));
         match call.query.as_str() {
--- a/crates/fakes/src/postgres/mod.rs
+++ b/crates/fakes/src/postgres/mod.rs
@@ -1,8 +1,8 @@
 //! A PostgreSQL server as far as the idempotency store needs one: protocol 3.0 with SCRAM-SHA-256 (RFC 5802, 7677),
 //! prepared statements and one transaction up to each Sync. It knows the store's own statements by their text.
 //!
-//! What it has acknowledged it keeps, over its own restarts too; what it has not may be kept or lost, as its
-//! script says. Faults wait for a test's word, not for time to pass; only a bench has commits take time.
+//! It keeps what it has acknowledged, also across its own restarts; what it has not acknowledged is kept or lost, as the
+//! injected faults say. A stall ends when the test releases it, not after a time; only a bench makes commits take time.
 
 mod client;
 mod database;
@@ -29,9 +29,9 @@
 pub enum Fault {
     /// Nothing.
     None,
-    /// It stands still before the commit, until [`Postgres::release`].
+    /// It stalls before the commit, until [`Postgres::release`].
     StallBefore,
-    /// It commits and says so only after [`Postgres::release`].
+    /// It commits and acknowledges that only after [`Postgres::release`].
     StallAfter,
     /// The connection breaks before the commit.
     BreakBefore,
@@ -90,7 +90,7 @@
         self.address
     }
 
-    /// Ends all connections and listens no more; what was not committed is lost.
+    /// Closes all connections and the listener; what was not committed is lost.
     pub fn stop(&mut self) {
         let mut database = self.shared.database();
         database.run += 1;
@@ -100,14 +100,14 @@
         drop(database);
         self.shared.changed.notify_all();
         if self.listener.take().is_some() {
-            // Wakes the thread that accepts, so that it ends and lets go of the port.
+            // Wakes the accepting thread, which then ends and releases the port.
             let _ = TcpStream::connect(self.address);
         }
     }
 
     /// Listens again at the same address, with all that it has acknowledged.
     pub fn resume(&mut self) -> io::Result<()> {
-        // The thread that accepts may need a moment to let go of the port.
+        // The accepting thread may need a moment to release the port.
         let listener = (0..REBIND_ATTEMPTS).find_map(|_| {
             thread::yield_now();
             TcpListener::bind(self.address).ok().or_else(|| {
@@ -118,13 +118,13 @@
         self.serve(listener.ok_or(io::ErrorKind::AddrInUse)?)
     }
 
-    /// What goes wrong with the next transactions that write, one each.
-    pub fn faults(&self, faults: &[Fault]) {
+    /// Injects faults into the next transactions that write, one each.
+    pub fn inject_faults(&self, faults: &[Fault]) {
         self.shared.database().faults.extend(faults);
     }
 
-    /// All transactions that write fail with this code, until it is taken back.
-    pub fn failing(&self, code: Option<&'static str>) {
+    /// Fails all transactions that write with this code, until it is set to `None`.
+    pub fn fail_writes_with(&self, code: Option<&'static str>) {
         self.shared.database().failing = code;
     }
 
@@ -133,19 +133,19 @@
         self.shared.database().sends_single_bytes = on;
     }
 
-    /// How long each commit takes from now on, as a disk would make it.
-    pub fn commit_time(&self, time: Duration) {
+    /// Sets how long each commit takes, as on a disk.
+    pub fn set_commit_time(&self, time: Duration) {
         self.shared.database().commit_time = time;
     }
 
-    /// The version that its tables are said to have.
+    /// Sets the version that the schema table reports.
     pub fn set_version(&self, version: i32) {
         let mut database = self.shared.database();
         database.version = version;
         database.has_tables = true;
     }
 
-    /// Waits until a transaction stands still.
+    /// Waits until a transaction stalls.
     pub fn await_stall(&self) {
         let mut database = self.shared.database();
         while database.stalled == 0 {
@@ -153,13 +153,13 @@
         }
     }
 
-    /// Lets go of what stands still.
+    /// Ends the present stalls.
     pub fn release(&self) {
         self.shared.database().released += 1;
         self.shared.changed.notify_all();
     }
 
-    /// Waits until this holds of the row of a key.
+    /// Waits until the row of a key fulfils a condition.
     pub fn await_row(&self, node: &str, key: &str, holds: impl Fn(Option<&StoredRow>) -> bool) {
         let key = (node.to_string(), key.to_string());
         let mut database = self.shared.database();
@@ -173,7 +173,7 @@
         self.shared.database().rows.get(&(node.to_string(), key.to_string())).cloned()
     }
 
-    /// How many rows there are.
+    /// Number of rows.
     pub fn rows(&self) -> usize {
         self.shared.database().rows.len()
     }
@@ -183,10 +183,10 @@
         self.shared.database().commits
     }
 
-    /// Logins that were good, and that were not.
+    /// Number of logins that were accepted, and that were rejected.
     pub fn logins(&self) -> (u64, u64) {
         let database = self.shared.database();
-        (database.logins, database.refused_logins)
+        (database.logins, database.rejected_logins)
     }
 }
 
--- a/crates/fakes/src/postgres/scram.rs
+++ b/crates/fakes/src/postgres/scram.rs
@@ -6,6 +6,7 @@
 use sha2::{Digest, Sha256};
 use std::io;
 
+/// The least that RFC 7677 recommends.
 const ITERATIONS: u32 = 4096;
 const SALT: &[u8] = b"gaugestand-salt!";
 
@@ -16,7 +17,7 @@
 }
 
 impl ScramServer {
-    /// Takes the client's first message; nothing if it is none.
+    /// Reads the client's first message; `None` if it is malformed.
     pub(super) fn new(client_first: &[u8]) -> Option<Self> {
         let client_first_bare = after(client_first, b"n,,")?.to_vec();
         let client_nonce = after(&client_first_bare, b",r=").unwrap_or_default();
@@ -55,7 +56,7 @@
     bytes.windows(pattern.len()).position(|window| window == pattern)
 }
 
-/// What stands after the first place of a pattern.
+/// What follows the first occurrence of a pattern.
 fn after<'a>(bytes: &'a [u8], pattern: &[u8; 3]) -> Option<&'a [u8]> {
     find(bytes, pattern).map(|at| &bytes[at + pattern.len()..])
 }
--- a/crates/fakes/src/relay.rs
+++ b/crates/fakes/src/relay.rs
@@ -1,75 +1,76 @@
-//! A relay between two nodes on loopback, with a network's faults: cut in one direction or both, slow, held back, closed in the
-//! middle of a message.
+//! A TCP relay between two nodes on loopback which injects network faults: partitions in one direction or both, delay,
+//! and connections that close in the middle of a message.
 
-use std::io::{Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a direction looks whether its way has changed.
-const LOOK: Duration = Duration::from_millis(2);
-/// Most bytes on their way.
-const CHUNK: usize = 16 * 1024;
+/// Longest time after which a change of the faults takes effect on a connection without traffic.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Most bytes that are read at once.
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
-/// How one direction carries bytes.
+/// How bytes are delivered in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum Delivery {
     /// At once.
     #[default]
-    Open,
-    /// This much later.
-    Slow(Duration),
-    /// Not at all, and later all of it, in order: a cut that both ends sit out.
-    Held,
-    /// Not at all: what was on its way is lost, and the connection ends once bytes are.
-    Lost,
+    Immediate,
+    /// After this time.
+    Delayed(Duration),
+    /// Not until it is set to another delivery, then in order: a partition that the connection survives.
+    Withheld,
+    /// Never: the connection ends when there are bytes to deliver, which are lost.
+    Dropped,
 }
 
-#[derive(Debug, Default)]
+#[derive(Clone, Copy, Debug, Default)]
 struct Faults {
-    /// From who connects to who is connected to, and back.
-    ways: [Way; 2],
+    /// From the connecting side to the accepting one, and back.
+    deliveries: [Delivery; 2],
     /// New connections are closed at once.
-    shut: bool,
-    /// Grows with each end of all connections.
-    ends: u64,
-    /// Bytes of the next piece that still pass before a connection ends, if it is to end in the middle of one.
-    middle: Option<usize>,
+    refuses_connections: bool,
+    /// Number of times that all connections were closed.
+    closures: u64,
+    /// The next connection that carries bytes closes after so many of them.
+    close_after: Option<usize>,
 }
 
-/// A relay to one address. It ends with its value.
+/// A relay to one address. It stops when it is dropped.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
     faults: Arc<Mutex<Faults>>,
-    over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
 }
 
 impl Relay {
-    /// Relays what connects here to an address that may change, as a node that starts again has another; to none, before
-    /// there is one.
-    pub fn to(target: Arc<Mutex<Option<SocketAddr>>>) -> std::io::Result<Relay> {
+    /// Relays connections to `target`, which may change, as a node that restarts has another address; closes them while
+    /// there is none.
+    pub fn start(target: Arc<Mutex<Option<SocketAddr>>>) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let (faults, over) = (Arc::new(Mutex::new(Faults::default())), Arc::new(AtomicBool::new(false)));
-        let shared = (faults.clone(), over.clone());
+        let faults = Arc::new(Mutex::new(Faults::default()));
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let relay = Relay { address, faults: faults.clone(), is_stopped: is_stopped.clone() };
         thread::spawn(move || {
-            let (faults, over) = shared;
-            while let Ok((inner, _)) = listener.accept() {
-                if over.load(Ordering::Relaxed) {
+            while let Ok((connecting, _)) = listener.accept() {
+                if is_stopped.load(Ordering::Relaxed) {
                     return;
                 }
-                let shut = faults.lock().is_ok_and(|f| f.shut);
-                let target = target.lock().ok().and_then(|t| *t);
-                let outer = target.filter(|_| !shut).and_then(|t| TcpStream::connect(t).ok());
-                if let Some(outer) = outer {
-                    pair(inner, outer, &faults, &over);
+                let refuses = faults.lock().is_ok_and(|faults| faults.refuses_connections);
+                let target = target.lock().ok().and_then(|address| *address);
+                let accepting =
+                    target.filter(|_| !refuses).and_then(|address| TcpStream::connect(address).ok());
+                if let Some(accepting) = accepting {
+                    relay_both_ways(connecting, accepting, &faults, &is_stopped);
                 }
             }
         });
-        Ok(Relay { address, faults, over })
+        Ok(relay)
     }
 
     /// Where to connect to.
@@ -83,86 +84,100 @@
         }
     }
 
-    /// From who connects to who is connected to, and back.
-    pub fn set(&self, there: Way, back: Way) {
-        self.change(|f| f.ways = [there, back]);
+    /// Sets the delivery from the connecting side to the accepting one, and back.
+    pub fn set_delivery(&self, forward: Delivery, backward: Delivery) {
+        self.change(|faults| faults.deliveries = [forward, backward]);
     }
 
-    /// Ends all connections, and new ones at once if `shut`.
-    pub fn close(&self, shut: bool) {
-        self.change(|f| (f.ends, f.shut) = (f.ends + 1, shut));
+    /// Closes all connections, and new ones at once if `refuse_connections`.
+    pub fn close_connections(&self, refuse_connections: bool) {
+        self.change(|faults| {
+            faults.closures += 1;
+            faults.refuses_connections = refuse_connections;
+        });
     }
 
-    /// Ends the connection that next carries something, after so many bytes of it.
-    pub fn close_in_the_middle(&self, bytes: usize) {
-        self.change(|f| f.middle = Some(bytes));
+    /// Closes the connection that next carries bytes, after so many of them.
+    pub fn close_after(&self, bytes: usize) {
+        self.change(|faults| faults.close_after = Some(bytes));
     }
 
-    /// All is well again.
+    /// Undoes all faults; closed connections stay closed.
     pub fn heal(&self) {
-        self.change(|f| *f = Faults { ends: f.ends, ..Faults::default() });
+        self.change(|faults| *faults = Faults { closures: faults.closures, ..Faults::default() });
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
-        self.close(true);
-        // Wakes the thread that accepts, which then ends.
+        self.is_stopped.store(true, Ordering::Relaxed);
+        self.close_connections(true);
+        // Wakes the accepting thread, which then ends.
         let _ = TcpStream::connect(self.address);
     }
 }
 
-fn pair(inner: TcpStream, outer: TcpStream, faults: &Arc<Mutex<Faults>>, over: &Arc<AtomicBool>) {
-    let copies = (inner.try_clone(), outer.try_clone());
-    let (Ok(inner_too), Ok(outer_too)) = copies else { return };
-    for (direction, from, to) in [(0, inner, outer_too), (1, outer, inner_too)] {
-        let (faults, over) = (faults.clone(), over.clone());
+fn relay_both_ways(
+    connecting: TcpStream,
+    accepting: TcpStream,
+    faults: &Arc<Mutex<Faults>>,
+    is_stopped: &Arc<AtomicBool>,
+) {
+    let (Ok(to_connecting), Ok(to_accepting)) = (connecting.try_clone(), accepting.try_clone()) else {
+        return;
+    };
+    for (direction, from, to) in [(0, connecting, to_accepting), (1, accepting, to_connecting)] {
+        let faults = faults.clone();
+        let is_stopped = is_stopped.clone();
         thread::spawn(move || {
-            carry(direction, &from, &to, &faults, &over);
+            relay_direction(direction, &from, &to, &faults, &is_stopped);
             let _ = from.shutdown(Shutdown::Both);
             let _ = to.shutdown(Shutdown::Both);
         });
     }
 }
 
-/// Carries one direction until it ends.
-fn carry(direction: usize, from: &TcpStream, to: &TcpStream, faults: &Mutex<Faults>, over: &AtomicBool) {
-    let began = faults.lock().map_or(0, |f| f.ends);
-    let _ = (from.set_read_timeout(Some(LOOK)), to.set_nodelay(true));
-    let (mut from, mut to) = (from, to);
+/// Delivers bytes in one direction until either side or a fault ends the connection.
+fn relay_direction(
+    direction: usize,
+    mut from: &TcpStream,
+    mut to: &TcpStream,
+    faults: &Mutex<Faults>,
+    is_stopped: &AtomicBool,
+) {
+    let closures_at_start = faults.lock().map_or(0, |faults| faults.closures);
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
+    let _ = to.set_nodelay(true);
     let mut waiting: Vec<(Instant, Vec<u8>)> = Vec::new();
-    let mut chunk = vec![0; CHUNK];
-    while !over.load(Ordering::Relaxed) {
-        let Ok((way, ends, middle)) = faults.lock().map(|f| (f.ways[direction], f.ends, f.middle)) else {
-            return;
-        };
-        if ends != began {
+    let mut chunk = vec![0; MAX_CHUNK_BYTES];
+    while !is_stopped.load(Ordering::Relaxed) {
+        let Ok(faults_now) = faults.lock().map(|faults| *faults) else { return };
+        let delivery = faults_now.deliveries[direction];
+        if faults_now.closures != closures_at_start {
             return;
         }
         match from.read(&mut chunk) {
             Ok(0) => return,
-            Ok(n) => match (way, middle) {
-                (Way::Lost, _) => return,
-                (_, Some(most)) => {
+            Ok(len) => match (delivery, faults_now.close_after) {
+                (Delivery::Dropped, _) => return,
+                (_, Some(max_bytes)) => {
                     if let Ok(mut faults) = faults.lock() {
-                        faults.middle = None;
+                        faults.close_after = None;
                     }
-                    let _ = to.write_all(&chunk[..most.min(n)]);
+                    let _ = to.write_all(&chunk[..max_bytes.min(len)]);
                     return;
                 }
-                _ => waiting.push((Instant::now(), chunk[..n].to_vec())),
+                _ => waiting.push((Instant::now(), chunk[..len].to_vec())),
             },
-            Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => {}
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(_) => return,
         }
-        let due = |since: Instant| match way {
-            Way::Open => true,
-            Way::Slow(by) => since.elapsed() >= by,
-            Way::Held => false,
-            Way::Lost => false,
+        let is_due = |received_at: Instant| match delivery {
+            Delivery::Immediate => true,
+            Delivery::Delayed(delay) => received_at.elapsed() >= delay,
+            Delivery::Withheld | Delivery::Dropped => false,
         };
-        let ready = waiting.iter().take_while(|w| due(w.0)).count();
+        let ready = waiting.iter().take_while(|(received_at, _)| is_due(*received_at)).count();
         for (_, bytes) in waiting.drain(..ready) {
             if to.write_all(&bytes).is_err() {
                 return;
--- a/crates/idempotency/tests/stores.rs
+++ b/crates/idempotency/tests/stores.rs
@@ -196,7 +196,7 @@
         ("XX000", Outcome::NotDone(Cause::Other)),
     ];
     for (i, (code, outcome)) in cases.into_iter().enumerate() {
-        server.faults(&[Fault::Error(code)]);
+        server.inject_faults(&[Fault::Error(code)]);
         let work = Work::Commit(vec![put("k", 1, RowState::Intent)]);
         assert_eq!(client.execute(&Batch { number: i as u64, work }).expect("sound"), outcome, "{code}");
         assert_eq!(server.rows(), 0);
@@ -204,7 +204,7 @@
     server.send_single_bytes(true);
     let work = Work::Commit(vec![put("k", 1, RowState::Intent)]);
     assert_eq!(client.execute(&Batch { number: 9, work }).expect("sound"), Outcome::Done);
-    server.faults(&[Fault::Garbage]);
+    server.inject_faults(&[Fault::Garbage]);
     let work = Work::Commit(vec![put("k", 1, good(b"r"))]);
     assert!(client.execute(&Batch { number: 10, work }).is_err(), "garbage passed for an outcome");
 }
--- a/crates/simulation/src/process_cluster/faults.rs
+++ b/crates/simulation/src/process_cluster/faults.rs
@@ -1,7 +1,7 @@
 //! Faults of links.
 
 use super::{Fault, ProcessCluster};
-use gaugestand_fakes::relay::{Relay, Way};
+use gaugestand_fakes::relay::{Delivery, Relay};
 
 impl ProcessCluster {
     /// Injects a fault of links; those of processes, and proposals, are up to the caller, as they take their time.
@@ -13,19 +13,19 @@
                     self.set_link(process, other, outbound, inbound);
                 }
             }
-            Fault::Close(from, to) => self.with_relay(from, to, |relay| relay.close(false)),
+            Fault::Close(from, to) => self.with_relay(from, to, |relay| relay.close_connections(false)),
             Fault::CloseMidMessage { from, to, after_bytes } => {
-                self.with_relay(from, to, |relay| relay.close_in_the_middle(after_bytes));
+                self.with_relay(from, to, |relay| relay.close_after(after_bytes));
             }
             Fault::Heal => self.relays.values().for_each(Relay::heal),
             Fault::Kill { .. } | Fault::Pause { .. } | Fault::Propose(_) => {}
         }
     }
 
-    fn set_link(&self, from: usize, to: usize, forth: Way, back: Way) {
+    fn set_link(&self, from: usize, to: usize, forth: Delivery, back: Delivery) {
         self.with_relay(from, to, |relay| {
             // The relay's directions are seen from the process with the lower number, which connects.
-            if from < to { relay.set(forth, back) } else { relay.set(back, forth) }
+            if from < to { relay.set_delivery(forth, back) } else { relay.set_delivery(back, forth) }
         });
     }
 
--- a/crates/simulation/src/process_cluster/plan.rs
+++ b/crates/simulation/src/process_cluster/plan.rs
@@ -1,6 +1,6 @@
 //! Plans of faults by seed.
 
-use gaugestand_fakes::relay::Way;
+use gaugestand_fakes::relay::Delivery;
 use std::fmt;
 use std::time::Duration;
 
@@ -24,18 +24,18 @@
         /// The other one.
         to: usize,
         /// From the one to the other.
-        forth: Way,
+        forth: Delivery,
         /// From the other to the one.
-        back: Way,
+        back: Delivery,
     },
     /// Sets all links of one process.
     AllLinks {
         /// The process.
         process: usize,
         /// From it to the others.
-        outbound: Way,
+        outbound: Delivery,
         /// From the others to it.
-        inbound: Way,
+        inbound: Delivery,
     },
     /// Closes the connection between two processes.
     Close(usize, usize),
@@ -122,7 +122,7 @@
 }
 
 fn random_fault(rng: &mut fastrand::Rng, processes: usize) -> Fault {
-    let ways = [Way::Open, Way::Held, Way::Lost, Way::Slow(SLOW_LINK)];
+    let ways = [Delivery::Immediate, Delivery::Withheld, Delivery::Dropped, Delivery::Delayed(SLOW_LINK)];
     let from = rng.usize(..processes);
     let to = rng.usize(..processes);
     let forth = ways[rng.usize(..ways.len())];
--- a/crates/simulation/src/process_cluster/processes.rs
+++ b/crates/simulation/src/process_cluster/processes.rs
@@ -278,7 +278,7 @@
     let mut relays = BTreeMap::new();
     for (to, address) in peer_addresses.iter().enumerate() {
         for from in 0..to {
-            let relay = Relay::to(address.clone()).map_err(ProcessClusterError::io("a relay"))?;
+            let relay = Relay::start(address.clone()).map_err(ProcessClusterError::io("a relay"))?;
             relays.insert((from, to), relay);
         }
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Clusters of real processes that commit versions, with faults injected between them.
 
-use gaugestand_fakes::relay::Way;
+use gaugestand_fakes::relay::Delivery;
 use gaugestand_simulation::fakes::gateway::Reply;
 use gaugestand_simulation::process_cluster::{
     CONTRADICT_MS, Fault, ProcessCluster, ProcessClusterError, blocking_content, fault_plan, run, subject,
@@ -90,7 +90,7 @@
 #[test]
 fn a_partitioned_node_serves_what_no_version_can_forbid() {
     let cluster = three_processes(1);
-    cluster.inject(Fault::AllLinks { process: 0, outbound: Way::Held, inbound: Way::Held });
+    cluster.inject(Fault::AllLinks { process: 0, outbound: Delivery::Withheld, inbound: Delivery::Withheld });
     let second = cluster.commit(1, &blocking_content(2)).expect("the others are a majority");
     cluster.await_active(&[1, 2], second).expect("active at the others");
     let mut cut_off = cluster.gateway(0).expect("it still serves");
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -68,7 +68,7 @@
                 blocker.execute_batch("BEGIN IMMEDIATE").expect("the lock");
                 *lock = Some(blocker);
             }
-            Store::Postgres { server, .. } => server.faults(&[Fault::StallBefore]),
+            Store::Postgres { server, .. } => server.inject_faults(&[Fault::StallBefore]),
         }
     }
 
@@ -304,7 +304,7 @@
     for (number, fault) in faults.into_iter().enumerate() {
         for (write, script) in [("intent", vec![fault]), ("outcome", vec![Fault::None, fault])] {
             let key = format!("{write}-{number}");
-            server.faults(&script);
+            server.inject_faults(&script);
             let first = book(&scene, &key);
             assert_eq!(kernel.results(&key), [first.as_str()], "{fault:?} under an {write}");
             assert_eq!(book(&scene, &key), first, "{fault:?} under an {write}");
@@ -625,7 +625,7 @@
     let Store::Postgres { server, .. } = &store else { panic!("the second is the database") };
     let (mut scene, mut kernel, mut gateway) = start_in_service(&store);
     for (id, code, first, second) in [(1, "53100", TXN_A, TXN_B), (2, "25006", TXN_C, TXN_D)] {
-        server.failing(Some(code));
+        server.fail_writes_with(Some(code));
         gateway.send(&attempt_records(id, "booking", first, &[("HTTP_X_TXN_KEY", code)], b"b"));
         let response = gateway.response();
         assert_eq!(status_and_body(&response), (id, "503", &b""[..]));
@@ -636,7 +636,7 @@
         kernel.expect("SCHED", &read);
         kernel.reap(&read, "good", b"read");
         assert_eq!(status_and_body(&gateway.response()), (id, "200", &b"read"[..]));
-        server.failing(None);
+        server.fail_writes_with(None);
         while scene.counter("record_open") == 1 {
             thread::sleep(Duration::from_millis(5));
         }
