--- a/benches/record.rs
+++ b/benches/record.rs
@@ -1,4 +1,4 @@
-//! What the store of record costs: throughput, latency, stalls, recovery, memory, and CPU where it is off.
+//! What the idempotency store costs: throughput, latency, stalls, recovery, memory, and CPU where it is off.
 //!
 //! `cargo bench --bench record -- [throughput|stall|recovery|cpu|memory|calls]`. For `cpu` and `memory`,
 //! GAUGESTAND_BEFORE names an earlier build to compare with. Figures go into docs/design/record.md.
@@ -20,6 +20,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
+/// The backends that are measured, and none.
 enum Store {
     Off,
     Sqlite(PathBuf),
@@ -36,14 +37,14 @@
     }
 
     fn all() -> [Store; 3] {
-        Store::with_commits_of(Duration::ZERO)
+        Store::all_with_commit_time(Duration::ZERO)
     }
 
     /// All of them; a commit of the database takes this long.
-    fn with_commits_of(time: Duration) -> [Store; 3] {
+    fn all_with_commit_time(time: Duration) -> [Store; 3] {
         let password = temporary_path("pass");
         std::fs::write(&password, "pw").expect("written");
-        // On the disk that the build is on: a folder in memory would show nothing of what a commit costs.
+        // On the disk of the build: in a file system in memory a commit would cost nothing.
         let file =
             Path::new(env!("CARGO_TARGET_TMPDIR")).join(temporary_path("db").file_name().expect("a name"));
         let server = Postgres::start("pw").expect("listens");
@@ -89,14 +90,14 @@
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("sound bounds")
 }
 
-/// An id that no request of this program had before.
-fn txn() -> String {
+/// A transaction id that no earlier request of this bench had.
+fn next_txn() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// Bookings from so many clients, each with one out, for a while; returns how many a second and their latencies.
-fn bookings(scene: &Scene, clients: usize, time: Duration) -> (f64, Histogram<u64>) {
+/// Keyed requests from so many clients, one at a time each, for this long: their rate a second and their latencies.
+fn measure_bookings(scene: &Scene, clients: usize, time: Duration) -> (f64, Histogram<u64>) {
     let began = Instant::now();
     let mut all = latencies();
     thread::scope(|scope| {
@@ -104,16 +105,17 @@
             .map(|_| {
                 let address = scene.address.clone();
                 scope.spawn(move || {
-                    let (mut gateway, mut mine) = (Gateway::connect(&address), latencies());
+                    let mut gateway = Gateway::connect(&address);
+                    let mut own = latencies();
                     while began.elapsed() < time {
                         let sent = Instant::now();
-                        let txn = txn();
+                        let txn = next_txn();
                         let (status, _) = gateway.book(&txn, &format!("k{txn}"), "b").expect("an answer");
                         if status == "200" {
-                            mine.saturating_record(sent.elapsed().as_micros() as u64);
+                            own.saturating_record(sent.elapsed().as_micros() as u64);
                         }
                     }
-                    mine
+                    own
                 })
             })
             .collect();
@@ -126,9 +128,9 @@
 
 fn throughput() {
     println!("store     out  bookings/s   p50 us   p99 us");
-    let [.., slow] = Store::with_commits_of(Duration::from_millis(1));
-    for (i, store) in Store::all().into_iter().chain([slow]).enumerate() {
-        if i == 3 {
+    let [.., slow_database] = Store::all_with_commit_time(Duration::from_millis(1));
+    for (index, store) in Store::all().into_iter().chain([slow_database]).enumerate() {
+        if index == 3 {
             println!("the same with a commit that takes the server 1 ms:");
         }
         for clients in [1, 16, 256] {
@@ -137,11 +139,11 @@
             scene.await_healthy();
             let mut runs: Vec<(f64, u64, u64)> = (0..3)
                 .map(|_| {
-                    let (rate, histogram) = bookings(&scene, clients, Duration::from_secs(2));
+                    let (rate, histogram) = measure_bookings(&scene, clients, Duration::from_secs(2));
                     (rate, histogram.value_at_quantile(0.5), histogram.value_at_quantile(0.99))
                 })
                 .collect();
-            runs.sort_by(|a, b| a.0.total_cmp(&b.0));
+            runs.sort_by(|left, right| left.0.total_cmp(&right.0));
             let (rate, p50, p99) = runs[1];
             println!(
                 "{:8} {clients:4} {rate:11.0} {p50:8} {p99:8}   (rates {:.0} to {:.0})",
@@ -153,13 +155,14 @@
     }
 }
 
-/// Round trips of reads at a steady pace for so long.
-fn reads(scene: &Scene, time: Duration) -> Histogram<u64> {
-    let (mut gateway, began) = (scene.gateway(), Instant::now());
+/// Round trips of requests without a key at a steady rate for this long.
+fn measure_reads(scene: &Scene, time: Duration) -> Histogram<u64> {
+    let mut gateway = scene.gateway();
+    let began = Instant::now();
     let mut all = latencies();
     while began.elapsed() < time {
         let sent = Instant::now();
-        assert_eq!(gateway.read(&txn()).expect("an answer"), "200");
+        assert_eq!(gateway.read(&next_txn()).expect("an answer"), "200");
         all.saturating_record(sent.elapsed().as_micros() as u64);
         thread::sleep(Duration::from_millis(2));
     }
@@ -172,28 +175,28 @@
     let scene = store.scene("");
     let _kernel = AutoKernel::serve(&scene.kernel);
     scene.await_healthy();
-    reads(&scene, Duration::from_secs(1));
+    measure_reads(&scene, Duration::from_secs(1));
     let mut ratios = Vec::new();
     for _ in 0..5 {
-        let free = reads(&scene, Duration::from_secs(2));
+        let free = measure_reads(&scene, Duration::from_secs(2));
         let lock = Connection::open(path).expect("a connection");
         lock.busy_timeout(Duration::from_secs(5)).expect("set");
         lock.execute_batch("BEGIN IMMEDIATE").expect("the lock");
-        // A booking finds out, so that the store is probed all the while.
-        let status = scene.gateway().book(&txn(), "stall", "b").expect("an answer").0;
-        let stalled = reads(&scene, Duration::from_secs(2));
+        // A keyed request opens the circuit breaker, so that the store is probed all the time.
+        let status = scene.gateway().book(&next_txn(), "stall", "b").expect("an answer").0;
+        let stalled = measure_reads(&scene, Duration::from_secs(2));
         drop(lock);
         let p99 = |histogram: &Histogram<u64>| histogram.value_at_quantile(0.99);
         println!("reads p99: free {} us, store held {} us; booking {status}", p99(&free), p99(&stalled));
         ratios.push(p99(&stalled) as f64 / p99(&free) as f64);
-        await_closed();
+        await_breaker_closed();
     }
     ratios.sort_by(f64::total_cmp);
     println!("ratio of p99, median of 5: {:.3} ({:.3} to {:.3})", ratios[2], ratios[0], ratios[4]);
 }
 
-/// The longest wait between two probes.
-fn await_closed() {
+/// Waits for longer than the time between two probes of the store.
+fn await_breaker_closed() {
     thread::sleep(Duration::from_millis(3_100));
 }
 
@@ -201,8 +204,8 @@
 fn memory_of(pid: u32) -> (u64, u64) {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("a process");
     let get = |name: &str| {
-        let line = text.lines().find(|l| l.starts_with(name)).expect("a line");
-        line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("a number")
+        let line = text.lines().find(|line| line.starts_with(name)).expect("a line");
+        line.split_whitespace().nth(1).and_then(|number| number.parse().ok()).expect("a number")
     };
     (get("VmRSS:"), get("VmHWM:"))
 }
@@ -211,17 +214,17 @@
     println!("store        rows   recovery ms   resident kB   peak kB");
     for rows in [0u64, 10_000, 100_000, 1_000_000] {
         for store in Store::all() {
-            let row = |i: u64| {
+            let row = |index: u64| {
                 let now = unix_ms() * 1000;
                 let result = RowState::Completed(vec![7; 100]);
-                let key = format!("{i:032x}");
+                let key = format!("{index:032x}");
                 Write::Put(Row {
                     key,
-                    holder: i.into(),
+                    holder: index.into(),
                     fingerprint: 1,
                     ingress: now,
                     expires: now + 29_220_000,
-                    sequence: i + 1,
+                    sequence: index + 1,
                     state: result,
                 })
             };
@@ -263,28 +266,28 @@
 fn cpu_of(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
     let fields: Vec<&str> = text.rsplit(')').next().expect("fields").split_whitespace().collect();
-    let ticks = |i: usize| fields[i].parse::<u64>().expect("a number");
+    let ticks = |index: usize| fields[index].parse::<u64>().expect("a number");
     // User and system time, in hundredths of a second.
     (ticks(11) + ticks(12)) * 10
 }
 
-/// CPU for a request of a build with no store, in microseconds, with so many clients.
-fn cost(clients: usize) -> f64 {
+/// CPU for a request without a store, in microseconds, with so many clients.
+fn cpu_per_booking(clients: usize) -> f64 {
     let scene = Store::Off.scene("");
     let _kernel = AutoKernel::serve(&scene.kernel);
     scene.await_healthy();
-    bookings(&scene, clients, Duration::from_millis(500));
+    measure_bookings(&scene, clients, Duration::from_millis(500));
     let before = cpu_of(scene.pid());
-    let (_, histogram) = bookings(&scene, clients, Duration::from_secs(3));
+    let (_, histogram) = measure_bookings(&scene, clients, Duration::from_secs(3));
     (cpu_of(scene.pid()) - before) as f64 * 1000.0 / histogram.len() as f64
 }
 
-/// Runs with an earlier build in the place of this one. Nothing else in this program runs meanwhile.
-fn with_before<T>(before: &std::ffi::OsStr, f: impl FnOnce() -> T) -> T {
-    support::override_program(Some(before));
-    let made = f();
-    support::override_program(None);
-    made
+/// Measures with an earlier build instead of this one. Nothing else in this bench may run meanwhile.
+fn with_earlier_build<T>(build: &std::ffi::OsStr, measure: impl FnOnce() -> T) -> T {
+    override_program(Some(build));
+    let measured = measure();
+    override_program(None);
+    measured
 }
 
 fn cpu() {
@@ -294,9 +297,10 @@
     for clients in [1, 8] {
         let mut ratios: Vec<f64> = (0..5)
             .map(|_| {
-                let (old, new) = (with_before(&before, || cost(clients)), cost(clients));
-                println!("CPU for a booking, {clients} out: before {old:.1} us, now {new:.1} us");
-                new / old
+                let (earlier, now) =
+                    (with_earlier_build(&before, || cpu_per_booking(clients)), cpu_per_booking(clients));
+                println!("CPU for a booking, {clients} out: before {earlier:.1} us, now {now:.1} us");
+                now / earlier
             })
             .collect();
         ratios.sort_by(f64::total_cmp);
@@ -309,7 +313,8 @@
     let builds =
         std::env::var_os("GAUGESTAND_BEFORE").into_iter().chain([env!("CARGO_BIN_EXE_gaugestand").into()]);
     for build in builds {
-        let (wrapper, counts) = (temporary_path("sh"), temporary_path("calls"));
+        let wrapper = temporary_path("sh");
+        let counts = temporary_path("calls");
         let script = format!(
             "#!/bin/sh\nexec strace -f -c -o {} {} \"$@\"\n",
             counts.display(),
@@ -317,11 +322,11 @@
         );
         std::fs::write(&wrapper, script).expect("written");
         std::process::Command::new("chmod").arg("+x").arg(&wrapper).status().expect("chmod runs");
-        let made = with_before(wrapper.as_os_str(), || {
+        let bookings = with_earlier_build(wrapper.as_os_str(), || {
             let mut scene = Store::Off.scene("");
             let _kernel = AutoKernel::serve(&scene.kernel);
             scene.await_healthy();
-            let (_, histogram) = bookings(&scene, 1, Duration::from_secs(3));
+            let (_, histogram) = measure_bookings(&scene, 1, Duration::from_secs(3));
             // The node ends by itself, so that strace writes what it has counted.
             let pid = scene.pid();
             let traced =
@@ -330,12 +335,13 @@
             scene.exits_successfully();
             histogram.len()
         });
-        println!("{} bookings, one at a time, by {}:", made, std::path::Path::new(&build).display());
+        println!("{} bookings, one at a time, by {}:", bookings, std::path::Path::new(&build).display());
         for line in std::fs::read_to_string(&counts).unwrap_or_default().lines() {
             let fields: Vec<&str> = line.split_whitespace().collect();
-            let count = fields.get(3).and_then(|n| n.parse::<f64>().ok());
-            if let (Some(n), Some(name)) = (count.filter(|n| *n >= made as f64 / 10.0), fields.last()) {
-                println!("  {:6.2} {name}", n / made as f64);
+            let count = fields.get(3).and_then(|count| count.parse::<f64>().ok());
+            let count = count.filter(|count| *count >= bookings as f64 / 10.0);
+            if let (Some(count), Some(name)) = (count, fields.last()) {
+                println!("  {:6.2} {name}", count / bookings as f64);
             }
         }
         let _ = (std::fs::remove_file(wrapper), std::fs::remove_file(counts));
@@ -351,7 +357,7 @@
         println!("{name:10} resident {resident} kB, peak {peak} kB");
     };
     if let Some(before) = std::env::var_os("GAUGESTAND_BEFORE") {
-        with_before(&before, || idle(&Store::Off, "before"));
+        with_earlier_build(&before, || idle(&Store::Off, "before"));
     }
     for store in Store::all() {
         idle(&store, store.name());
@@ -362,7 +368,8 @@
 }
 
 fn main() {
-    let selected: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with("--")).collect();
+    let selected: Vec<String> =
+        std::env::args().skip(1).filter(|argument| !argument.starts_with("--")).collect();
     let all: [(&str, fn()); 6] = [
         ("throughput", throughput),
         ("stall", stall),
@@ -373,7 +380,7 @@
     ];
     println!("{} cores", thread::available_parallelism().map_or(0, usize::from));
     for (name, run) in all {
-        if selected.is_empty() || selected.iter().any(|a| a == name) {
+        if selected.is_empty() || selected.iter().any(|argument| argument == name) {
             println!("\n-- {name}");
             run();
         }
--- a/benches/upgrade.rs
+++ b/benches/upgrade.rs
@@ -1,4 +1,4 @@
-//! How long one process of the node takes to hand over to another, by what it has to hand over.
+//! How long the hand-over from one process of a node to its successor takes, by the state that is handed over.
 //!
 //! `cargo bench --bench upgrade`. Figures go into docs/design/operation.md.
 
@@ -12,19 +12,27 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Rounds of each size.
+/// Hand-overs of each size.
 const ROUNDS: usize = 7;
+/// Most open requests of a connection, as the node allows.
+const MAX_REQUESTS_PER_CONNECTION: u64 = 32;
 
-/// A node with this many keys, each with a result, and this many open tries that no kernel ends; replaced once.
-/// Milliseconds from the start of the new process to its yes, and the longest wait of a client that asks for health
-/// again and again while the old one is told to end.
-fn replace(keys: u64, open: u64) -> (f64, f64) {
-    let scene = Scene::replaceable_with(|text| {
-        lift_limits(text);
-        text["limits"]["memory_mb"] = 512.into();
-        text["settings"]["extra"]["cores"] = 64.into();
+/// What one hand-over took, in milliseconds.
+struct Handover {
+    /// From the start of the successor until it was ready.
+    ready: f64,
+    /// Longest wait of a client that sent health checks all the time while the predecessor was told to end.
+    longest_wait: f64,
+}
+
+/// Replaces a node which has this many keys, each with a result, and this many open attempts that the kernel never ends.
+fn replace(keys: u64, open: u64) -> Handover {
+    let scene = Scene::replaceable_with(|configuration| {
+        lift_limits(configuration);
+        configuration["limits"]["memory_mb"] = 512.into();
+        configuration["settings"]["extra"]["cores"] = 64.into();
         for class in 0..2 {
-            text["settings"]["classes"][class]["dedup-window"] = 120_000_000_000u64.into();
+            configuration["settings"]["classes"][class]["dedup-window"] = 120_000_000_000u64.into();
         }
     });
     let kernel = if open > 0 { AutoKernel::never_completing() } else { AutoKernel::default() };
@@ -36,26 +44,29 @@
         let (status, _) = gateway.book(&format!("{n:016x}"), &format!("{n:032x}"), &body).expect("an answer");
         assert_eq!(status, "200");
     }
-    let mut held: Vec<Gateway> = Vec::new();
+    let mut waiting: Vec<Gateway> = Vec::new();
     for n in 0..open {
-        // 32 requests at most are open on a connection.
-        if n % 32 == 0 {
-            held.push(scene.gateway());
+        let slot = n % MAX_REQUESTS_PER_CONNECTION;
+        if slot == 0 {
+            waiting.push(scene.gateway());
         }
-        let (of, txn) = (held.last_mut().expect("one"), format!("{:016x}", (1 << 40) + n));
-        of.send(&attempt_records((n % 32) as u16 + 1, "quote", &txn, &[], body.as_bytes()));
+        let gateway = waiting.last_mut().expect("one");
+        let txn = format!("{:016x}", (1 << 40) + n);
+        gateway.send(&attempt_records(slot as u16 + 1, "quote", &txn, &[], body.as_bytes()));
     }
     let began = Instant::now();
-    let next = scene.start_successor();
-    kernel.serve_also(&next.kernel);
-    next.await_ready();
-    let yes = began.elapsed();
-    let over = AtomicBool::new(false);
-    let longest = thread::scope(|scope| {
-        let (address, over) = (&scene.address, &over);
+    let successor = scene.start_successor();
+    kernel.serve_also(&successor.kernel);
+    successor.await_ready();
+    let ready = began.elapsed();
+    let is_over = AtomicBool::new(false);
+    let longest_wait = thread::scope(|scope| {
+        let address = &scene.address;
+        let is_over = &is_over;
         let client = scope.spawn(move || {
-            let (mut gateway, mut longest) = (Gateway::connect(address), Duration::ZERO);
-            while !over.load(Ordering::Relaxed) {
+            let mut gateway = Gateway::connect(address);
+            let mut longest = Duration::ZERO;
+            while !is_over.load(Ordering::Relaxed) {
                 let sent = Instant::now();
                 assert_eq!(&gateway.health_check("").status[..3], "200");
                 longest = longest.max(sent.elapsed());
@@ -65,10 +76,16 @@
         thread::sleep(Duration::from_millis(20));
         scene.signal("-TERM");
         thread::sleep(Duration::from_millis(300));
-        over.store(true, Ordering::Relaxed);
+        is_over.store(true, Ordering::Relaxed);
         client.join().expect("no panic")
     });
-    (yes.as_secs_f64() * 1e3, longest.as_secs_f64() * 1e3)
+    Handover { ready: ready.as_secs_f64() * 1e3, longest_wait: longest_wait.as_secs_f64() * 1e3 }
+}
+
+/// Median, least and most.
+fn summary(mut samples: Vec<f64>) -> String {
+    samples.sort_by(f64::total_cmp);
+    format!("{:8.1} ({:.1}, {:.1})", samples[samples.len() / 2], samples[0], samples[samples.len() - 1])
 }
 
 fn main() {
@@ -77,10 +94,9 @@
         "  keys  open   to yes, ms: median (least, most)   longest wait over the change, ms: median (least, most)"
     );
     for (keys, open) in [(0, 0), (1_000, 0), (10_000, 0), (30_000, 0), (0, 32), (0, 320)] {
-        let (mut yes, mut gap): (Vec<f64>, Vec<f64>) = (0..ROUNDS).map(|_| replace(keys, open)).unzip();
-        yes.sort_by(f64::total_cmp);
-        gap.sort_by(f64::total_cmp);
-        let of = |v: &[f64]| format!("{:8.1} ({:.1}, {:.1})", v[v.len() / 2], v[0], v[v.len() - 1]);
-        println!("{keys:6} {open:5}   {:32}   {}", of(&yes), of(&gap));
+        let handovers: Vec<Handover> = (0..ROUNDS).map(|_| replace(keys, open)).collect();
+        let ready = summary(handovers.iter().map(|handover| handover.ready).collect());
+        let longest_wait = summary(handovers.iter().map(|handover| handover.longest_wait).collect());
+        println!("{keys:6} {open:5}   {ready:32}   {longest_wait}");
     }
 }
