--- a/benches/record.rs
+++ b/benches/record.rs
@@ -297,8 +297,8 @@
     for clients in [1, 8] {
         let mut ratios: Vec<f64> = (0..5)
             .map(|_| {
-                let (earlier, now) =
-                    (with_earlier_build(&before, || cpu_per_booking(clients)), cpu_per_booking(clients));
+                let earlier = with_earlier_build(&before, || cpu_per_booking(clients));
+                let now = cpu_per_booking(clients);
                 println!("CPU for a booking, {clients} out: before {earlier:.1} us, now {now:.1} us");
                 now / earlier
             })
--- a/tests/node/logging.rs
+++ b/tests/node/logging.rs
@@ -21,7 +21,8 @@
     for (text, counted) in
         [("log(form = \"text\")", "reloads_failed"), ("log(form = \"json\", level = \"error\")", "reloads")]
     {
-        let (before, began) = (scene.counter(counted), Instant::now());
+        let before = scene.counter(counted);
+        let began = Instant::now();
         scene.reload_script(text);
         // The lines of both reloads are below the level now; the counters are printed all the same.
         loop {
--- a/tests/node/store_calls.rs
+++ b/tests/node/store_calls.rs
@@ -10,7 +10,9 @@
     let mut gateway = scene.gateway();
     gateway.request(1, "booking", TXN_A, b"b");
     kernel.expect("SCHED", TXN_A);
-    let (call, reply) = (b"\r\n\0call", b"\xff\r\n9b1f03aa5c7e2d41 BUSY\r\n");
+    let call = b"\r\n\0call";
+    // It contains the line of another reply.
+    let reply = b"\xff\r\n9b1f03aa5c7e2d41 BUSY\r\n";
     kernel.request_call(TXN_A, call);
     let mut store = scene.accept_store();
     assert_eq!(store.expect_call(TXN_A), call);
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -343,7 +343,8 @@
     thread::scope(|scope| {
         let clients: Vec<_> = (0..clients)
             .map(|client| {
-                let (address, is_over) = (&address, &is_over);
+                let address = &address;
+                let is_over = &is_over;
                 scope.spawn(move || send_keyed_requests(client, bookings_each, address, is_over))
             })
             .collect();
--- a/tests/support/frame_corruptor.rs
+++ b/tests/support/frame_corruptor.rs
@@ -29,7 +29,8 @@
         let folder = super::temporary_path("spoilt");
         fs::create_dir(&folder).expect("a folder");
         for entry in fs::read_dir(predecessor).expect("a folder").flatten() {
-            let (from, to) = (entry.path(), folder.join(entry.file_name()));
+            let from = entry.path();
+            let to = folder.join(entry.file_name());
             if from.extension().is_some_and(|e| e == "lock") {
                 fs::hard_link(from, to).expect("the same lock");
             } else {
