--- a/crates/admission/src/controller/final_answer.rs
+++ b/crates/admission/src/controller/final_answer.rs
@@ -11,14 +11,14 @@
 
 impl Controller {
     /// Gives a request its final answer: a rejection with advice where that is allowed, else a failure; then
-    /// lets go of it. One that is answered already is left alone.
+    /// releases it. One that is answered already stays as it is.
     pub(super) fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(entry) = self.requests.get(id).filter(|entry| !entry.is_answered) else { return };
         let has_effect = self.settings.classes[entry.class].effect != Effect::Pure;
         // A coalesced request's effect is that of the run that it waits for.
         let may_have_run = entry.was_started || entry.phase == Phase::Coalesced;
         let never_started = !entry.was_started;
-        // What comes after its objective counts nothing elsewhere either.
+        // An answer after its objective would be worth nothing from another node either.
         let no_retry_elsewhere = self.is_cluster_overloaded() || entry.useful_until <= self.now;
         let retry_after = self.retry_after();
         if let Some(entry) = self.requests.get_mut(id) {
--- a/crates/admission/src/engine/actions.rs
+++ b/crates/admission/src/engine/actions.rs
@@ -17,7 +17,7 @@
                 Action::Run(id) => self.start_run(now, id, commands),
                 Action::Preempt(id) => self.preempt(now, id, commands),
                 Action::Reject { id, retry_after, no_retry_elsewhere } => {
-                    self.reject(now, id, retry_after.into(), no_retry_elsewhere, commands);
+                    self.answer_rejection(now, id, retry_after.into(), no_retry_elsewhere, commands);
                 }
                 Action::Fail(id) => self.fail(now, id, commands),
                 Action::SkipCall(id) => {
--- a/crates/admission/src/engine/outcomes.rs
+++ b/crates/admission/src/engine/outcomes.rs
@@ -64,7 +64,7 @@
     pub(super) fn caller_gone(&mut self, now: Moment, id: RequestId, commands: &mut Vec<EngineCommand>) {
         if self.attempts.mark_answered(id) {
             self.controller_events.push(Event::CallerGone(id));
-            self.release(now, id, commands);
+            self.release_attempt(now, id, commands);
         }
     }
 
@@ -109,13 +109,13 @@
             let waited = self.attempts.get_mut(id).is_some_and(|attempt| attempt.abandon_intent());
             let outcome = if waited { Outcome::NeverStarted } else { Outcome::Error };
             self.controller_events.push(Event::RunEnded(id, outcome));
-            self.reject(now, id, retry_after, false, commands);
+            self.answer_rejection(now, id, retry_after, false, commands);
         }
     }
 
     /// Rejects an attempt. A rejection promises that the attempt never ran; one that was started gets a failure with the
     /// same advice instead.
-    pub(super) fn reject(
+    pub(super) fn answer_rejection(
         &mut self,
         now: Moment,
         id: RequestId,
@@ -130,14 +130,14 @@
                 false => EngineCommand::Reject { id, retry_after, no_retry_elsewhere },
             });
         }
-        self.release(now, id, commands);
+        self.release_attempt(now, id, commands);
     }
 
     pub(super) fn fail(&mut self, now: Moment, id: RequestId, commands: &mut Vec<EngineCommand>) {
         if self.attempts.mark_answered(id) {
             commands.push(EngineCommand::fail(id));
         }
-        self.release(now, id, commands);
+        self.release_attempt(now, id, commands);
     }
 
     /// Fails attempts that are past their due time. Guards against one that the controller has lost.
@@ -179,7 +179,7 @@
     }
 
     /// Frees the key of an attempt that was answered, unless its run goes on; repeats that waited for it fail.
-    fn release(&mut self, now: Moment, id: RequestId, commands: &mut Vec<EngineCommand>) {
+    fn release_attempt(&mut self, now: Moment, id: RequestId, commands: &mut Vec<EngineCommand>) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         if let (Some(key), false) = (attempt.repeat_key.clone(), attempt.is_running()) {
             let released = self.idempotency.release(now, &key, id);
--- a/crates/admission/src/handover.rs
+++ b/crates/admission/src/handover.rs
@@ -10,11 +10,13 @@
 //! - no idempotency key runs in both processes;
 //! - a process whose successor does not take over reclaims the lock, resumes service and drains.
 //!
-//! It does no I/O and reads no clock: [`Handover::on_event`] is told what happened and returns [`Action`]s.
+//! It does no I/O and reads no clock: [`Handover::on_event`] is told what happened and returns [`Action`]s. The driver is
+//! `node::event_loop::handover`; it closes a link that it refuses by itself, and knows of a predecessor that drains (its `Hello`
+//! says so): that one hands over nothing but keys, and its successor serves once it has exited.
 //!
 //! | role | event | actions | next role |
 //! | --- | --- | --- | --- |
-//! | any but `Alone` | `Linked` | `RefuseLink` | the same |
+//! | any but `Alone` | `Linked` (the driver refuses the link before that) | `RefuseLink` | the same |
 //! | `Alone` | `Linked` | `Replicate` | `Predecessor` |
 //! | `Alone` | `Terminate` | `Drain` | `Alone` |
 //! | `Predecessor` | `Unlinked` | `StopReplicating` | `Alone` |
@@ -214,23 +216,23 @@
     /// Handles an event; returns what is to be done about it, in order.
     pub fn on_event(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         match self.role {
-            Role::Alone => self.alone(event),
+            Role::Alone => self.on_event_alone(event),
             // There is room for one other process at a time.
             _ if event == Event::Linked => vec![Action::RefuseLink],
-            Role::Predecessor => self.predecessor(now, event),
-            Role::HandingOver { since } => self.handing_over(now, event, since),
-            Role::SuccessorLost { since, .. } => self.successor_lost(now, event, since),
-            Role::Reclaimed => self.reclaimed(event),
-            Role::Retired => self.retired(event),
+            Role::Predecessor => self.on_event_predecessor(now, event),
+            Role::HandingOver { since } => self.on_event_handing_over(now, event, since),
+            Role::SuccessorLost { since, .. } => self.on_event_successor_lost(now, event, since),
+            Role::Reclaimed => self.on_event_reclaimed(event),
+            Role::Retired => self.on_event_retired(event),
             Role::Successor { keys_complete } => self.successor_waiting(now, event, keys_complete),
-            Role::TakingOver => self.taking_over(event),
+            Role::TakingOver => self.on_event_taking_over(event),
             Role::PredecessorLost { since, keys_complete, .. } => {
-                self.predecessor_lost(now, event, since, keys_complete)
+                self.on_event_predecessor_lost(now, event, since, keys_complete)
             }
         }
     }
 
-    fn alone(&mut self, event: Event) -> Vec<Action> {
+    fn on_event_alone(&mut self, event: Event) -> Vec<Action> {
         match event {
             Event::Linked => self.enter(Role::Predecessor, vec![Action::Replicate]),
             Event::Terminate => vec![Action::Drain],
@@ -238,7 +240,7 @@
         }
     }
 
-    fn predecessor(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
+    fn on_event_predecessor(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         match event {
             Event::Unlinked => self.enter(Role::Alone, vec![Action::StopReplicating]),
             Event::Terminate => self.enter(Role::HandingOver { since: now }, vec![Action::HandOver]),
@@ -246,7 +248,7 @@
         }
     }
 
-    fn handing_over(&mut self, now: Timestamp, event: Event, since: Timestamp) -> Vec<Action> {
+    fn on_event_handing_over(&mut self, now: Timestamp, event: Event, since: Timestamp) -> Vec<Action> {
         match event {
             Event::TakenOver => self.enter(Role::Retired, vec![Action::Retire]),
             Event::Unlinked => {
@@ -260,7 +262,7 @@
         }
     }
 
-    fn successor_lost(&mut self, now: Timestamp, event: Event, since: Timestamp) -> Vec<Action> {
+    fn on_event_successor_lost(&mut self, now: Timestamp, event: Event, since: Timestamp) -> Vec<Action> {
         match event {
             Event::TakenOver => self.enter(Role::Retired, vec![Action::Retire]),
             Event::Unlinked => {
@@ -278,7 +280,7 @@
         }
     }
 
-    fn reclaimed(&mut self, event: Event) -> Vec<Action> {
+    fn on_event_reclaimed(&mut self, event: Event) -> Vec<Action> {
         match event {
             // What the successor ran is not known here.
             Event::TakenOver => self.enter(Role::Retired, vec![Action::Retire, Action::Exit]),
@@ -290,7 +292,7 @@
         }
     }
 
-    fn retired(&mut self, event: Event) -> Vec<Action> {
+    fn on_event_retired(&mut self, event: Event) -> Vec<Action> {
         match event {
             Event::Unlinked => vec![Action::Exit],
             _ => vec![],
@@ -312,7 +314,7 @@
         }
     }
 
-    fn taking_over(&mut self, event: Event) -> Vec<Action> {
+    fn on_event_taking_over(&mut self, event: Event) -> Vec<Action> {
         match event {
             Event::LockAcquired => self.enter(Role::Alone, vec![Action::TakeOver]),
             // What the predecessor ran after it reclaimed the lock is not known here.
--- a/crates/node/src/event_loop/admin_calls.rs
+++ b/crates/node/src/event_loop/admin_calls.rs
@@ -65,7 +65,7 @@
         let conditions = [
             (!self.handover.machine.is_retired(), NotReady::Retired),
             (!self.handover.machine.is_standby(), NotReady::Standby),
-            (self.stop_at.is_none(), NotReady::Draining),
+            (self.exit_deadline.is_none(), NotReady::Draining),
             (self.connections.address().is_some(), NotReady::NotListening),
             (backend_up, NotReady::KernelDown),
             (self.engine.idempotency().is_ready(), NotReady::KeysMissing),
--- a/crates/node/src/event_loop/drain.rs
+++ b/crates/node/src/event_loop/drain.rs
@@ -1,17 +1,18 @@
 //! The drain after SIGTERM or SIGINT, from the notice to the exit.
 //!
-//! Counted back from the end of the process, `stop_ms` after the notice:
+//! From the notice to the end of the process, `stop_ms` later:
 //!
-//! 1. At the notice, health checks and the membership service hear OUT, and the engine is notified. What arrives within the
-//!    drain's grace may still run.
-//! 2. [`LISTENER_CLOSE_MARGIN`] before the end, every attempt has been answered and the listener closes, after all that the
-//!    system has accepted was taken in.
-//! 3. [`EXIT_MARGIN`] before the end, the poller is asked at least [`MIN_FINAL_POLLS`] times more. Once no answer is owed,
+//! 1. At the notice, health checks fail, the membership service is told OUT, and the engine is notified. What arrives within
+//!    the drain's grace may still run.
+//! 2. [`LISTENER_CLOSE_MARGIN`] and two periods of the controller's timer before the end, the controller answers every attempt
+//!    (`controller::drain::on_drain` moves the deadlines).
+//! 3. [`LISTENER_CLOSE_MARGIN`] before the end, the listener closes, after all that the system has accepted was taken in.
+//! 4. [`EXIT_MARGIN`] before the end, the poller is asked at least [`MIN_FINAL_POLLS`] times more. Once no answer is owed,
 //!    requests that are still incomplete get 503, as they never ran, and every connection's write side is shut. The
 //!    process exits as soon as the other sides have closed too.
-//! 4. [`FORCED_CLOSE_MARGIN`] before the end, connections that the other side keeps open are no longer waited for.
-//!
-//! It does not bound the whole: the service manager kills a process that outlives `stop_ms`.
+//! 5. [`FORCED_CLOSE_MARGIN`] before the end, connections that the other side keeps open are no longer waited for; answers that
+//!    are still being written are.
+//! 6. At the end the process exits in any case. An iteration that hangs is the service manager's to kill.
 
 use super::{EngineEvent, Micros, Node, Timestamp};
 use crate::connections::OpenRequest;
@@ -36,9 +37,9 @@
             return;
         }
         // The notice may have come a while ago, if another process was to take over and did not.
-        let stop_at = *self.stop_at.get_or_insert(self.clock.now().plus(self.config.stop_timeout));
-        let notice = stop_at.minus(self.config.stop_timeout);
-        let answered_by = stop_at.minus(LISTENER_CLOSE_MARGIN);
+        let exit_deadline = *self.exit_deadline.get_or_insert(self.clock.now().plus(self.config.stop_timeout));
+        let notice = exit_deadline.minus(self.config.stop_timeout);
+        let answered_by = exit_deadline.minus(LISTENER_CLOSE_MARGIN);
         if let Some(peers) = &mut self.peers {
             peers.start_drain(self.clock.now());
         }
@@ -47,7 +48,7 @@
 
     /// Closes the listener once its time has come.
     pub(super) fn stop_listening_if_due(&mut self, now: Timestamp) {
-        if self.stop_at.is_some_and(|stop_at| now.plus(LISTENER_CLOSE_MARGIN) >= stop_at) {
+        if self.exit_deadline.is_some_and(|exit_deadline| now.plus(LISTENER_CLOSE_MARGIN) >= exit_deadline) {
             self.connections.stop_listening(now, &mut self.counters);
         }
     }
@@ -55,8 +56,8 @@
     /// Within [`EXIT_MARGIN`], ends what is left on the connections once nothing is owed. `nothing_ready` if the poller had
     /// nothing for this iteration. Returns when to iterate again for its sake.
     pub(super) fn finish_drain(&mut self, now: Timestamp, nothing_ready: bool) -> Option<Timestamp> {
-        let stop_at = self.stop_at.filter(|stop_at| now.plus(EXIT_MARGIN) >= *stop_at)?;
-        if !self.has_polled_enough(now, stop_at, nothing_ready) {
+        let exit_deadline = self.exit_deadline.filter(|exit_deadline| now.plus(EXIT_MARGIN) >= *exit_deadline)?;
+        if !self.has_polled_enough(now, exit_deadline, nothing_ready) {
             return Some(now);
         }
         if self.engine.pending_answers() == 0 {
@@ -67,9 +68,9 @@
 
     /// Whether what gateways sent before now has surely been read. A wait that timed out or was interrupted by a signal
     /// proves nothing about what has come since: the poller is asked again first.
-    fn has_polled_enough(&mut self, now: Timestamp, stop_at: Timestamp, nothing_ready: bool) -> bool {
+    fn has_polled_enough(&mut self, now: Timestamp, exit_deadline: Timestamp, nothing_ready: bool) -> bool {
         self.final_polls = self.final_polls.saturating_add(1);
-        let forced = now.plus(FORCED_CLOSE_MARGIN) >= stop_at;
+        let forced = now.plus(FORCED_CLOSE_MARGIN) >= exit_deadline;
         self.final_polls >= MIN_FINAL_POLLS && (nothing_ready || forced)
     }
 
@@ -93,10 +94,10 @@
 
     /// The next step of the drain that is still to come.
     pub(super) fn next_drain_step(&self, now: Timestamp) -> Option<Timestamp> {
-        let stop_at = self.stop_at?;
+        let exit_deadline = self.exit_deadline?;
         let margins = [LISTENER_CLOSE_MARGIN, EXIT_MARGIN, FORCED_CLOSE_MARGIN];
-        let mut steps = margins.into_iter().map(|margin| stop_at.minus(margin));
-        Some(steps.find(|step| now < *step).unwrap_or(stop_at))
+        let mut steps = margins.into_iter().map(|margin| exit_deadline.minus(margin));
+        Some(steps.find(|step| now < *step).unwrap_or(exit_deadline))
     }
 
     /// Whether the process ends with this iteration.
@@ -104,14 +105,14 @@
         if self.handover.exit {
             return true;
         }
-        let Some(stop_at) = self.stop_at else { return false };
+        let Some(exit_deadline) = self.exit_deadline else { return false };
         let now = self.clock.now();
         if !self.handover.machine.is_active() {
-            return now >= stop_at;
+            return now >= exit_deadline;
         }
         let all_written = self.engine.pending_answers() == 0 && !self.connections.is_writing();
-        let all_closed = self.connections.is_empty() || now.plus(FORCED_CLOSE_MARGIN) >= stop_at;
-        let may_exit = now.plus(EXIT_MARGIN) >= stop_at && all_written && all_closed;
-        (may_exit || now >= stop_at) && self.final_polls >= MIN_FINAL_POLLS
+        let all_closed = self.connections.is_empty() || now.plus(FORCED_CLOSE_MARGIN) >= exit_deadline;
+        let may_exit = now.plus(EXIT_MARGIN) >= exit_deadline && all_written && all_closed;
+        (may_exit || now >= exit_deadline) && self.final_polls >= MIN_FINAL_POLLS
     }
 }
--- a/crates/node/src/event_loop/handover/mod.rs
+++ b/crates/node/src/event_loop/handover/mod.rs
@@ -214,7 +214,7 @@
         let handover = self.handover.next_wakeup();
         earliest_wakeup(
             now,
-            [kernel, self.store.next_wakeup(), self.admin.next_wakeup(), handover, self.stop_at],
+            [kernel, self.store.next_wakeup(), self.admin.next_wakeup(), handover, self.exit_deadline],
         )
     }
 }
--- a/crates/node/src/event_loop/handover/predecessor.rs
+++ b/crates/node/src/event_loop/handover/predecessor.rs
@@ -153,7 +153,7 @@
     /// Stops all work, sends the whole state and releases the lock.
     pub(super) fn hand_over(&mut self) {
         tracing::info!(open = self.open_attempts(), "handing over to the new process");
-        self.stop_at = Some(self.clock.now().plus(self.config.stop_timeout));
+        self.exit_deadline = Some(self.clock.now().plus(self.config.stop_timeout));
         self.connections.pause(true);
         let state = self.final_state();
         self.kernel.unlink();
--- a/crates/node/src/event_loop/handover/successor.rs
+++ b/crates/node/src/event_loop/handover/successor.rs
@@ -40,7 +40,7 @@
         } else if self.handover.inherited_listener.is_some() {
             self.on_handover_event(Event::Unlinked);
         } else {
-            // The link was refused: another process takes over at this moment.
+            // No Hello came: the link was refused, as another process takes over at this moment, or the other one died.
             self.handover.next_search = now.plus(discovery::SEARCH_INTERVAL);
         }
     }
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -105,8 +105,8 @@
     counters_signal: S::Signals,
     /// SIGHUP.
     reload_signal: S::Signals,
-    /// Once the process is to end: when.
-    stop_at: Option<Timestamp>,
+    /// When the process exits at the latest: the end of a drain, or of the time that a retired process may take.
+    exit_deadline: Option<Timestamp>,
     draining: bool,
     /// Iterations since the end of the drain is near.
     final_polls: u8,
@@ -180,7 +180,7 @@
             termination_signals,
             counters_signal,
             reload_signal,
-            stop_at: None,
+            exit_deadline: None,
             draining: false,
             final_polls: 0,
             peers,
--- a/crates/node/src/peers/active_version.rs
+++ b/crates/node/src/peers/active_version.rs
@@ -102,8 +102,8 @@
         version_gate::check(active, self.applied.content.as_ref(), self.enabled_lists, request)
     }
 
-    /// After which time a client may retry a request that was rejected without a lease: by then the lease is renewed, or
-    /// has expired.
+    /// After which time a client may retry a request that was rejected without a lease, or as its gateway is over its limit:
+    /// half a lease, in which a node that reaches a quorum renews its lease twice.
     pub fn retry_after(&self) -> Micros {
         Micros(self.lease_duration.0 / 2)
     }
