--- a/crates/admission/src/handover.rs
+++ b/crates/admission/src/handover.rs
@@ -224,7 +224,7 @@
             Role::SuccessorLost { since, .. } => self.on_event_successor_lost(now, event, since),
             Role::Reclaimed => self.on_event_reclaimed(event),
             Role::Retired => self.on_event_retired(event),
-            Role::Successor { keys_complete } => self.successor_waiting(now, event, keys_complete),
+            Role::Successor { keys_complete } => self.on_event_successor(now, event, keys_complete),
             Role::TakingOver => self.on_event_taking_over(event),
             Role::PredecessorLost { since, keys_complete, .. } => {
                 self.on_event_predecessor_lost(now, event, since, keys_complete)
@@ -299,7 +299,7 @@
         }
     }
 
-    fn successor_waiting(&mut self, now: Timestamp, event: Event, keys_complete: bool) -> Vec<Action> {
+    fn on_event_successor(&mut self, now: Timestamp, event: Event, keys_complete: bool) -> Vec<Action> {
         match event {
             Event::KeysComplete => self.enter(Role::Successor { keys_complete: true }, vec![]),
             // Leaves the lock that the predecessor has released to the predecessor, which knows the whole state.
@@ -324,7 +324,7 @@
         }
     }
 
-    fn predecessor_lost(
+    fn on_event_predecessor_lost(
         &mut self,
         now: Timestamp,
         event: Event,
--- a/crates/node/src/event_loop/drain.rs
+++ b/crates/node/src/event_loop/drain.rs
@@ -37,7 +37,8 @@
             return;
         }
         // The notice may have come a while ago, if another process was to take over and did not.
-        let exit_deadline = *self.exit_deadline.get_or_insert(self.clock.now().plus(self.config.stop_timeout));
+        let exit_deadline =
+            *self.exit_deadline.get_or_insert(self.clock.now().plus(self.config.stop_timeout));
         let notice = exit_deadline.minus(self.config.stop_timeout);
         let answered_by = exit_deadline.minus(LISTENER_CLOSE_MARGIN);
         if let Some(peers) = &mut self.peers {
@@ -56,7 +57,8 @@
     /// Within [`EXIT_MARGIN`], ends what is left on the connections once nothing is owed. `nothing_ready` if the poller had
     /// nothing for this iteration. Returns when to iterate again for its sake.
     pub(super) fn finish_drain(&mut self, now: Timestamp, nothing_ready: bool) -> Option<Timestamp> {
-        let exit_deadline = self.exit_deadline.filter(|exit_deadline| now.plus(EXIT_MARGIN) >= *exit_deadline)?;
+        let exit_deadline =
+            self.exit_deadline.filter(|exit_deadline| now.plus(EXIT_MARGIN) >= *exit_deadline)?;
         if !self.has_polled_enough(now, exit_deadline, nothing_ready) {
             return Some(now);
         }
