--- a/crates/idempotency/src/row.rs
+++ b/crates/idempotency/src/row.rs
@@ -100,7 +100,7 @@
     }
 
     /// Whether a store in which this is the row of its key has made this write.
-    pub fn is_made(&self, row: Option<&Row>) -> bool {
+    pub fn is_written(&self, row: Option<&Row>) -> bool {
         match self {
             Write::Put(new) => row.is_some_and(|row| row.precedence() >= new.precedence()),
             Write::Remove { sequence, .. } => row.is_none_or(|row| row.sequence > *sequence),
--- a/crates/idempotency/src/table/durability.rs
+++ b/crates/idempotency/src/table/durability.rs
@@ -358,11 +358,11 @@
     fn on_looked_up(&mut self, writes: Vec<PendingWrite>, rows: &[Row]) {
         let Some(durability) = &mut self.durability else { return };
         let rows: HashMap<&str, &Row> = rows.iter().map(|row| (row.key.as_str(), row)).collect();
-        let is_made = |pending: &PendingWrite| {
+        let is_written = |pending: &PendingWrite| {
             let row = pending.write.key().and_then(|key| rows.get(key).copied());
-            pending.write.is_made(row)
+            pending.write.is_written(row)
         };
-        let (made, missing): (Vec<_>, Vec<_>) = writes.into_iter().partition(is_made);
+        let (made, missing): (Vec<_>, Vec<_>) = writes.into_iter().partition(is_written);
         durability.requeue(missing.into_iter());
         made.into_iter().for_each(|pending| self.on_durable(pending.write));
     }
--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -183,7 +183,7 @@
             if !writable && !readable {
                 return None;
             }
-            if !stream.is_made() {
+            if !stream.is_connected() {
                 return Some(self.fail(now));
             }
             let State::Connecting(stream, _) = std::mem::replace(&mut self.state, State::Down) else {
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -1,8 +1,7 @@
-//! The seam between the node and the system: all that the node asks of the outside, and nothing else.
+//! The seam between the node and the operating system: every call of the outside goes through the trait [`System`].
 //!
-//! [`System`] is written against by the loop, the fronts, the peers and the links; [`real::Real`] is the machine
-//! that the program runs on. Another one (a virtual world) can take its place, and the node cannot tell which it has:
-//! the type is chosen where the node is made, and nothing here says what it is.
+//! [`real::Real`] is the machine that the program runs on; the simulation puts its own system in its place. The type is
+//! chosen where the node is started, and nothing in the node depends on which it is.
 
 pub mod clock;
 pub mod handover_socket;
@@ -21,29 +20,29 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Something that a turn has to look at.
+/// A readiness event: a source that this iteration has to handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ready {
-    /// What it was watched under.
+    /// The key under which the source was registered.
     pub key: usize,
-    /// There is something to read, an end, or an error.
+    /// Bytes, an end of stream or an error can be read.
     pub readable: bool,
-    /// Something can be written, or there is an error.
+    /// Bytes can be written, or there is an error.
     pub writable: bool,
 }
 
-/// What a node runs on. All sources are watched, level-triggered, under the key that they were made with, for as
-/// long as they live; all of them are non-blocking.
+/// The system that a node runs on. Every source is non-blocking and registered with the poller, level-triggered, under the
+/// key that it was created with, for as long as it lives.
 pub trait System: Clone + Debug {
     /// A connection.
     type Stream: Stream;
-    /// Where connections come in.
+    /// A listening socket.
     type Listener: Listener<Stream = Self::Stream>;
-    /// A socket for reports.
+    /// A datagram socket for membership reports.
     type Datagram: Datagram;
-    /// What tells of a signal: a byte, or some, that say nothing.
+    /// Becomes readable when a signal has arrived; the bytes carry no information.
     type Signals: Read + Debug;
-    /// What does the blocking work of a store of record.
+    /// A worker thread that does the blocking work of a store.
     type Worker: Worker;
 
     /// A link to another process of this node.
@@ -61,22 +60,22 @@
     /// The system refuses the address, for example as another process listens there or it is not of this
     /// machine.
     fn listen(&self, at: SocketAddr, key: usize) -> io::Result<Self::Listener>;
-    /// Begins to connect; the stream is ready for writing once it is made or has failed.
+    /// Begins to connect; the stream is ready for writing once it is connected or has failed.
     ///
     /// # Errors
-    /// The system cannot begin to connect. A connection that fails later shows in [`Stream::is_made`].
+    /// The system cannot begin to connect. A connection that fails later shows in [`Stream::is_connected`].
     fn connect(&self, to: SocketAddr, key: usize) -> io::Result<Self::Stream>;
-    /// A socket for reports to this address.
+    /// A datagram socket that sends to this address.
     ///
     /// # Errors
     /// The system has no socket for it.
     fn datagram(&self, to: SocketAddr) -> io::Result<Self::Datagram>;
-    /// From now on these signals are told of under this key.
+    /// Registers these signals under this key.
     ///
     /// # Errors
     /// A signal handler cannot be registered; the signal would then have its default effect.
     fn signals(&self, key: usize, signals: &[i32]) -> io::Result<Self::Signals>;
-    /// Opens a store of record in a file, with what an earlier life left in it, up to so many rows.
+    /// Opens an idempotency store in a file and reads what an earlier process left in it, `max_rows` at most.
     ///
     /// # Errors
     /// The file cannot be opened, is in use by another process, or is damaged (see [`OpenError`]), or the
@@ -85,10 +84,10 @@
         &self,
         path: &Path,
         options: &Options,
-        most_rows: usize,
+        max_rows: usize,
         key: usize,
     ) -> Result<(Self::Worker, Recovery), OpenError>;
-    /// Opens a fleet's log in a file, which belongs to this owner, with what an earlier life left in it.
+    /// Opens the consensus log in a file that belongs to this owner, and reads what an earlier process left in it.
     ///
     /// # Errors
     /// The file cannot be opened, is in use, belongs to another owner or is damaged (see [`OpenError`]), or
@@ -120,73 +119,72 @@
     /// From now on the monotonic clock is that of another process, which read both clocks as `other` a moment ago. It never
     /// goes back.
     fn align_clock(&self, other: Moment);
-    /// Waits until something is ready, for this long at most, and puts it in place of what `ready` held.
+    /// Waits until a source is ready, or for `timeout`; replaces the content of `ready`.
     ///
     /// # Errors
     /// The poller fails. An interruption by a signal is no error; it ends the wait early.
-    fn wait(&self, most: Micros, ready: &mut Vec<Ready>) -> io::Result<()>;
+    fn wait(&self, timeout: Micros, ready: &mut Vec<Ready>) -> io::Result<()>;
 }
 
 /// A connection.
 pub trait Stream: Read + Write + Debug {
-    /// Changes what it is watched for.
+    /// Changes the readiness that is reported for it.
     ///
     /// # Errors
     /// The poller does not accept the change; the stream is watched as before.
     fn watch(&mut self, reading: bool, writing: bool) -> io::Result<()>;
-    /// Whether a connection that was begun has been made; asked once it is ready.
-    fn is_made(&self) -> bool;
-    /// Whether something can be read, other than an end.
+    /// Whether a connection attempt has succeeded; meaningful once the stream is ready.
+    fn is_connected(&self) -> bool;
+    /// Whether bytes can be read; an end of stream does not count.
     fn has_unread(&self) -> bool;
-    /// Ends the stream to the other side, after all that was written; what it sends can still be read.
+    /// Shuts the write side, after all that was written; the other side's bytes can still be read.
     ///
     /// # Errors
     /// The connection is gone already; it can only be closed.
     fn shut_writing(&mut self) -> io::Result<()>;
 }
 
-/// Where connections come in.
+/// A listening socket.
 pub trait Listener: Debug {
-    /// What comes in.
+    /// An accepted connection.
     type Stream;
-    /// Takes the next connection, to be watched for reading under this key. `ConnectionAborted` is of one that
-    /// was gone before it could be taken.
+    /// Accepts the next connection and registers it for reading under this key.
     ///
     /// # Errors
     /// [`io::ErrorKind::WouldBlock`] if no connection waits, and [`io::ErrorKind::ConnectionAborted`] if this
     /// one is lost but the next may succeed. Other errors are a lack of resources, such as descriptors, and
     /// should be retried later.
     fn accept(&self, key: usize) -> io::Result<Self::Stream>;
-    /// Changes whether it is watched.
+    /// Changes whether waiting connections are reported.
     ///
     /// # Errors
     /// The poller does not accept the change; the listener is watched as before.
     fn watch(&mut self, reading: bool) -> io::Result<()>;
-    /// Where it listens.
+    /// The address it listens at.
     fn address(&self) -> Option<SocketAddr>;
 }
 
-/// A socket for reports.
+/// A datagram socket.
 pub trait Datagram: Debug {
-    /// Sends one; nobody says whether it arrives.
+    /// Sends a datagram; there is no acknowledgement.
     ///
     /// # Errors
     /// The system did not take the datagram; it is lost.
     fn send(&self, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// What does the blocking work of a store of record, off the loop.
+/// A worker thread that does the blocking work of a store, off the event loop.
 pub trait Worker: Debug {
-    /// Hands a batch over; gives it back if there is no room.
+    /// Queues a batch; gives it back if the queue is full.
     ///
     /// # Errors
     /// The batch itself if the queue is full; none of it was done, and it can be submitted again later.
     fn submit(&mut self, batch: Batch) -> Result<(), Batch>;
     /// The next outcome, if there is one.
     fn outcome(&mut self) -> Option<(u64, Outcome)>;
-    /// It can do no more work.
+    /// Whether its thread has ended: it can do no more work.
     fn is_dead(&self) -> bool;
-    /// Takes note of its having said that there is an outcome.
+    /// Drains the wake-up that announced an outcome.
     fn woken(&mut self);
 }
 
--- a/crates/node/src/io/tcp.rs
+++ b/crates/node/src/io/tcp.rs
@@ -71,7 +71,7 @@
         Watched::watch(self, reading, writing)
     }
 
-    fn is_made(&self) -> bool {
+    fn is_connected(&self) -> bool {
         matches!(self.take_error(), Ok(None)) && self.peer_addr().is_ok()
     }
 
--- a/crates/simulation/src/system.rs
+++ b/crates/simulation/src/system.rs
@@ -150,7 +150,7 @@
         Ok(())
     }
 
-    fn is_made(&self) -> bool {
+    fn is_connected(&self) -> bool {
         self.net.borrow().is_connected(self.side)
     }
 
