--- a/crates/admission/src/controller/drain.rs
+++ b/crates/admission/src/controller/drain.rs
@@ -10,8 +10,8 @@
 /// The bounds of a drain.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Drain {
-    /// The end of the grace, counted from when the controller heard of the notice: what arrives later is not run. The
-    /// engine's own bound (`engine::Drain`) counts from the notice itself.
+    /// The end of the grace, counted from when the controller heard of the notice: what arrives later is
+    /// not run. The engine's own bound (`engine::Drain`) counts from the notice itself.
     pub(super) last_arrival: Time,
     /// All must be answered by now, margin taken off.
     pub(super) answer_by: Time,
