--- a/crates/node/src/event_loop/admin_calls.rs
+++ b/crates/node/src/event_loop/admin_calls.rs
@@ -5,7 +5,7 @@
 use crate::io::{Ready, System};
 use gaugestand_admission::idempotency::IdempotencyTable as _;
 
-/// Why requests that arrive now are not admitted by this process, in the operators' words.
+/// Why this process does not admit the requests that arrive now. The text is part of the reply to a PING.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 enum NotReady {
     #[error("another process has taken over")]
@@ -33,7 +33,8 @@
         }
     }
 
-    /// The answer to a caller, unless the cluster has to be asked first: then it comes later.
+    /// Returns the answer to a caller; none if the answer follows later, as the call needs other nodes of the
+    /// cluster first, or if the caller has disconnected.
     fn answer_admin_call(&mut self, caller: usize, input: CallerInput) -> Option<String> {
         Some(match input {
             CallerInput::Call(Call::Cluster(words)) => return self.operator_call(caller, &words),
@@ -48,15 +49,16 @@
     }
 
     fn render_info(&self) -> String {
-        let others = [
+        let counters = [
             ("dispatches", self.counters.runs_sent),
             ("reload_success", self.counters.reloads),
             ("reload_failure", self.counters.reloads_failed),
         ];
-        self.request_metrics.render(self.open_attempts(), &others) + "end\n"
+        self.request_metrics.render(self.open_attempts(), &counters) + "end\n"
     }
 
-    /// Whether requests that arrive now are admitted by this process, or the first reason why not.
+    /// Checks whether this process admits the requests that arrive now, or can take over from a predecessor
+    /// as soon as that is asked to stop. The error is the first condition that is not met.
     fn check_readiness(&mut self) -> Result<(), NotReady> {
         if self.handover.is_ready_to_take_over() {
             return Ok(());
--- a/crates/node/src/event_loop/cluster/class_load.rs
+++ b/crates/node/src/event_loop/cluster/class_load.rs
@@ -1,4 +1,4 @@
-//! The present load of each class, from counts of answered requests at two times.
+//! The current load of each class, computed from counts of answered requests at two points in time.
 
 use super::super::{Node, System};
 use crate::request_metrics::RequestMetrics;
@@ -6,20 +6,22 @@
 use gaugestand_cluster::validation::ClassLoad;
 use std::collections::BTreeMap;
 
-/// From one sample to the next: long enough that a burst does not decide over a proposal, short against an operator's work.
+/// Time between two samples. It is long enough that a burst does not decide about a proposal, and short
+/// compared with an operator's work.
 const SAMPLE_INTERVAL: Micros = Micros::millis(10_000);
-/// Shortest time, in seconds, that a rate is computed over: a shorter one would make a rate of a single request.
+/// Shortest time, in seconds, over which a rate is computed. Over a shorter time a single request would count
+/// as a high rate.
 const MIN_RATE_SECONDS: f64 = 1.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Answered requests by class, at one time.
+/// Number of requests answered since the start of the node, by class name, at one point in time.
 #[derive(Debug)]
 struct Sample {
     at: Timestamp,
     counts: BTreeMap<String, u64>,
 }
 
-/// The last two samples.
+/// The last two samples of the load; none of them before the first was taken.
 #[derive(Debug, Default)]
 pub(in super::super) struct LoadSamples {
     previous: Option<Sample>,
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Requests per second of each class since the earlier sample.
+    /// Requests per second of each class since the earlier sample; empty if there is no sample.
     fn load(&self, now: Timestamp, counts: &BTreeMap<String, u64>) -> Vec<ClassLoad> {
         let Some(sample) = self.previous.as_ref().or(self.last.as_ref()) else { return Vec::new() };
         let seconds = (now.since(sample.at).0 as f64 / MICROS_PER_SECOND).max(MIN_RATE_SECONDS);
@@ -46,7 +48,7 @@
     }
 }
 
-/// Requests of each class that have been answered.
+/// Number of requests of each class that have been answered, with any outcome.
 fn answered(metrics: &RequestMetrics, classes: &[String]) -> BTreeMap<String, u64> {
     let count = |name: &String| {
         let ends = metrics.replies(name);
@@ -63,7 +65,7 @@
         self.load_samples.sample(now, || answered(metrics, classes));
     }
 
-    /// The present load of each class.
+    /// The current load of each class, in answered requests per second.
     pub(super) fn class_load(&self, now: Timestamp) -> Vec<ClassLoad> {
         self.load_samples.load(now, &answered(&self.request_metrics, &self.config.classes))
     }
--- a/crates/node/src/event_loop/cluster/mod.rs
+++ b/crates/node/src/event_loop/cluster/mod.rs
@@ -1,8 +1,8 @@
-//! The event loop's part in the cluster: polled events of its links and log, the version in effect, and what requests get
-//! under it.
+//! The event loop's work for the cluster: readiness events of the links to other nodes and of the consensus
+//! log, the active version of the settings, and rejection of requests under that version.
 //!
-//! - `class_load`: the present load of each class, for validations.
-//! - `settings`: putting a version's settings into effect, validation of proposed ones, and reload.
+//! - `class_load`: the current load of each class, for validations.
+//! - `settings`: applying a version's settings, validation of proposed settings, and reload.
 //! - `operator_calls`: calls of `gaugestand fleet` at the second address.
 
 mod class_load;
@@ -22,7 +22,8 @@
 use gaugestand_cluster::version_gate::GateDecision;
 use std::rc::Rc;
 
-/// Whether a poller key is one of the cluster's.
+/// Whether a poller key belongs to the cluster: to the consensus log, the listener for other nodes, or a
+/// connection with one.
 pub(super) fn is_key(key: usize) -> bool {
     key == CONSENSUS_LOG || (PEER_LISTENER..FIRST_PEER + peers::KEYS).contains(&key)
 }
@@ -33,7 +34,8 @@
         self.peers.as_ref().is_none_or(|peers| peers.is_ready())
     }
 
-    /// The poller reports something of the cluster.
+    /// Handles a readiness event of the consensus log, the listener for other nodes, or a connection with
+    /// one.
     pub(super) fn on_cluster_event(&mut self, event: Ready) {
         let now = self.clock.now();
         let Some(peers) = &mut self.peers else { return };
@@ -44,13 +46,14 @@
         }
     }
 
-    /// Does what is due for the cluster by now: messages, records, validations, the active version.
+    /// Does the cluster work that is due: messages, records of the consensus log, validations, and applying
+    /// the active version.
     pub(super) fn run_cluster_tasks(&mut self) {
         let now = self.clock.now();
         let Some(peers) = self.peers.as_mut().filter(|peers| peers.is_due(now)) else { return };
         peers.on_timer(now);
         if let Some(DueVersion { version, content }) = peers.due_version(now) {
-            let result = self.put_into_effect(content.as_deref());
+            let result = self.apply_version(content.as_deref());
             if let Some(peers) = &mut self.peers {
                 peers.on_applied(version, result);
             }
@@ -73,11 +76,14 @@
         self.sample_load(now);
     }
 
-    /// The response that rejects an attempt for what the cluster's version says, or may say. An attempt the result of which
-    /// this node has stored is not rejected: it gets that result, and does not run.
+    /// The response that rejects an attempt; none if the attempt may go on to admission. An attempt is
+    /// rejected because the active version says so, or because this node holds no lease and a newer version
+    /// may say so. An attempt whose result this node has stored is not rejected: it gets that result, and
+    /// does not run.
     pub(super) fn reject_by_version(&mut self, params: &AttemptParams) -> Option<Response<'static>> {
         let peers = self.peers.as_ref()?;
-        // Read for this attempt: the process may have been paused since this iteration began.
+        // The clock is read again for each attempt: the process may have been suspended since this iteration
+        // began.
         let moment = self.system.moment();
         let key = params.repeat_key.as_deref();
         let decision = peers.check_request(moment.mono, key.is_some(), params.resource_key, params.caller);
--- a/crates/node/src/event_loop/cluster/operator_calls.rs
+++ b/crates/node/src/event_loop/cluster/operator_calls.rs
@@ -1,6 +1,8 @@
-//! Calls of `gaugestand fleet` at the second address: `FLEET` and the words that follow it in one line.
+//! Operators' calls about the cluster, made by `gaugestand fleet` at the second address: a line with `FLEET`
+//! and the words that follow it.
 //!
-//! A call that needs other nodes is answered later, by its caller's number; all others at once.
+//! A call that needs other nodes is answered later, by the caller's serial number. All other calls are
+//! answered at once.
 
 use super::super::{Node, System};
 use crate::peers::Peers;
@@ -12,18 +14,20 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Words of a call; the content of a proposal is the last one, with its blanks.
+/// Maximum number of words of a call. The fourth word is the rest of the line, blanks included: the content
+/// of a proposal.
 const MAX_WORDS: usize = 4;
-/// Stands for 'no version' and for 'no force'.
+/// Word that stands for 'no version' or 'no force'.
 const ABSENT: &str = "-";
+/// Word that forces a change that validation would otherwise refuse.
 const FORCE: &str = "force";
 
-/// A call of an operator.
+/// An operator's call about the cluster.
 #[derive(Debug, PartialEq, Eq)]
 enum OperatorCall<'a> {
     Status,
     History,
-    /// The content of a version.
+    /// Shows the content of a version; none if the call names no valid version.
     Show(Option<Version>),
     /// Proposes the content of an earlier version.
     Rollback {
@@ -45,7 +49,7 @@
     },
 }
 
-/// Why a call is not carried out.
+/// Why a call is not executed. The text is part of the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum OperatorCallError {
     #[error("there is no fleet")]
@@ -101,7 +105,7 @@
     word.and_then(|word| word.parse().ok())
 }
 
-/// The answer to a call that proposed something.
+/// The reply to a call that proposed settings or a change of the cluster's members.
 pub(super) fn proposal_answer(result: Result<Version, ProposalError>) -> String {
     match result {
         Ok(version) => format!("done {}\n", json!({"version": version})),
@@ -110,12 +114,13 @@
 }
 
 impl<S: System> Node<S> {
-    /// Carries out a call about the cluster. Returns its answer; none if that comes later, or if the caller is gone.
-    pub(in super::super) fn operator_call(&mut self, place: usize, line: &str) -> Option<String> {
+    /// Executes a call about the cluster. Returns the reply; none if the reply follows later, or if the
+    /// caller has disconnected.
+    pub(in super::super) fn operator_call(&mut self, slot: usize, line: &str) -> Option<String> {
         let now = self.clock.now();
-        let caller = self.admin.caller(place)?;
+        let caller = self.admin.caller(slot)?;
         let answer = match &mut self.peers {
-            Some(peers) => OperatorCall::parse(line).and_then(|call| carry_out(peers, now, caller, call)),
+            Some(peers) => OperatorCall::parse(line).and_then(|call| execute_call(peers, now, caller, call)),
             None => Err(OperatorCallError::NoCluster),
         };
         match answer {
@@ -125,8 +130,8 @@
     }
 }
 
-/// Carries out a call. Returns its answer; none if that comes later.
-fn carry_out<S: System>(
+/// Executes a parsed call. Returns the reply; none if the reply follows later.
+fn execute_call<S: System>(
     peers: &mut Peers<S>,
     now: Timestamp,
     caller: u64,
--- a/crates/node/src/event_loop/cluster/settings.rs
+++ b/crates/node/src/event_loop/cluster/settings.rs
@@ -1,7 +1,8 @@
-//! A version's settings: putting them into effect, validating proposed ones, and reload beside them.
+//! The settings of a version: applying them, validating proposed settings, and reloading the configuration
+//! beside them.
 //!
-//! Settings of the cluster replace those of the node's own file, but for `extra`, which describes the node's machine and
-//! stays its own.
+//! Settings of the cluster replace those of the node's own file, except for `extra`, which describes the
+//! node's machine and always comes from its own file.
 
 use super::super::{Config, Node, System, config};
 use crate::config::ConfigError;
@@ -12,11 +13,12 @@
 use gaugestand_cluster::version_gate;
 use serde_json::Value;
 
-/// Share of the memory for requests that idempotency keys may take; the admission controller uses the same.
+/// Share of the memory for requests that idempotency keys may take, between 0 and 1. The admission controller
+/// uses the same share.
 const KEY_MEMORY_SHARE: f64 = 0.5;
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// The classes of a configuration, as a validation needs them.
+/// Converts the classes of a configuration to the form that validation takes.
 fn class_settings(config: &Config) -> Vec<ClassSettings> {
     let seconds = |span: Span| span.0 as f64 / NANOS_PER_SECOND;
     let settings = |(name, class): (&String, &Class)| ClassSettings {
@@ -32,7 +34,7 @@
     serde_json::from_slice(bytes).map_err(VersionError::UnreadableContent)
 }
 
-/// The settings that are the cluster's: all but the node's own `extra`.
+/// The settings that the cluster agrees on: all but the node's own `extra`.
 fn shared_settings(settings: &Value) -> Value {
     let mut shared = settings.clone();
     if let Some(fields) = shared.as_object_mut() {
@@ -41,20 +43,21 @@
     shared
 }
 
-/// Why a configuration that was read again cannot be used.
+/// Why a configuration that was read again on a reload cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(in super::super) enum ReadError {
-    /// The file or the script is invalid, or asks for what cannot change while the node serves.
+    /// The file or the script is invalid, or changes a setting that cannot change while the node serves.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The file changes settings that the cluster agrees on.
-    #[error("settings: are the fleet's; 'gaugestand fleet propose' changes them")]
+    #[error("settings: the file changes what the fleet agrees on; use 'gaugestand fleet propose' instead")]
     SettingsOfCluster,
 }
 
 impl<S: System> Node<S> {
-    /// Replaces the present settings by those of a version; on an error nothing has changed.
-    pub(super) fn put_into_effect(&mut self, bytes: Option<&[u8]>) -> Result<Option<Content>, VersionError> {
+    /// Replaces the current settings with those of a version's content, or with those of the node's own file
+    /// if there is no content. On an error nothing has changed.
+    pub(super) fn apply_version(&mut self, bytes: Option<&[u8]>) -> Result<Option<Content>, VersionError> {
         let content = bytes.map(parse_content).transpose()?;
         let settings = content.as_ref().map_or(&Value::Null, |content| &content.settings);
         let new = config::with_settings(&self.config, &self.local_settings, settings)?;
@@ -65,7 +68,7 @@
         Ok(content)
     }
 
-    /// Whether this node could act on a proposed content, or why not.
+    /// Checks whether this node could apply a proposed content; the error says why not.
     pub(super) fn validate_content(&mut self, bytes: &[u8], force: bool) -> Result<(), VersionError> {
         let content = parse_content(bytes)?;
         let enabled = self.peers.as_ref().map(|peers| peers.enabled_lists()).unwrap_or_default();
@@ -85,7 +88,8 @@
         }
     }
 
-    /// The configuration, read again from its file. The settings of the cluster are not the file's to change.
+    /// Reads the configuration again from its file. While settings of the cluster are in effect, the file
+    /// must not change them.
     pub(in super::super) fn read_configuration(&mut self) -> Result<Config, ReadError> {
         if self.peers.is_none() {
             return Ok(config::reload(&self.config)?);
@@ -98,7 +102,7 @@
             self.local_settings = new_settings.clone();
             return Ok(new);
         };
-        // A change of the rest would have no effect, and would look as if it had.
+        // A change of these settings in the file would have no effect, but would look as if it had one.
         if shared_settings(new_settings) != shared_settings(&self.local_settings) {
             return Err(ReadError::SettingsOfCluster);
         }
--- a/crates/node/src/event_loop/commands.rs
+++ b/crates/node/src/event_loop/commands.rs
@@ -1,4 +1,4 @@
-//! Tells the engine of events and carries out the commands it answers with.
+//! Passes events to the admission engine and executes the commands that the engine returns.
 
 use super::Node;
 use crate::connections::RequestRef;
@@ -12,14 +12,14 @@
 use std::rc::Rc;
 
 impl<S: System> Node<S> {
-    /// Tells the engine of something that happened and carries out what it decides.
+    /// Passes one event to the engine and executes the commands that the engine returns.
     pub(super) fn notify_engine(&mut self, event: EngineEvent) {
         let mut commands = Vec::new();
         self.engine.on_event(self.clock.moment(), event, &mut commands);
         self.execute_commands(commands);
     }
 
-    /// Carries out commands in their order.
+    /// Executes the engine's commands in the order in which the engine returned them.
     pub(super) fn execute_commands(&mut self, commands: Vec<EngineCommand>) {
         let empty_body: Rc<[u8]> = Rc::from([]);
         for command in commands {
@@ -78,7 +78,7 @@
 
     fn start_call(&mut self, id: RequestId, timeout: Micros) {
         if let Some(attempt) = self.attempts.get(&id) {
-            let body = attempt.call.clone();
+            let body = attempt.call_body.clone();
             self.store.call(self.clock.now(), id, timeout, body, &mut self.counters);
         }
     }
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Answers an attempt if its request is still open; returns whether it was answered.
+    /// Queues the answer to an attempt if the attempt's request is still open on its connection. Returns
+    /// whether the answer was queued.
     fn answer(
         &mut self,
         id: RequestId,
@@ -113,7 +114,7 @@
         body: Rc<[u8]>,
     ) -> bool {
         let Some(attempt) = self.attempts.get(&id) else { return false };
-        let request = RequestRef { connection: attempt.conn, fcgi_id: attempt.fcgi };
+        let request = RequestRef { connection: attempt.connection, fcgi_id: attempt.fcgi_id };
         let Some(open) = self.connections.take_request(request) else {
             self.counters.answers_unsent += 1;
             return false;
--- a/crates/node/src/event_loop/dispatch.rs
+++ b/crates/node/src/event_loop/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands each readiness event of the poller to the component that its key belongs to.
+//! Dispatches each readiness event of the poller to the component that the event's key belongs to.
 
 use super::keys::*;
 use super::{HandoverEvent, Node, cluster};
@@ -16,11 +16,11 @@
             key if is_inherited_kernel(key) => self.on_inherited_kernel_ready(event),
             TERMINATION => self.on_termination_signal(),
             PRINT_COUNTERS => {
-                acknowledge(&mut self.counters_signal);
+                empty_signal_pipe(&mut self.counters_signal);
                 self.print_counters();
             }
             RELOAD => {
-                acknowledge(&mut self.reload_signal);
+                empty_signal_pipe(&mut self.reload_signal);
                 self.reload_configuration();
             }
             IDEMPOTENCY_STORE => self.on_idempotency_store_ready(event),
@@ -33,15 +33,15 @@
     }
 
     fn on_gateway_listener_ready(&mut self) {
-        // A connection accepted after this process has handed over would be lost with it.
+        // After a hand-over, a connection accepted by this process would be lost when the process exits.
         if self.handover.machine.is_active() {
             self.connections.accept(self.clock.now(), &mut self.counters);
         }
     }
 
     fn on_termination_signal(&mut self) {
-        acknowledge(&mut self.termination_signals);
-        // A second signal during a drain changes nothing: above all it starts no hand-over.
+        empty_signal_pipe(&mut self.termination_signals);
+        // A second signal during a drain is ignored. In particular, it must not start a hand-over.
         if !self.draining {
             self.on_handover_event(HandoverEvent::Terminate);
         }
@@ -66,7 +66,8 @@
     }
 }
 
-/// Empties a signal's pipe. The bytes carry nothing; only that they came matters.
-fn acknowledge(pipe: &mut impl Read) {
+/// Empties the pipe that reports a signal. The bytes carry no information: a signal is reported by the pipe
+/// becoming readable.
+fn empty_signal_pipe(pipe: &mut impl Read) {
     while matches!(pipe.read(&mut [0; 64]), Ok(length) if length > 0) {}
 }
--- a/crates/node/src/event_loop/drain.rs
+++ b/crates/node/src/event_loop/drain.rs
@@ -1,18 +1,22 @@
-//! The drain after SIGTERM or SIGINT, from the notice to the exit.
+//! The drain: how the node leaves service after SIGTERM or SIGINT, from the signal to the exit of the
+//! process.
 //!
-//! From the notice to the end of the process, `stop_ms` later:
+//! The exit deadline is `stop_ms` after the signal. The steps of the drain are:
 //!
-//! 1. At the notice, health checks fail, the membership service is told OUT, and the engine is notified. What arrives within
-//!    the drain's grace may still run.
-//! 2. [`LISTENER_CLOSE_MARGIN`] and two periods of the controller's timer before the end, the controller answers every attempt
-//!    (`controller::drain::on_drain` moves the deadlines).
-//! 3. [`LISTENER_CLOSE_MARGIN`] before the end, the listener closes, after all that the system has accepted was taken in.
-//! 4. [`EXIT_MARGIN`] before the end, the poller is asked at least [`MIN_FINAL_POLLS`] times more. Once no answer is owed,
-//!    requests that are still incomplete get 503, as they never ran, and every connection's write side is shut. The
-//!    process exits as soon as the other sides have closed too.
-//! 5. [`FORCED_CLOSE_MARGIN`] before the end, connections that the other side keeps open are no longer waited for; answers that
-//!    are still being written are.
-//! 6. At the end the process exits in any case. An iteration that hangs is the service manager's to kill.
+//! 1. At the signal, health checks fail, the membership service is told OUT, and the engine is notified.
+//!    Requests that arrive within the drain's grace may still run.
+//! 2. [`LISTENER_CLOSE_MARGIN`] plus two periods of the controller's timer before the exit deadline, the
+//!    controller answers every attempt (`controller::drain::on_drain` moves the deadlines).
+//! 3. [`LISTENER_CLOSE_MARGIN`] before the exit deadline, the node accepts the connections that wait in the
+//!    system's queue, then closes its listener.
+//! 4. From [`EXIT_MARGIN`] before the exit deadline, the event loop polls at least [`MIN_FINAL_POLLS`] more
+//!    times. Once no attempt waits for an answer, requests that are still incomplete get 503, as they never
+//!    ran, and the write side of every connection is shut. The process exits as soon as the other sides have
+//!    closed their connections too.
+//! 5. From [`FORCED_CLOSE_MARGIN`] before the exit deadline, the process no longer waits for connections that
+//!    the other side keeps open. It still waits for answers that are being written.
+//! 6. At the exit deadline the process exits in any case. If an iteration of the event loop hangs, the
+//!    service manager has to kill the process.
 
 use super::{EngineEvent, Micros, Node, Timestamp};
 use crate::connections::OpenRequest;
@@ -20,23 +24,27 @@
 use crate::response::{Response, http_status};
 use std::mem;
 
-/// Before the end: no attempt is unanswered and the listener closes. Leaves time to write the last answers to slow readers.
+/// Time before the exit deadline at which every attempt has been answered and the listener closes. It leaves
+/// time to write the last answers to gateways that read slowly.
 const LISTENER_CLOSE_MARGIN: Micros = Micros::millis(250);
-/// Before the end: incomplete requests are rejected, connections are closed, and the process may exit.
+/// Time before the exit deadline from which incomplete requests are rejected, connections are closed, and the
+/// process may exit.
 const EXIT_MARGIN: Micros = Micros::millis(100);
-/// Before the end: a connection whose other side has not closed holds up the exit no longer.
+/// Time before the exit deadline from which connections that the other side has not closed no longer delay
+/// the exit.
 const FORCED_CLOSE_MARGIN: Micros = Micros::millis(30);
-/// Iterations within [`EXIT_MARGIN`] before anything is rejected or closed, so that the poller was asked in between and
-/// what gateways had sent by then was read.
+/// Minimum number of iterations of the event loop within [`EXIT_MARGIN`] before any request is rejected or
+/// connection closed: the poller is asked between them, so that what gateways had sent by then has been read.
 const MIN_FINAL_POLLS: u8 = 2;
 
 impl<S: System> Node<S> {
-    /// Begins the drain; a second notice changes nothing.
+    /// Begins the drain. Does nothing if the drain has already begun.
     pub(super) fn begin_drain(&mut self) {
         if mem::replace(&mut self.draining, true) {
             return;
         }
-        // The notice may have come a while ago, if another process was to take over and did not.
+        // The exit deadline is already set if this process began a hand-over at the signal and the successor
+        // did not take over: the time since the signal then counts.
         let exit_deadline =
             *self.exit_deadline.get_or_insert(self.clock.now().plus(self.config.stop_timeout));
         let notice = exit_deadline.minus(self.config.stop_timeout);
@@ -47,15 +55,16 @@
         self.notify_engine(EngineEvent::Drain { notice, stop: answered_by });
     }
 
-    /// Closes the listener once its time has come.
+    /// Closes the listener from [`LISTENER_CLOSE_MARGIN`] before the exit deadline on.
     pub(super) fn stop_listening_if_due(&mut self, now: Timestamp) {
         if self.exit_deadline.is_some_and(|exit_deadline| now.plus(LISTENER_CLOSE_MARGIN) >= exit_deadline) {
             self.connections.stop_listening(now, &mut self.counters);
         }
     }
 
-    /// Within [`EXIT_MARGIN`], ends what is left on the connections once nothing is owed. `nothing_ready` if the poller had
-    /// nothing for this iteration. Returns when to iterate again for its sake.
+    /// Within [`EXIT_MARGIN`] of the exit deadline, closes the connections once no attempt waits for an
+    /// answer. `nothing_ready` says that the poller reported no event for this iteration. Returns `now` if
+    /// the poller has to be asked again first, and none otherwise.
     pub(super) fn finish_drain(&mut self, now: Timestamp, nothing_ready: bool) -> Option<Timestamp> {
         let exit_deadline =
             self.exit_deadline.filter(|exit_deadline| now.plus(EXIT_MARGIN) >= *exit_deadline)?;
@@ -68,16 +77,19 @@
         None
     }
 
-    /// Whether what gateways sent before now has surely been read. A wait that timed out or was interrupted by a signal
-    /// proves nothing about what has come since: the poller is asked again first.
+    /// Whether everything that gateways sent before now has certainly been read. A wait of the poller that
+    /// timed out or was interrupted by a signal does not show what has arrived since, so the poller has to be
+    /// asked again first. Within [`FORCED_CLOSE_MARGIN`] of the exit deadline, events that are still reported
+    /// no longer count.
     fn has_polled_enough(&mut self, now: Timestamp, exit_deadline: Timestamp, nothing_ready: bool) -> bool {
         self.final_polls = self.final_polls.saturating_add(1);
         let forced = now.plus(FORCED_CLOSE_MARGIN) >= exit_deadline;
         self.final_polls >= MIN_FINAL_POLLS && (nothing_ready || forced)
     }
 
-    /// Rejects what is not complete by now, as it never ran, and shuts the write side of every connection. Each is closed
-    /// once its other side has ended too.
+    /// Rejects the requests that are still incomplete, as they never ran, fails the health checks that still
+    /// wait, and shuts the write side of every connection. A connection is closed once the other side has
+    /// closed it too.
     fn close_connections(&mut self, now: Timestamp) {
         for request in self.connections.unadmitted_requests() {
             let Some(open) = self.connections.take_request(request) else { continue };
@@ -94,7 +106,7 @@
         self.connections.close_all(now);
     }
 
-    /// The next step of the drain that is still to come.
+    /// When the next step of the drain is due; none if the process has no exit deadline.
     pub(super) fn next_drain_step(&self, now: Timestamp) -> Option<Timestamp> {
         let exit_deadline = self.exit_deadline?;
         let margins = [LISTENER_CLOSE_MARGIN, EXIT_MARGIN, FORCED_CLOSE_MARGIN];
@@ -102,8 +114,8 @@
         Some(steps.find(|step| now < *step).unwrap_or(exit_deadline))
     }
 
-    /// Whether the process ends with this iteration.
-    pub(super) fn is_over(&self) -> bool {
+    /// Whether the process is to exit after this iteration.
+    pub(super) fn should_exit(&self) -> bool {
         if self.handover.exit {
             return true;
         }
--- a/crates/node/src/event_loop/error.rs
+++ b/crates/node/src/event_loop/error.rs
@@ -1,14 +1,14 @@
-//! Why the node could not start or go on.
+//! Errors that end the process: the node cannot start or cannot continue.
 
 use crate::idempotency_store;
 use crate::peers::PeersError;
 use gaugestand_admission::SettingsError;
 use std::io;
 
-/// An error that ends the process; the text goes to the operator.
+/// An error that ends the process. Its text is printed for the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The operating system refused an operation, named first.
+    /// An operation of the operating system failed. The first field names the operation.
     #[error("{0}: {1}")]
     Io(&'static str, #[source] io::Error),
     /// The settings contradict each other or are out of range.
@@ -17,12 +17,13 @@
     /// The idempotency store cannot be opened.
     #[error("{0}")]
     IdempotencyStore(idempotency_store::StartError),
-    /// The cluster cannot be joined: its log cannot be opened, or its address cannot be listened at.
+    /// The node cannot join its cluster: it cannot open the consensus log, or cannot listen at its address
+    /// for other nodes.
     #[error("{0}")]
     Cluster(#[from] PeersError),
 }
 
-/// Names the operation that an I/O error is of.
+/// Converts an I/O error to [`NodeError::Io`], with the name of the operation that failed.
 pub(super) fn io_error(operation: &'static str) -> impl FnOnce(io::Error) -> NodeError {
     move |error| NodeError::Io(operation, error)
 }
--- a/crates/node/src/event_loop/handover/discovery.rs
+++ b/crates/node/src/event_loop/handover/discovery.rs
@@ -1,72 +1,79 @@
-//! Search for the active process of this node: at the start, and again when it was lost.
+//! Search for the active process of this node, at the start of a process and again after it has lost the link
+//! to the active one.
 
 use super::*;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Time between two searches for another process. A restart is delayed by this at most; each search costs a connect.
+/// Time between two searches for the active process. A restart is delayed by at most this time; each search
+/// costs one connection attempt.
 pub(super) const SEARCH_INTERVAL: Micros = Micros::millis(20);
-/// How long a starting process waits for the holder of the lock to answer, or for the address to be free. A predecessor
-/// that has just died releases both within a moment; if they are still taken later, an operator has to look.
+/// How long a starting process waits for the holder of the service lock to answer, or for the listening
+/// address to become free. Both are released within a moment after a predecessor dies; if they are still held
+/// after this time, the start fails and an operator has to find out why.
 const DISCOVERY_TIMEOUT: Micros = Micros::millis(3_000);
 
-/// Where processes of one node find each other.
+/// Paths at which the processes of one node find each other.
 #[derive(Debug)]
 pub(super) struct HandoverPaths {
+    /// Socket at which the active process accepts hand-over links.
     pub socket: PathBuf,
+    /// File of the service lock.
     pub lock: PathBuf,
 }
 
 /// Why no other process can take over from this one.
 #[derive(Debug, thiserror::Error)]
-enum Unavailable {
-    #[error("a store of record has one writer")]
-    StoreOfRecord,
-    #[error("a fleet's log has one writer")]
+enum HandoverUnavailable {
+    #[error("an idempotency store (record) is configured, and only one process can write to it")]
+    IdempotencyStore,
+    #[error("a cluster (fleet) is configured, and only one process can write its consensus log")]
     ConsensusLog,
-    #[error("TMPDIR is not set")]
-    NoFolder,
-    #[error("{}: {problem}", path.display())]
+    #[error("TMPDIR is unset or empty; it names the directory of the hand-over socket and the lock")]
+    TmpdirNotSet,
+    #[error("cannot use {}: {problem}", path.display())]
     Path { path: PathBuf, problem: io::Error },
 }
 
-impl Unavailable {
+impl HandoverUnavailable {
     fn log(&self) {
         let why = self.to_string();
-        tracing::info!(why, "no other process can take over from this one");
+        tracing::info!(why, "hand-over is not available; no other process can take over from this one");
     }
 }
 
 impl HandoverPaths {
-    /// Paths in `$TMPDIR`, named after the node and its address.
-    fn of(config: &Config) -> Result<Self, Unavailable> {
+    /// Paths in the directory `$TMPDIR`, named after the node and its address for gateways; or why this node
+    /// has no hand-over.
+    fn of(config: &Config) -> Result<Self, HandoverUnavailable> {
         if config.operators.record.is_some() {
-            return Err(Unavailable::StoreOfRecord);
+            return Err(HandoverUnavailable::IdempotencyStore);
         }
         if config.operators.fleet.is_some() {
-            return Err(Unavailable::ConsensusLog);
+            return Err(HandoverUnavailable::ConsensusLog);
         }
-        let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty());
-        let folder = folder.ok_or(Unavailable::NoFolder)?;
+        let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty());
+        let directory = directory.ok_or(HandoverUnavailable::TmpdirNotSet)?;
         let is_plain = |c: char| c.is_ascii_alphanumeric();
         let name: String = config.name.chars().map(|c| if is_plain(c) { c } else { '_' }).collect();
         let address = config.listen.to_string().replace(|c: char| !is_plain(c), "_");
-        let base = Path::new(&folder).join(format!("gaugestand-{name}-{address}"));
+        let base = Path::new(&directory).join(format!("gaugestand-{name}-{address}"));
         Ok(HandoverPaths { socket: base.with_extension("sock"), lock: base.with_extension("lock") })
     }
 }
 
-/// What a starting process has found.
-enum Found<S: System> {
-    /// A link to the active process.
+/// Result of one search by a starting process.
+enum SearchResult<S: System> {
+    /// A hand-over link to the active process.
     Predecessor(S::HandoverLink),
-    /// The service lock: there is no active process.
+    /// The service lock, which this process has just acquired: there is no active process.
     Lock(S::ServiceLock),
 }
 
 impl<S: System> HandoverState<S> {
-    /// Finds out whether this process is to be the active one of its node. Returns the listener that it then has; a
-    /// successor gets its predecessor's.
+    /// Determines whether this process becomes the active one of its node, or the successor of another
+    /// process. Returns the listener of an active process; a successor receives its predecessor's listener
+    /// later.
     pub(in crate::event_loop) fn discover(
         system: &S,
         config: &Config,
@@ -76,94 +83,104 @@
             Err(reason) => return Self::without_handover(system, config, &reason),
         };
         let started_at = system.moment().mono;
-        let is_late = || system.moment().mono.since(started_at) >= DISCOVERY_TIMEOUT;
+        let timed_out = || system.moment().mono.since(started_at) >= DISCOVERY_TIMEOUT;
         loop {
-            match Self::find(system, &paths) {
+            match Self::search_once(system, &paths) {
                 Err(reason) => return Self::without_handover(system, config, &reason),
-                Ok(Some(Found::Predecessor(link))) => {
-                    tracing::info!("another process of this node serves; waiting to take over from it");
+                Ok(Some(SearchResult::Predecessor(link))) => {
+                    tracing::info!(
+                        "hand-over: another process of this node is active; waiting to take over from it"
+                    );
                     let mut state = HandoverState::new(Handover::successor(), Some(paths));
                     state.predecessor_link = Some(FramedLink::new(link));
                     return Ok((state, None));
                 }
-                Ok(Some(Found::Lock(lock))) => {
-                    let listener = listen_when_free(system, config, is_late)?;
+                Ok(Some(SearchResult::Lock(lock))) => {
+                    let listener = listen_when_free(system, config, timed_out)?;
                     let mut state = HandoverState::new(Handover::active(), Some(paths));
                     state.lock = Some(lock);
                     state.listen_for_successor(system);
                     return Ok((state, Some(listener)));
                 }
-                Ok(None) if is_late() => {
-                    let problem = io::Error::other("another process has the claim and does not answer");
-                    return Err(NodeError::Io("starting beside it", problem));
+                Ok(None) if timed_out() => {
+                    let problem = io::Error::other(
+                        "another process holds the service lock and did not answer within 3 s",
+                    );
+                    return Err(NodeError::Io("searching for the active process of this node", problem));
                 }
-                Ok(None) => pause(),
+                Ok(None) => sleep_before_retry(),
             }
         }
     }
 
-    /// Whoever answers at the socket is the active process; otherwise whoever holds the lock is, or is about to be. Nothing
-    /// if another process holds the lock and does not answer.
-    fn find(system: &S, paths: &HandoverPaths) -> Result<Option<Found<S>>, Unavailable> {
+    /// Searches once. A process that answers at the socket is the active one. If none answers, the process
+    /// that holds the service lock is active, or is about to be. Returns none if another process holds the
+    /// lock and does not answer.
+    fn search_once(
+        system: &S,
+        paths: &HandoverPaths,
+    ) -> Result<Option<SearchResult<S>>, HandoverUnavailable> {
         if let Ok(link) = system.connect_for_handover(&paths.socket, PREDECESSOR) {
-            return Ok(Some(Found::Predecessor(link)));
+            return Ok(Some(SearchResult::Predecessor(link)));
         }
         match system.try_service_lock(&paths.lock) {
-            Ok(lock) => Ok(lock.map(Found::Lock)),
-            Err(problem) => Err(Unavailable::Path { path: paths.lock.clone(), problem }),
+            Ok(lock) => Ok(lock.map(SearchResult::Lock)),
+            Err(problem) => Err(HandoverUnavailable::Path { path: paths.lock.clone(), problem }),
         }
     }
 
     fn without_handover(
         system: &S,
         config: &Config,
-        reason: &Unavailable,
+        reason: &HandoverUnavailable,
     ) -> Result<(Self, Option<S::Listener>), NodeError> {
         reason.log();
-        let listener = system.listen(config.listen, GATEWAY_LISTENER).map_err(io_error("listening"))?;
+        let listener =
+            system.listen(config.listen, GATEWAY_LISTENER).map_err(io_error("listening for gateways"))?;
         Ok((HandoverState::new(Handover::active(), None), Some(listener)))
     }
 
-    /// Listens for a successor; the node also serves without.
+    /// Listens for hand-over links of a successor. If that fails, the node serves without hand-over.
     pub(super) fn listen_for_successor(&mut self, system: &S) {
         let Some(HandoverPaths { socket, .. }) = &self.paths else { return };
         match system.listen_for_handover(socket, HANDOVER_LISTENER) {
             Ok(listener) => self.listener = Some(listener),
-            Err(problem) => Unavailable::Path { path: socket.clone(), problem }.log(),
+            Err(problem) => HandoverUnavailable::Path { path: socket.clone(), problem }.log(),
         }
     }
 
-    /// Whether this process searches for the active one.
+    /// Whether this process is a successor that has no link to the active process and searches for it.
     pub(super) fn is_searching(&self) -> bool {
         matches!(self.machine.role(), Role::Successor { .. }) && self.predecessor_link.is_none()
     }
 }
 
-/// Listens for callers. A process that has just lost the lock may hold the address for another moment.
+/// Listens for gateways. While the address is in use, tries again until `timed_out` returns true: a process
+/// that has just lost the service lock may still hold the address for a moment.
 fn listen_when_free<S: System>(
     system: &S,
     config: &Config,
-    is_late: impl Fn() -> bool,
+    timed_out: impl Fn() -> bool,
 ) -> Result<S::Listener, NodeError> {
     loop {
-        let late = is_late();
+        let is_last_attempt = timed_out();
         match system.listen(config.listen, GATEWAY_LISTENER) {
             Ok(listener) => return Ok(listener),
-            Err(problem) if late || problem.kind() != io::ErrorKind::AddrInUse => {
-                return Err(NodeError::Io("listening", problem));
+            Err(problem) if is_last_attempt || problem.kind() != io::ErrorKind::AddrInUse => {
+                return Err(NodeError::Io("listening for gateways", problem));
             }
-            Err(_) => pause(),
+            Err(_) => sleep_before_retry(),
         }
     }
 }
 
-fn pause() {
+fn sleep_before_retry() {
     std::thread::sleep(Duration::from_micros(SEARCH_INTERVAL.0));
 }
 
 impl<S: System> Node<S> {
-    /// Searches for the active process, if it is time to.
-    pub(super) fn search(&mut self) {
+    /// Searches for the active process, if this process has no link to one and the next search is due.
+    pub(super) fn search_if_due(&mut self) {
         let now = self.clock.now();
         if !self.handover.is_searching() || now < self.handover.next_search {
             return;
@@ -172,7 +189,8 @@
         self.handover.next_search = now.plus(SEARCH_INTERVAL);
         match self.system.connect_for_handover(&paths.socket, PREDECESSOR) {
             Ok(link) => self.handover.predecessor_link = Some(FramedLink::new(link)),
-            // Nobody answers: it may have ended since, with keys that were never replicated.
+            // No process answers. The active one may have exited in the meantime, with keys that it never
+            // replicated.
             Err(_) => self.on_handover_event(Event::Unlinked),
         }
     }
--- a/crates/node/src/event_loop/handover/inherited_kernels.rs
+++ b/crates/node/src/event_loop/handover/inherited_kernels.rs
@@ -1,31 +1,34 @@
-//! Kernel links of earlier processes whose runs continue.
+//! Links to the kernels of earlier processes, for runs that those processes started and that continue.
 //!
-//! A kernel reports a run only to the address that started it. The successor therefore opens a second link there, with its
-//! predecessor's cursor in the kernel's notices, until the last of these runs is over.
+//! A kernel reports a run only through the address at which the run was started. The successor therefore
+//! opens a second link to that address, which continues at its predecessor's cursor in the kernel's notices,
+//! until the last of these runs has ended.
 
 use super::*;
 use crate::kernel;
 
-/// The poller has this many keys for inherited kernels. There is one for each hand-over whose runs continue, and runs are
-/// over within their deadline.
+/// Maximum number of inherited kernels; the poller has one key for each. There is one inherited kernel for
+/// each hand-over whose runs continue, and runs end within their deadline.
 const MAX_INHERITED_KERNELS: usize = 4;
-/// How long past the longest deadline a kernel may stay silent about a run before the run counts as failed.
+/// Time after the longest deadline of any class until a run that its kernel has not reported counts as
+/// failed.
 const EXPIRY_GRACE: Micros = Micros::millis(2_000);
 
-/// The kernel link of an earlier process.
+/// The link to the kernel of an earlier process.
 #[derive(Debug)]
 pub(in crate::event_loop) struct InheritedKernel<S: System> {
     pub(in crate::event_loop) kernel: Kernel<S>,
-    /// Its runs that are not over.
+    /// The earlier process's runs on this kernel that have not ended.
     pub(in crate::event_loop) runs: BTreeSet<RequestId>,
-    /// The poller's key of the link.
+    /// Poller key of the link.
     pub(in crate::event_loop) key: usize,
-    /// When runs that are still not over count as failed.
+    /// When runs that have not ended count as failed.
     pub(super) expires_at: Timestamp,
 }
 
 impl<S: System> Node<S> {
-    /// The kernel links whose runs are to continue in a successor, this process's own first.
+    /// Snapshots of the kernel links whose runs are to continue in a successor. This process's own link comes
+    /// first.
     pub(super) fn kernel_snapshots(&self) -> Vec<kernel::KernelSnapshot> {
         let inherited = &self.handover.inherited_kernels;
         let inherited_runs: BTreeSet<RequestId> =
@@ -33,11 +36,13 @@
         let running = self.engine.running_attempts().into_iter();
         let own_runs = running.filter(|id| !inherited_runs.contains(id)).collect();
         let mut snapshots = vec![self.kernel.snapshot(own_runs)];
-        snapshots.extend(inherited.iter().map(|i| i.kernel.snapshot(i.runs.iter().copied().collect())));
+        snapshots
+            .extend(inherited.iter().map(|link| link.kernel.snapshot(link.runs.iter().copied().collect())));
         snapshots
     }
 
-    /// Opens links to the kernels of earlier processes.
+    /// Opens links to the kernels of earlier processes that still have runs, [`MAX_INHERITED_KERNELS`] at
+    /// most.
     pub(super) fn inherit_kernels(&mut self, snapshots: &[kernel::KernelSnapshot]) {
         let expires_at = self.clock.now().plus(self.engine.longest_deadline()).plus(EXPIRY_GRACE);
         let busy = snapshots.iter().filter(|snapshot| !snapshot.runs.is_empty());
@@ -53,7 +58,8 @@
             .collect();
     }
 
-    /// Fails runs that a kernel has not reported for longer than any run may take.
+    /// Fails the runs that a kernel has not reported for longer than any run may take, and removes that
+    /// kernel.
     pub(super) fn expire_inherited_kernels(&mut self) {
         let now = self.clock.now();
         for index in (0..self.handover.inherited_kernels.len()).rev() {
@@ -69,7 +75,8 @@
         }
     }
 
-    /// Writes to inherited kernels, and drops those without runs. A link may break: what is lost is sent again on the next.
+    /// Writes queued commands to the inherited kernels, and removes kernels that have no runs left. If a link
+    /// breaks, commands that were lost are sent again on the next link.
     pub(super) fn flush_inherited_kernels(&mut self) {
         let now = self.clock.now();
         for inherited in &mut self.handover.inherited_kernels {
--- a/crates/node/src/event_loop/handover/mod.rs
+++ b/crates/node/src/event_loop/handover/mod.rs
@@ -1,14 +1,14 @@
-//! The hand-over of service to and from other processes of this node: carries out what
-//! [`gaugestand_admission::handover`] decides.
+//! The hand-over of service to and from other processes of this node: feeds events to the state machine in
+//! [`gaugestand_admission::handover`] and executes the actions that it returns.
 //!
-//! - `discovery`: search for an active process at the start, and again when it was lost;
-//! - `predecessor`: replication of keys to a successor, and handing over to it;
-//! - `successor`: receiving a predecessor's state, and taking over from it;
-//! - `remote_calls`: outbound calls that another process has made and still waits for;
-//! - `inherited_kernels`: kernel links of earlier processes whose runs continue.
+//! - `discovery`: search for the active process, at the start and again after the link to it was lost;
+//! - `predecessor`: replication of keys to a successor, and sending the state to it;
+//! - `successor`: receiving a predecessor's state, and taking over from the predecessor;
+//! - `remote_calls`: outbound calls that one process has made and another one waits for;
+//! - `inherited_kernels`: links to the kernels of earlier processes whose runs continue.
 
 use super::*;
-use crate::handover_link::{FinalState, Frame, FramedLink, FrontAttempt};
+use crate::handover_link::{AttemptState, FinalState, Frame, FramedLink};
 use crate::io::{Listener as _, ServiceLock as _};
 use discovery::HandoverPaths;
 use gaugestand_admission::handover::{Action, Event, Handover, Role};
@@ -21,58 +21,64 @@
 mod remote_calls;
 mod successor;
 
-/// Replication of keys to a successor.
+/// State of the replication of keys to a successor.
 #[derive(Debug, Default)]
 struct Replication {
-    /// The successor was told that it knows all keys: from then on each change is sent before the command that it is about.
+    /// Whether all keys have been sent and the successor has been told so. From then on each change of a key
+    /// is sent to the successor before the command that it concerns is sent to the kernel.
     keys_complete: bool,
-    /// Since when the successor does not read what it is sent.
+    /// Since when commands to the kernel wait because the successor does not read; none while they do not
+    /// wait.
     stalled_since: Option<Timestamp>,
 }
 
-/// What a predecessor has sent of its state, until this process takes over or drops it.
+/// The part of the predecessor's state that has been received, until this process takes over or drops that
+/// state.
 #[derive(Debug, Default)]
 struct ReceivedState {
-    /// The predecessor's connections, by their ids there, with their ids here.
+    /// Connections received from the predecessor: from the id that a connection had there to its id in this
+    /// process.
     connections: BTreeMap<ConnectionId, ConnectionId>,
-    attempts: Vec<FrontAttempt>,
+    attempts: Vec<AttemptState>,
     final_state: Option<Box<FinalState>>,
 }
 
-/// The start of this process's own kernel, as it has reported it.
+/// The start of this process's own kernel, as the kernel has reported it.
 #[derive(Clone, Copy, Debug)]
 struct BackendStart {
     cold: bool,
     age: Micros,
 }
 
-/// This process among those of its node.
+/// State of the hand-over between this process and the other processes of its node.
 #[derive(Debug)]
 pub(super) struct HandoverState<S: System> {
     pub(super) machine: Handover,
-    /// None where no other process can take over from this one.
+    /// Paths of the hand-over socket and the service lock; none if no other process can take over from this
+    /// one.
     paths: Option<HandoverPaths>,
     lock: Option<S::ServiceLock>,
-    /// Where a successor connects.
+    /// Listener that a successor connects to.
     listener: Option<S::HandoverListener>,
     successor_link: Option<FramedLink<S>>,
     replication: Replication,
     predecessor_link: Option<FramedLink<S>>,
-    /// The predecessor's listening socket.
+    /// The listening socket for gateways, as received from the predecessor.
     inherited_listener: Option<S::Listener>,
-    /// The predecessor drains: it sends nothing but keys, and this process serves once it has ended.
+    /// Whether the predecessor drains: it then sends only keys, and this process serves once the predecessor
+    /// has exited.
     predecessor_drains: bool,
     received: ReceivedState,
-    /// Generation marks on the lock when the predecessor released it.
+    /// Number of generation marks on the service lock when the predecessor released the lock.
     predecessor_marks: u64,
-    /// Outbound calls that an earlier process has made and still waits for.
+    /// Attempts whose outbound calls were made by an earlier process and have not ended.
     remote_calls: BTreeSet<RequestId>,
-    /// Outcomes of outbound calls that no active process can be told of yet.
+    /// Outcomes of outbound calls, kept while it is undecided which process is active.
     deferred_outcomes: Vec<EndedCall>,
     pub(super) inherited_kernels: Vec<InheritedKernel<S>>,
     backend_start: Option<BackendStart>,
     next_search: Timestamp,
-    /// The process is to end.
+    /// Whether the process is to exit.
     pub(super) exit: bool,
 }
 
@@ -107,19 +113,20 @@
             && !self.predecessor_drains
     }
 
-    /// The address that the predecessor listens at.
+    /// The address of the listening socket that was received from the predecessor; none if there is no such
+    /// socket.
     pub(super) fn inherited_address(&self) -> Option<std::net::SocketAddr> {
         self.inherited_listener.as_ref().and_then(|listener| listener.address())
     }
 
-    /// Notes what this process's own kernel says of its start; returns whether this process is not the active one, so that
-    /// nobody else is to be told.
+    /// Stores the start of this process's own kernel. Returns whether this process is not the active one: the
+    /// engine is then not to be notified of the start.
     pub(super) fn note_backend_start(&mut self, cold: bool, age: Micros) -> bool {
         self.backend_start = Some(BackendStart { cold, age });
         !self.machine.is_active()
     }
 
-    /// When to look again although nothing happens.
+    /// When the hand-over next has work that is due without an event; none if there is none.
     pub(super) fn next_wakeup(&self) -> Option<Timestamp> {
         let search = Some(self.next_search).filter(|_| self.is_searching());
         let stalled = self.replication.stalled_since.map(|since| since.plus(predecessor::STALL_TIMEOUT));
@@ -129,12 +136,13 @@
         [search, stalled, expiry, kernels, self.machine.next_wakeup()].into_iter().flatten().min()
     }
 
-    /// Tries to acquire the service lock, and returns the event that follows.
+    /// Tries to acquire the service lock. Returns the outcome as an event for the state machine.
     fn acquire_lock(&mut self, system: &S) -> Event {
         let lock = self.paths.as_ref().map(|paths| system.try_service_lock(&paths.lock));
         self.lock = lock.and_then(Result::ok).flatten();
         let Some(lock) = &self.lock else { return Event::LockUnavailable };
-        // Marks that cannot be read count as new ones: the state is rather lost than continued out of date.
+        // Marks that cannot be read count as new ones: losing the state is better than continuing from state
+        // that is out of date.
         let marks = lock.generation_marks().unwrap_or(u64::MAX);
         match self.machine.role() {
             Role::TakingOver if marks > self.predecessor_marks => Event::StateOutdated,
@@ -144,15 +152,15 @@
 }
 
 impl<S: System> Node<S> {
-    /// Something happened among the processes of this node.
+    /// Passes an event to the hand-over state machine and executes the actions that it returns.
     pub(super) fn on_handover_event(&mut self, event: Event) {
         let now = self.clock.now();
         for action in self.handover.machine.on_event(now, event) {
-            tracing::debug!(?event, step = ?action, "succession");
+            tracing::debug!(?event, step = ?action, "hand-over: an event led to a step of the state machine");
             match action {
                 Action::Replicate => self.begin_replication(),
                 Action::StopReplicating => self.stop_replication(),
-                // Whoever accepted the link drops it.
+                // `accept_successors`, which accepted the link, drops it.
                 Action::RefuseLink => {}
                 Action::HandOver => self.hand_over(),
                 Action::AcquireLock => {
@@ -171,32 +179,33 @@
         }
     }
 
-    /// Handles what is due among processes.
+    /// Does the work of the hand-over that is due.
     pub(super) fn tick_handover(&mut self) {
         if self.handover.paths.is_none() {
             return;
         }
         self.on_handover_event(Event::Tick);
-        self.search();
+        self.search_if_due();
         self.expire_inherited_kernels();
         if self.handover.machine.is_active() {
             let now = self.clock.now();
             for inherited in &mut self.handover.inherited_kernels {
                 inherited.kernel.on_timer(now);
             }
-            self.release_predecessor();
+            self.close_finished_predecessor_link();
         }
     }
 
-    /// Ends an iteration: writes what is queued for other processes.
+    /// Writes what is queued for inherited kernels and for other processes, at the end of an iteration.
     pub(super) fn flush_handover(&mut self) {
         self.flush_inherited_kernels();
         self.flush_predecessor_link();
         self.flush_successor_link();
-        self.release_predecessor();
+        self.close_finished_predecessor_link();
     }
 
-    /// One iteration of a process that is not the active one. Returns when the next one is due.
+    /// Does the work that is due in a process that is not the active one. Returns when the next iteration is
+    /// due.
     pub(super) fn run_inactive(&mut self) -> Timestamp {
         let now = self.clock.now();
         let mut kernel = None;
--- a/crates/node/src/event_loop/handover/predecessor.rs
+++ b/crates/node/src/event_loop/handover/predecessor.rs
@@ -1,18 +1,19 @@
-//! The predecessor's side: replication of keys to a successor, and handing over to it.
+//! The predecessor's side of a hand-over: replication of keys to a successor, and sending the state to it.
 
 use super::*;
 use crate::handover_link::{AttachedSocket, KEYS_PER_FRAME, LinkError};
 use crate::io::PassedSocket;
 
-/// Descriptors that a successor needs besides its connections to the store and to operators. The node's budget of
-/// descriptors covers both processes, so that this one lends them.
+/// File descriptors that a successor needs besides its connections to the store and to operators. The node's
+/// budget of descriptors covers both processes, so this process leaves that many unused while a successor is
+/// linked.
 const SUCCESSOR_DESCRIPTORS: usize = 20;
-/// How long commands to the kernel wait for a successor that does not read the keys that they are about. It is far below any
-/// deadline: then the link is closed, and the successor has to come again.
+/// How long commands to the kernel wait for a successor that does not read the keys that they concern. After
+/// that the link is closed, and the successor has to connect again. The time is far below any deadline.
 pub(super) const STALL_TIMEOUT: Micros = Micros::millis(200);
 
 impl<S: System> Node<S> {
-    /// Accepts links from other processes; refuses all but the first.
+    /// Accepts hand-over links from other processes. Closes every link but the first at once.
     pub(in crate::event_loop) fn accept_successors(&mut self) {
         loop {
             let Some(listener) = &self.handover.listener else { return };
@@ -27,7 +28,7 @@
     }
 
     pub(super) fn begin_replication(&mut self) {
-        tracing::info!("a new process of this node has come");
+        tracing::info!("hand-over: a successor has connected; replicating the idempotency keys to it");
         let moment = self.clock.moment();
         let idempotency = self.engine.idempotency();
         idempotency.set_replicating(true);
@@ -48,8 +49,9 @@
         self.connections.reserve_descriptors(0);
     }
 
-    /// Replicates keys to the successor. Returns whether commands may be sent to the kernel: not before the successor has
-    /// been sent the keys that they are about, as the death of both processes would let a key run twice.
+    /// Replicates keys to the successor. Returns whether commands may be sent to the kernel: a command has to
+    /// wait until the successor has been sent the keys that it concerns, as otherwise the death of both
+    /// processes would let a key run twice.
     pub(in crate::event_loop) fn replicate_keys(&mut self) -> bool {
         if self.handover.successor_link.is_none() {
             return true;
@@ -71,7 +73,9 @@
         if now.since(since) < STALL_TIMEOUT {
             return false;
         }
-        tracing::warn!("the new process does not read; it has to come again");
+        tracing::warn!(
+            "hand-over: the successor did not read for 200 ms; closing the link for it to connect again"
+        );
         self.handover.successor_link = None;
         self.on_handover_event(Event::Unlinked);
         true
@@ -91,7 +95,8 @@
         }
     }
 
-    /// Tells the successor once that it knows all keys. From then on commands wait for what it is sent.
+    /// Tells the successor, once, that all keys have been sent. From then on commands to the kernel wait
+    /// until the successor has been sent the keys that they concern.
     fn announce_complete_keys(&mut self) {
         let is_announced = self.handover.replication.keys_complete;
         let is_predecessor = self.handover.machine.role() == Role::Predecessor;
@@ -105,7 +110,7 @@
         self.flush_successor_link();
     }
 
-    /// Whether a key has changed that the successor has not been sent.
+    /// Whether a change of a key has not yet been sent to the successor.
     fn is_replication_behind(&mut self) -> bool {
         let is_unwritten = self.handover.successor_link.as_ref().is_some_and(|link| !link.is_flushed());
         is_unwritten || self.engine.idempotency().is_replication_behind()
@@ -127,13 +132,13 @@
     fn successor_link_lost(&mut self, error: &LinkError) {
         if error.is_protocol_error() {
             let why = error.to_string();
-            tracing::warn!(why, "the link to the new process");
+            tracing::warn!(why, "hand-over: protocol error on the link to the successor; closing the link");
         }
         self.handover.successor_link = None;
         self.on_handover_event(Event::Unlinked);
     }
 
-    /// The link to the successor is ready.
+    /// Handles readiness of the link to the successor.
     pub(in crate::event_loop) fn on_successor_ready(&mut self, ready: Ready) {
         let Some(link) = &mut self.handover.successor_link else { return };
         let read = if ready.readable { link.read().map(|_| ()) } else { Ok(()) };
@@ -150,9 +155,12 @@
         }
     }
 
-    /// Stops all work, sends the whole state and releases the lock.
+    /// Stops all work, queues the whole state for the successor and releases the service lock.
     pub(super) fn hand_over(&mut self) {
-        tracing::info!(open = self.open_attempts(), "handing over to the new process");
+        tracing::info!(
+            open = self.open_attempts(),
+            "hand-over: stopping all work and sending the state to the successor"
+        );
         self.exit_deadline = Some(self.clock.now().plus(self.config.stop_timeout));
         self.connections.pause(true);
         let state = self.final_state();
@@ -190,12 +198,16 @@
         }
     }
 
-    /// Marks the state that was sent as out of date, and reads everything that the successor has sent. As it does not hold
-    /// the lock, it cannot confirm later that it took over.
+    /// Adds a generation mark to the service lock, which marks the state that was sent as out of date, then
+    /// reads everything that the successor has sent. The successor does not hold the lock, so it cannot
+    /// confirm later that it took over.
     pub(super) fn read_successor(&mut self) {
         let marked = self.handover.lock.as_ref().map(|lock| lock.add_generation_mark());
         if let Some(Err(problem)) = marked {
-            tracing::warn!(%problem, "marking the claim");
+            tracing::warn!(
+                %problem,
+                "hand-over: cannot mark the service lock; a successor cannot tell that its state is outdated"
+            );
         }
         if let Some(link) = &mut self.handover.successor_link {
             while link.read().is_ok_and(|bytes| bytes > 0) {}
@@ -208,15 +220,15 @@
     }
 
     pub(super) fn resume_service(&mut self) {
-        tracing::warn!("the new process did not take over");
+        tracing::warn!("hand-over: the successor did not take over; resuming service and draining");
         self.connections.pause(false);
         let outcomes = mem::take(&mut self.handover.deferred_outcomes);
         self.on_calls_ended(outcomes);
     }
 
-    /// Drops all state but outbound calls: another process is active.
+    /// Drops all state except outbound calls, as another process is active now.
     pub(super) fn retire(&mut self) {
-        tracing::info!("another process has taken over");
+        tracing::info!("hand-over: another process has taken over; dropping all state but outbound calls");
         self.request_metrics.record_handed_over(self.open_attempts());
         self.attempts.clear();
         self.engine.retire();
--- a/crates/node/src/event_loop/handover/successor.rs
+++ b/crates/node/src/event_loop/handover/successor.rs
@@ -1,15 +1,17 @@
-//! The successor's side: receiving a predecessor's keys and state, and taking over from it.
+//! The successor's side of a hand-over: receiving a predecessor's keys and state, and taking over from the
+//! predecessor.
 
 use super::*;
 use crate::handover_link::{AttachedSocket, LinkError};
 use crate::io::PassedSocket;
 
-/// How long a successor that cannot read the predecessor's state leaves it alone. The predecessor has to reclaim the lock
-/// within that time; it would only send the same again.
-const GIVE_WAY_DELAY: Micros = Micros::millis(1_000);
+/// How long a successor that cannot read the predecessor's frames waits before it searches again. The
+/// predecessor has to reclaim the lock within that time; a successor that connected earlier would only
+/// receive the same frames again.
+const PROTOCOL_ERROR_DELAY: Micros = Micros::millis(1_000);
 
 impl<S: System> Node<S> {
-    /// The link to the predecessor is ready.
+    /// Handles readiness of the link to the predecessor.
     pub(in crate::event_loop) fn on_predecessor_ready(&mut self, ready: Ready) {
         let Some(link) = &mut self.handover.predecessor_link else { return };
         let read = if ready.readable { link.read().map(|_| ()) } else { Ok(()) };
@@ -26,7 +28,7 @@
     fn predecessor_link_lost(&mut self, error: &LinkError) {
         if error.is_protocol_error() {
             let why = error.to_string();
-            tracing::warn!(why, "the link to the process before this one");
+            tracing::warn!(why, "hand-over: protocol error on the link to the predecessor; closing the link");
         }
         self.handover.predecessor_link = None;
         self.break_remote_calls();
@@ -36,11 +38,12 @@
         let now = self.clock.now();
         if error.is_protocol_error() {
             self.on_handover_event(Event::Unreadable);
-            self.handover.next_search = now.plus(GIVE_WAY_DELAY);
+            self.handover.next_search = now.plus(PROTOCOL_ERROR_DELAY);
         } else if self.handover.inherited_listener.is_some() {
             self.on_handover_event(Event::Unlinked);
         } else {
-            // No Hello came: the link was refused, as another process takes over at this moment, or the other one died.
+            // The predecessor sent no Hello: it refused the link, as another process is taking over at this
+            // moment, or it died.
             self.handover.next_search = now.plus(discovery::SEARCH_INTERVAL);
         }
     }
@@ -54,7 +57,8 @@
                 self.handover.inherited_listener = Some(link.take_listener(GATEWAY_LISTENER)?);
                 self.system.align_clock(moment);
                 self.clock.read(&self.system);
-                // The clock has advanced to the predecessor's: no operator has waited for that long.
+                // The clock has advanced to the predecessor's time. The timeouts of operators' calls restart,
+                // as no operator has waited for as long as the clock says.
                 self.admin.restart(self.clock.now());
                 self.engine.idempotency().begin_replica(fingerprint_secret);
             }
@@ -64,9 +68,9 @@
             Frame::KeysComplete if is_waiting => self.on_handover_event(Event::KeysComplete),
             Frame::Connection(connection) if is_waiting => {
                 let stream = link.take_stream(self.connections.next_key())?;
-                let id_there = connection.id;
-                let id_here = self.connections.restore(stream, *connection);
-                self.handover.received.connections.insert(id_there, id_here);
+                let predecessor_id = connection.id;
+                let own_id = self.connections.restore(stream, *connection);
+                self.handover.received.connections.insert(predecessor_id, own_id);
             }
             Frame::Attempt(attempt) if is_waiting => self.handover.received.attempts.push(*attempt),
             Frame::FinalState(state) if is_waiting => self.handover.received.final_state = Some(state),
@@ -77,22 +81,23 @@
             Frame::CallEnded(id, outcome, reply, latency) => {
                 self.remote_call_ended(EndedCall { id, outcome, reply, latency })
             }
-            _ => return Err(LinkError::OutOfOrder),
+            _ => return Err(LinkError::UnexpectedFrame),
         }
         Ok(())
     }
 
-    /// Continues from the predecessor's state.
+    /// Takes over: confirms that to the predecessor, and continues from the predecessor's state.
     pub(super) fn take_over(&mut self) {
         if let Some(link) = &mut self.handover.predecessor_link {
-            // Before anything else: a predecessor that has not read this reclaims the lock if this process dies.
+            // The confirmation is sent before anything else: if this process dies, a predecessor that has not
+            // read it reclaims the lock.
             link.queue(&Frame::TakenOver, AttachedSocket::None);
         }
         self.flush_predecessor_link();
         let ReceivedState { connections, attempts, final_state } = mem::take(&mut self.handover.received);
         let Some(state) = final_state else { return };
         for mut attempt in attempts {
-            attempt.conn = connections.get(&attempt.conn).copied().unwrap_or(ConnectionId::GONE);
+            attempt.connection = connections.get(&attempt.connection).copied().unwrap_or(ConnectionId::GONE);
             if attempt.open {
                 self.request_metrics.record_admitted();
             }
@@ -111,17 +116,20 @@
             self.start_deep_check(request);
         }
         self.enter_service();
-        tracing::info!(open = self.open_attempts(), "took over");
-        // This process may have been started with other settings than its predecessor.
+        tracing::info!(open = self.open_attempts(), "hand-over: took over from the predecessor");
+        // This process may have been started with other settings than its predecessor, so its own are
+        // applied.
         self.apply_settings();
-        self.release_predecessor();
+        self.close_finished_predecessor_link();
     }
 
-    /// Serves without the predecessor's state: it is gone, or its state is out of date.
+    /// Becomes the active process without the predecessor's state: the predecessor has exited without sending
+    /// it, or the state is out of date. `keys_complete` says whether all keys of the predecessor were
+    /// received.
     pub(super) fn serve_without_state(&mut self, keys_complete: bool) {
         tracing::warn!(
             all = keys_complete,
-            "the process before this one is gone; serving with the keys that it told of"
+            "hand-over: the predecessor's state is missing or outdated; serving with the received keys only"
         );
         let now = self.clock.moment();
         let window = longest_dedup_window(&self.config);
@@ -133,14 +141,14 @@
         }
     }
 
-    /// Listens for callers and for a successor, and accepts requests.
+    /// Begins to serve: listens for gateways and for a successor, and accepts requests.
     fn enter_service(&mut self) {
         self.handover.listen_for_successor(&self.system);
         let inherited = self.handover.inherited_listener.take();
         match inherited.map_or_else(|| self.system.listen(self.config.listen, GATEWAY_LISTENER), Ok) {
             Ok(listener) => self.connections.listen(listener),
             Err(problem) => {
-                tracing::error!(%problem, "listening");
+                tracing::error!(%problem, "hand-over: cannot listen for gateways; the process exits");
                 self.handover.exit = true;
             }
         }
@@ -170,8 +178,9 @@
         }
     }
 
-    /// Closes the link to the predecessor, which ends then, once nothing more is to come from it.
-    pub(super) fn release_predecessor(&mut self) {
+    /// Closes the link to the predecessor once nothing more can come from it: no run of an earlier process
+    /// continues and no outbound call of one is open. The predecessor then exits.
+    pub(super) fn close_finished_predecessor_link(&mut self) {
         let handover = &mut self.handover;
         let is_done = handover.inherited_kernels.is_empty() && handover.remote_calls.is_empty();
         if handover.machine.is_active() && is_done {
--- a/crates/node/src/event_loop/health.rs
+++ b/crates/node/src/event_loop/health.rs
@@ -1,4 +1,5 @@
-//! Health checks of gateways: a shallow one reports whether the node is in service, a deep one also that work gets done.
+//! Health checks by gateways. A shallow check reports whether the node is in service. A deep check also has
+//! the kernel do some work, and reports whether that succeeded.
 
 use super::Node;
 use crate::connections::{OpenRequest, RequestRef};
@@ -6,12 +7,14 @@
 use crate::response::{Response, http_status};
 
 impl<S: System> Node<S> {
-    /// Whether gateways' health checks and the membership service hear that this node is in service.
+    /// Whether this node reports itself as in service, to gateways' health checks and to the membership
+    /// service.
     pub(super) fn is_in_service(&self) -> bool {
         self.engine.is_healthy() && self.knows_active_version()
     }
 
-    /// A health check was read. Only a deep one on a node that is in service waits, for the kernel's part.
+    /// Handles a health check that has been read completely. A deep check on a node that is in service waits
+    /// for the kernel; every other check is answered at once.
     pub(super) fn on_health_check(&mut self, request: RequestRef, keeps_connection: bool, deep: bool) {
         self.counters.checks_read += 1;
         let in_service = self.is_in_service();
--- a/crates/node/src/event_loop/kernel_events.rs
+++ b/crates/node/src/event_loop/kernel_events.rs
@@ -1,6 +1,8 @@
-//! Notices of the kernel about its state and its runs, and the ends of outbound calls, passed on to the engine.
+//! Passes the kernel's notices about its state and its runs, and the outcomes of outbound calls, to the
+//! engine.
 //!
-//! Runs taken over from an earlier process are reported by the kernels of that process, on links of their own.
+//! Runs that were taken over from an earlier process are reported by that process's kernel, on a link of its
+//! own.
 
 use super::Node;
 use crate::io::link::Change;
@@ -34,16 +36,19 @@
     }
 
     fn on_kernel_started(&mut self, cold: bool, age: Micros) {
-        // A process that waits to take over keeps it for then: its engine decides nothing yet.
+        // In a standby process the engine is not active yet: the start of the kernel is stored until the
+        // process takes over.
         if !self.handover.note_backend_start(cold, age) {
             self.notify_engine(EngineEvent::BackendStarted { cold, age });
         }
     }
 
-    /// A kernel of an earlier process has something to read; only its notices about runs still matter.
+    /// Handles readiness of the link to an earlier process's kernel. Only notices about runs are acted on.
     pub(super) fn on_inherited_kernel_ready(&mut self, event: Ready) {
         let now = self.clock.now();
-        let Some(index) = self.handover.inherited_kernels.iter().position(|one| one.key == event.key) else {
+        let Some(index) =
+            self.handover.inherited_kernels.iter().position(|inherited| inherited.key == event.key)
+        else {
             return;
         };
         let Some(inherited) = self.handover.inherited_kernels.get_mut(index) else { return };
@@ -71,24 +76,27 @@
 
     fn on_call_requested(&mut self, id: RequestId, cursor: u64, body: Vec<u8>) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
-            attempt.call = body;
+            attempt.call_body = body;
             attempt.call_notice = cursor;
             self.notify_engine(EngineEvent::CallRequested(id));
         }
     }
 
     fn on_run_rejected(&mut self, id: RequestId) {
-        // The kernel rejects only ids that it cannot know: the client makes them up, and its connection counts it.
-        if let Some(connection) = self.attempts.get(&id).map(|attempt| attempt.conn) {
+        // The kernel rejects a run only if the kernel cannot know the run's id. Such an id was made up by the
+        // client, so the rejection counts as a bad request on the client's connection.
+        if let Some(connection) = self.attempts.get(&id).map(|attempt| attempt.connection) {
             self.connections.note_bad_request(self.clock.now(), connection, false);
         }
         self.notify_engine(EngineEvent::RunEnded(id, RunOutcome::NeverRan));
     }
 
-    /// The kernel that an attempt's run is on, or is to be on.
+    /// The kernel that an attempt's run was started on, or will be started on: an inherited kernel, or this
+    /// process's own.
     pub(super) fn kernel_of(&mut self, id: RequestId) -> &mut Kernel<S> {
-        let inherited = self.handover.inherited_kernels.iter_mut().find(|one| one.runs.contains(&id));
-        inherited.map_or(&mut self.kernel, |one| &mut one.kernel)
+        let inherited =
+            self.handover.inherited_kernels.iter_mut().find(|inherited| inherited.runs.contains(&id));
+        inherited.map_or(&mut self.kernel, |inherited| &mut inherited.kernel)
     }
 
     pub(super) fn on_kernel_link_change(&mut self, change: Change) {
@@ -97,7 +105,8 @@
         }
     }
 
-    /// Outbound calls have ended: their runs go on with the reply, if there is one, and the engine hears of it.
+    /// Handles the end of outbound calls: sends each reply to the kernel, so that the run continues, and
+    /// passes the outcome to the engine. A process that is not active forwards the outcomes instead.
     pub(super) fn on_calls_ended(&mut self, calls: Vec<EndedCall>) {
         if !self.handover.machine.is_active() {
             return self.forward_call_outcomes(calls);
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -1,30 +1,32 @@
-//! The event loop: one thread that reads what is ready, lets the engine decide, carries its commands out and writes.
+//! The event loop of the node: one thread that reads input from ready sources, passes events to the admission
+//! engine, executes the commands that the engine returns, and writes output.
 //!
-//! One iteration ([`Node::run_iteration`]) reads the clock once, dispatches every readiness event of the poller,
-//! does what is due by now, and then writes what all of that has queued. Each file beside this one is the loop's part in one
-//! concern:
+//! One iteration ([`Node::run_iteration`]) reads the clock once, dispatches every readiness event of the
+//! poller, does the work that is due, and then writes the output that was queued. Each file in this directory
+//! handles one concern of the loop:
 //!
-//! - `keys`: under which key each source is registered with the poller
-//! - `dispatch`: from a readiness event to its handler
+//! - `keys`: the poller keys under which event sources are registered
+//! - `dispatch`: dispatches readiness events to their handlers
 //! - `requests`: gateways' connections, from bytes to admitted attempts and from answers to bytes
-//! - `commands`: carries out what the engine decides
-//! - `kernel_events`: notices of the kernel, ends of outbound calls
+//! - `commands`: executes the engine's commands
+//! - `kernel_events`: notices of the kernel and outcomes of outbound calls
 //! - `health`: gateways' health checks
-//! - `drain`: from SIGTERM to the exit
-//! - `reload`: SIGHUP
-//! - `admin_calls`: operators' calls
-//! - `handover`: other processes of this node
-//! - `cluster`: the other nodes
+//! - `drain`: the drain, from SIGTERM or SIGINT to the exit
+//! - `reload`: reload of the configuration on SIGHUP
+//! - `admin_calls`: operators' calls at the second address
+//! - `handover`: hand-over of service between processes of this node
+//! - `cluster`: the other nodes of the cluster, and the settings that the nodes agreed on
 //!
-//! Guarantees: nothing here blocks, no iteration is repeated at once without cause, and errors of a link or connection end that
-//! one alone. It decides nothing about requests; that is `gaugestand_admission`'s.
+//! The loop guarantees that no iteration blocks, that no iteration is repeated at once without cause, and
+//! that an error of a link or connection closes only that link or connection. The loop makes no decisions
+//! about requests; `gaugestand_admission` does.
 
 use super::admin::{self, Admin};
 use super::config;
 use super::config::Config;
 use super::connections::{self, ConnectionId, ConnectionTable};
 use super::counters::Counters;
-use super::handover_link::FrontAttempt;
+use super::handover_link::AttemptState;
 use super::health_checks::HealthChecks;
 use super::idempotency_store::{self, IdempotencyStore, Owner};
 use super::io::clock::Clock;
@@ -66,20 +68,20 @@
 
 pub use error::NodeError;
 
-/// Longest wait for the poller: a wall clock that was set, or a timer that was missed, is noticed within this.
+/// Longest wait for the poller. A change of the wall clock or a missed timer is noticed within this time.
 const MAX_POLL_WAIT: Micros = Micros::millis(1_000);
-/// Shortest time to the next iteration when nothing is ready. Something overdue that this iteration could do nothing about
-/// must not make the loop spin.
+/// Shortest time to the next iteration when no source is ready. An overdue task on which the current
+/// iteration could make no progress must not make the loop spin.
 const MIN_POLL_WAIT: Micros = Micros(200);
 
-/// The node: every component of the process, and the state that the loop's parts share.
+/// The node: the components of the process, and the state that the files of the event loop share.
 #[derive(Debug)]
 pub struct Node<S: System> {
     system: S,
     config: Config,
     clock: Clock,
     connections: ConnectionTable<S>,
-    /// What was read from one connection, so that its records are parsed in place.
+    /// Buffer for the input of one connection at a time. Records are parsed in place.
     read_buffer: Vec<u8>,
     kernel: Kernel<S>,
     store: Store<S>,
@@ -90,55 +92,61 @@
     counters: Counters,
     admin: Admin<S>,
     request_metrics: RequestMetrics,
-    /// Slots of the classes, by the names that requests carry.
+    /// Slot of each class, by the class name that requests carry.
     class_slots: ClassSlots,
     /// Whether the class in each slot is keyed.
     keyed_classes: Vec<bool>,
     /// Admitted attempts, until the engine forgets them.
-    attempts: BTreeMap<RequestId, FrontAttempt>,
-    /// Other processes of this node.
+    attempts: BTreeMap<RequestId, AttemptState>,
+    /// State of the hand-over to and from other processes of this node.
     handover: HandoverState<S>,
     health_checks: HealthChecks,
-    /// SIGTERM and SIGINT.
+    /// Readable after SIGTERM or SIGINT has arrived.
     termination_signals: S::Signals,
-    /// SIGUSR1.
+    /// Readable after SIGUSR1 has arrived.
     counters_signal: S::Signals,
-    /// SIGHUP.
+    /// Readable after SIGHUP has arrived.
     reload_signal: S::Signals,
-    /// When the process exits at the latest: the end of a drain, or of the time that a retired process may take.
+    /// Latest time at which the process exits. Set when a drain begins, or when the process hands over to a
+    /// successor.
     exit_deadline: Option<Timestamp>,
     draining: bool,
-    /// Iterations since the end of the drain is near.
+    /// Number of iterations within the exit margin of the drain.
     final_polls: u8,
-    /// The other nodes, if this one is part of a cluster.
+    /// Links to the other nodes; none if this node belongs to no cluster.
     peers: Option<Box<Peers<S>>>,
-    /// The settings of the node's own file, while those of an agreed version are in effect.
+    /// Settings from the node's own configuration file, kept while the settings of an agreed version are in
+    /// effect.
     local_settings: serde_json::Value,
-    /// Replies by class at two moments, from which the present load follows.
+    /// Samples of the replies by class, from which the current load is computed.
     load_samples: cluster::LoadSamples,
 }
 
-/// The earliest of these times, or the longest wait if there is none; never so soon that the loop would spin.
+/// The earliest of `times`, but not before [`MIN_POLL_WAIT`] from now, so that the loop does not spin;
+/// [`MAX_POLL_WAIT`] from now if `times` has none.
 fn earliest_wakeup(now: Timestamp, times: impl IntoIterator<Item = Option<Timestamp>>) -> Timestamp {
     let earliest = times.into_iter().flatten().min();
     earliest.unwrap_or(now.plus(MAX_POLL_WAIT)).max(now.plus(MIN_POLL_WAIT))
 }
 
 impl<S: System> Node<S> {
-    /// Opens everything that the configuration names, and listens. Nothing is accepted before [`Node::run`].
+    /// Opens the stores, links and listeners that the configuration names. No connection is accepted before
+    /// [`Node::run`].
     ///
     /// # Errors
     /// The system refuses a signal handler or a listener ([`NodeError::Io`]), the idempotency store or the
     /// cluster's log cannot be opened, or the settings are unusable. The process cannot serve; no request was
     /// accepted.
     pub fn start(system: S, config: Config, logs: Logs) -> Result<Self, NodeError> {
-        // Before anything can connect: a signal that comes during the start then waits, and does not kill the process.
-        let signals = |key, which: &[i32]| system.signals(key, which).map_err(io_error("signals"));
+        // The signal handlers are registered first: a signal that arrives during the start then waits, and
+        // does not kill the process.
+        let signals =
+            |key, which: &[i32]| system.signals(key, which).map_err(io_error("registering signal handlers"));
         let termination_signals = signals(TERMINATION, &[SIGTERM, SIGINT])?;
         let counters_signal = signals(PRINT_COUNTERS, &[SIGUSR1])?;
         let reload_signal = signals(RELOAD, &[SIGHUP])?;
         let clock = Clock::new(&system);
-        // The idempotency store is read before anybody can connect.
+        // The idempotency store is read before any gateway can connect.
         let owner = Owner { name: &config.name, seed: config.seed, window: longest_dedup_window(&config) };
         let store_settings = config.operators.record.as_ref();
         let (idempotency_store, mut key_table) =
@@ -156,7 +164,7 @@
         let (handover, listener) = HandoverState::discover(&system, &config)?;
         match listener {
             Some(listener) => connections.listen(listener),
-            // The process before this one has the listener until it hands over.
+            // The predecessor keeps the listening socket until it hands over.
             None => connections.pause(true),
         }
         let engine =
@@ -168,7 +176,7 @@
             kernel: Kernel::new(config.kernel, KERNEL, &system, &config.gauge_names),
             store: Store::new(config.store, FIRST_STORE_CONNECTION, store_connections, &system),
             membership: MembershipReports::new(&system, config.membership, &config.name)
-                .map_err(io_error("members"))?,
+                .map_err(io_error("members: opening a socket to the membership service"))?,
             counters: Counters::default(),
             admin,
             request_metrics,
@@ -194,32 +202,33 @@
         })
     }
 
-    /// The address that gateways connect to.
+    /// The address that gateways connect to; none while this process has no listener.
     pub fn address(&self) -> Option<SocketAddr> {
         self.connections.address().or_else(|| self.handover.inherited_address())
     }
 
-    /// The address that operators' calls come in at.
+    /// The second address, at which the node accepts operators' calls; none if the configuration names none.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.admin.address()
     }
 
-    /// The address that other nodes of the cluster connect to.
+    /// The address that other nodes of the cluster connect to; none if this node belongs to no cluster.
     pub fn peers_address(&self) -> Option<SocketAddr> {
         self.peers.as_ref().and_then(|peers| peers.address())
     }
 
-    /// What it has counted so far.
+    /// The node's counters, counted since its start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Requests by class and outcome, as operators see them.
+    /// The metrics that operators read: requests by class and outcome.
     pub fn request_metrics(&self) -> &RequestMetrics {
         &self.request_metrics
     }
 
-    /// Iterates until the end of a drain, or until another process has taken over.
+    /// Runs the event loop until a drain has ended, or until another process has taken over and this one has
+    /// nothing left to do.
     ///
     /// # Errors
     /// [`NodeError::Io`] if the poller fails. The process has to end without a drain; open requests get no
@@ -229,7 +238,7 @@
         let mut wakeup = self.clock.now();
         loop {
             let wait = wakeup.since(self.clock.now()).min(MAX_POLL_WAIT);
-            self.system.wait(wait, &mut ready).map_err(io_error("poller"))?;
+            self.system.wait(wait, &mut ready).map_err(io_error("waiting for events of the poller"))?;
             match self.run_iteration(&ready) {
                 Some(next) => wakeup = next,
                 None => return Ok(()),
@@ -237,8 +246,8 @@
         }
     }
 
-    /// One iteration: handles what is ready and does what is due. Returns when the next one is due even if nothing is ready by
-    /// then; nothing if the process is to end.
+    /// Runs one iteration: handles the readiness events and does the work that is due. Returns when the next
+    /// iteration is due even if no source is ready by then; none if the process is to exit.
     pub fn run_iteration(&mut self, ready: &[Ready]) -> Option<Timestamp> {
         self.clock.read(&self.system);
         for event in ready {
@@ -249,19 +258,20 @@
         } else {
             self.run_inactive()
         };
-        if self.is_over() {
+        if self.should_exit() {
             self.print_counters();
             return None;
         }
         Some(wakeup)
     }
 
-    /// Does what is due by now, in this order: hand-over, links, deadlines of connections, cluster, engine, drain; then writes.
-    /// `nothing_ready` if the poller had nothing for this iteration. Returns when to do so again.
+    /// Does the work that is due, in this order: hand-over, links, timeouts of connections, cluster, engine,
+    /// drain; then writes the output. `nothing_ready` says that the poller reported no event for this
+    /// iteration. Returns when the next iteration is due.
     fn run_due_work(&mut self, nothing_ready: bool) -> Timestamp {
         let now = self.clock.now();
         self.tick_handover();
-        // The hand-over may just have made another process the node.
+        // The hand-over may just have made another process the active one.
         if !self.handover.machine.is_active() {
             return self.run_inactive();
         }
@@ -292,7 +302,8 @@
         earliest_wakeup(now, wakeups)
     }
 
-    /// Keeps the links to the kernel and the store up, and ends what they were too slow for.
+    /// Runs the timers of the links to the kernel and the store: reconnects, and ends the outbound calls and
+    /// deep health checks that have timed out.
     fn run_link_timers(&mut self, now: Timestamp) {
         if let Some(change) = self.kernel.on_timer(now) {
             self.on_kernel_link_change(change);
@@ -303,7 +314,8 @@
         self.end_deep_checks(failed, false);
     }
 
-    /// Ends operators' and gateways' connections, and requests on them, that took too long.
+    /// Closes operators' and gateways' connections that have timed out, and fails requests that were not
+    /// completely read in time.
     fn run_connection_timers(&mut self, now: Timestamp) {
         self.admin.on_timer(now);
         let expired = self.connections.on_timer(now, &mut self.counters);
@@ -313,7 +325,8 @@
         }
     }
 
-    /// Reports to the membership service, once the kernel is up.
+    /// Reports to the membership service, but not before the kernel has started. Returns when the next report
+    /// is due.
     fn report_membership(&mut self, now: Timestamp) -> Option<Timestamp> {
         let in_service = self.is_in_service();
         if !self.engine.is_started() {
@@ -322,14 +335,14 @@
         self.membership.on_timer(now, in_service, &mut self.counters)
     }
 
-    /// Writes all that the iteration has queued.
+    /// Writes all output that the iteration has queued.
     fn flush(&mut self) {
         let now = self.clock.now();
-        // A link or connection that breaks makes the engine decide more, which is written with this iteration as well. It ends
-        // as each breaks only once.
+        // When a link or connection breaks, the engine may return further commands, whose output is written
+        // in this iteration too. The loop ends because each link and connection breaks only once.
         loop {
-            // The successor knows what runs before the kernel does: otherwise the death of this process between the two
-            // would let a keyed attempt run twice.
+            // The successor is told of a run before the kernel is: otherwise a keyed attempt could run twice
+            // if this process died between the two.
             let replicated = self.replicate_keys();
             let kernel = if replicated { self.kernel.flush(now) } else { None };
             let ended = self.store.flush(now);
@@ -359,7 +372,7 @@
     }
 }
 
-/// The links to the other nodes, if the operators' script names a cluster.
+/// Opens the links to the other nodes; none if the operators' script names no cluster.
 fn join_cluster<S: System>(system: &S, config: &Config) -> Result<Option<Box<Peers<S>>>, NodeError> {
     let Some(cluster) = &config.operators.fleet else { return Ok(None) };
     let keys =
@@ -368,7 +381,8 @@
     Ok(Some(Box::new(peers)))
 }
 
-/// Descriptors that operators, the cluster and the idempotency store may take of the node's.
+/// Number of the node's file descriptors that are reserved for operators' connections, the cluster and the
+/// idempotency store.
 fn reserved_descriptors(config: &Config, has_durable_store: bool) -> usize {
     let idempotency = if has_durable_store { idempotency_store::SOCKETS } else { 0 };
     let admin = if config.admin.is_some() { admin::RESERVED_DESCRIPTORS } else { 0 };
--- a/crates/node/src/event_loop/reload.rs
+++ b/crates/node/src/event_loop/reload.rs
@@ -1,7 +1,9 @@
-//! SIGHUP: a new configuration takes effect whole, or the old one stays.
+//! Reload of the configuration on SIGHUP: either the new configuration takes effect completely, or the old
+//! one stays.
 //!
-//! Everything that can fail (reading and checking the files, listening at another admin address, opening a socket to another
-//! membership service) happens before the first change. A reload that fails is counted and logged, and changes nothing.
+//! Everything that can fail (reading and checking the files, listening at another admin address, opening a
+//! socket to another membership service) happens before the first change. A reload that fails is counted and
+//! logged, and changes nothing.
 
 use super::cluster::ReadError;
 use super::{Micros, Node};
@@ -19,17 +21,17 @@
     keyed.map(|class| class.dedup_window).max().unwrap_or_default().into()
 }
 
-/// Why the present configuration stays.
+/// Why a reload failed and the old configuration stays in effect.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
-    /// The files cannot be read, make no sense, or ask for what cannot change in service.
+    /// The files cannot be read, are invalid, or change a setting that cannot change while the node serves.
     #[error(transparent)]
     Configuration(#[from] ReadError),
-    /// The new admin address cannot be listened at.
-    #[error("admin_addr: {0}")]
+    /// The node cannot listen at the new second address.
+    #[error("admin_addr: cannot listen at the new second address: {0}")]
     AdminAddress(#[source] io::Error),
     /// No socket to the new membership service can be opened.
-    #[error("members: {0}")]
+    #[error("members: cannot open a socket to the new membership service: {0}")]
     Membership(#[source] io::Error),
 }
 
@@ -40,12 +42,13 @@
             Err(error) => {
                 self.counters.reloads_failed += 1;
                 let problem = error.to_string();
-                tracing::warn!(problem, "the old configuration stays");
+                tracing::warn!(problem, "reload failed; the old configuration stays in effect");
             }
         }
     }
 
-    /// The steps that can fail. They come first, and the last of them is the first to take effect.
+    /// Runs the steps of a reload that can fail. They come before all others, and only the last of them, the
+    /// move to the new membership service, takes effect here if it succeeds.
     fn prepare_reload(&mut self) -> Result<Config, ReloadError> {
         let config = self.read_configuration()?;
         let admin = self.admin.prepare(config.admin).map_err(ReloadError::AdminAddress)?;
@@ -64,11 +67,12 @@
         self.config = config;
         self.apply_settings();
         tracing::info!("the new configuration is in effect");
-        // After that line, so that it is logged whatever the new level is.
+        // The level is set after the line above is logged, so that this line appears whatever the new level
+        // is.
         self.logs.set_level(self.config.operators.log.level);
     }
 
-    /// Puts the settings of the present configuration into effect; requests that are open keep their class.
+    /// Applies the settings of the current configuration. Open requests keep their class.
     pub(super) fn apply_settings(&mut self) {
         let names = &self.config.classes;
         let settings = &self.config.settings;
@@ -81,8 +85,8 @@
         self.keyed_classes = self.engine.keyed_classes();
     }
 
-    /// Those of the operators' own settings that can change while the node serves. None of this can fail: a password file
-    /// that cannot be read leaves the password as it was.
+    /// Applies the operators' own settings that can change while the node serves. None of these steps can
+    /// fail: if the password file cannot be read, the old password stays in use.
     fn apply_operator_settings(&mut self, config: &Config) {
         self.engine.idempotency().set_max_bytes(config.max_volatile_bytes);
         let Some(stored) = &config.operators.record else { return };
--- a/crates/node/src/event_loop/requests.rs
+++ b/crates/node/src/event_loop/requests.rs
@@ -1,13 +1,14 @@
-//! From bytes on a gateway's connection to admitted attempts, and from answers back to queued bytes.
+//! Turns the bytes read from gateways' connections into admitted attempts, and answers into queued bytes.
 //!
-//! Every request gets exactly one answer while its connection lives: whoever takes it off its connection's list of open
-//! requests answers it. Bad input fails its request with a 4xx status; where the framing of records is lost, reading
-//! stops and what was admitted before is still answered.
+//! Every request gets exactly one answer while its connection is open: the code that removes the request from
+//! the connection's list of open requests also answers it. Invalid input fails its request with a 4xx status.
+//! If the framing of records is lost, the node stops reading from the connection, and still answers the
+//! requests that were admitted before.
 
 use super::Node;
 use crate::connections::{ConnectionId, MAX_OPEN_REQUESTS, OpenRequest, RequestRef};
 use crate::fastcgi::{self, Record, record_type};
-use crate::handover_link::FrontAttempt;
+use crate::handover_link::AttemptState;
 use crate::io::System;
 use crate::request::{AttemptParams, ParsedRequest, RequestError};
 use crate::request_metrics::ReplyOutcome;
@@ -16,7 +17,8 @@
 use gaugestand_admission::engine::{AdmitError, Arrival, EngineEvent};
 use std::{io, mem};
 
-/// What follows on a connection cannot be cut into records any more, or is more than it may send unread.
+/// The rest of a connection's input cannot be used: it cannot be split into records, or the connection has
+/// sent more records without an open request than it may.
 struct FramingLost;
 
 impl<S: System> Node<S> {
@@ -55,14 +57,16 @@
         if framing.is_ok() {
             return connection.keep_partial_record(now, &input[consumed..], consumed > 0);
         }
-        // Nothing that follows can be trusted; what came before is still answered.
+        // The input that follows cannot be interpreted. Requests that were admitted before are still
+        // answered.
         self.counters.framing_lost += 1;
         if connection.stop_reading().is_err() {
             self.close_connection(id);
         }
     }
 
-    /// Processes the complete records at the start of `input`; returns how many bytes those were.
+    /// Processes the complete records at the start of `input`. Returns how many bytes they took, and whether
+    /// the input after them can still be split into records.
     fn process_records(&mut self, id: ConnectionId, input: &[u8]) -> (usize, Result<(), FramingLost>) {
         let mut consumed = 0;
         loop {
@@ -104,7 +108,8 @@
                 connection.queue(fastcgi::values_result(content, &known));
             }
             (unknown, _) if fcgi_id == 0 => connection.queue(fastcgi::unknown_type(unknown)),
-            // Of a request that has ended, or that was never begun: the protocol has them ignored, within a bound.
+            // The record belongs to a request that has ended or was never begun. FastCGI requires such
+            // records to be ignored; the node ignores a limited number of them per connection.
             _ => {
                 if !connection.note_stray(content.len()) {
                     return Err(FramingLost);
@@ -163,7 +168,8 @@
         if let Err(error) = self.engine.admit(self.clock.moment(), arrival, &mut commands) {
             self.request_metrics.record_reply(self.class_slots.name(params.class), ReplyOutcome::Error);
             let error = match error {
-                // The engine, the kernel and the store know attempts by their id alone: a second one cannot be served.
+                // The engine, the kernel and the store identify attempts by id alone, so a second attempt
+                // with the same id cannot be served.
                 AdmitError::DuplicateId => RequestError::Malformed("X-Txn"),
                 AdmitError::KeyConflict => RequestError::KeyConflict,
             };
@@ -176,13 +182,13 @@
             let open = OpenRequest::Admitted(params.id, keeps_connection);
             connection.insert_request(request.fcgi_id, open);
         }
-        let attempt = FrontAttempt {
+        let attempt = AttemptState {
             id: params.id,
-            conn: request.connection,
-            fcgi: request.fcgi_id,
+            connection: request.connection,
+            fcgi_id: request.fcgi_id,
             class: params.class,
             body,
-            call: Vec::new(),
+            call_body: Vec::new(),
             call_notice: 0,
             open: true,
         };
@@ -193,7 +199,7 @@
         self.execute_commands(commands);
     }
 
-    /// Fails a request whose records are not all there.
+    /// Fails a request of which not all records have been read.
     pub(super) fn fail_incomplete(&mut self, request: RequestRef, error: RequestError) {
         if let Some(open) = self.connections.take_request(request) {
             self.fail_request(request, open.keeps_connection(), error);
@@ -204,13 +210,14 @@
         self.counters.requests_bad += 1;
         let capacity = self.engine.capacity();
         self.respond(request, keeps_connection, &Response::plain(error.status(), capacity));
-        // The rest of a request that is too long need not be read.
+        // A request that is too long ends its connection, so that the rest of the request need not be read.
         let ends_connection = error == RequestError::TooLong;
         self.connections.note_bad_request(self.clock.now(), request.connection, ends_connection);
     }
 
-    /// The gateway waits no longer. The answer ends the request, so that its number can be used again; after an earlier
-    /// answer nothing is open and nothing more is sent.
+    /// Handles an abort: the gateway no longer waits for the answer. The request is still answered, which
+    /// ends it, so that the gateway can use its FastCGI request id again. A request that was answered before
+    /// is no longer open, and nothing more is sent.
     fn abort(&mut self, request: RequestRef) {
         let Some(open) = self.connections.take_request(request) else { return };
         self.counters.aborts_read += 1;
@@ -220,7 +227,7 @@
         }
     }
 
-    /// These attempts' connections are closed: nobody waits for their answers.
+    /// Handles the closing of the connections of these attempts: no caller waits for the answers any longer.
     pub(super) fn on_callers_gone(&mut self, ids: Vec<RequestId>) {
         for id in ids {
             self.on_caller_gone(id);
@@ -239,7 +246,8 @@
 
     // ---- Answers -------------------------------------------------------------------------------------
 
-    /// Queues the one answer of a request that is already off its connection's list of open ones.
+    /// Queues the only answer to a request, which must already be removed from its connection's list of open
+    /// requests.
     pub(super) fn respond(&mut self, request: RequestRef, keeps_connection: bool, response: &Response<'_>) {
         let Some(connection) = self.connections.get(request.connection) else {
             self.counters.answers_unsent += 1;
@@ -251,7 +259,8 @@
 
     // ---- Accounting ----------------------------------------------------------------------------------
 
-    /// The one place where an admitted request ends, for whatever reason; the first end counts.
+    /// Records the end of an admitted request in the metrics. Every end, for whatever reason, is recorded
+    /// here; only the first end of a request counts.
     pub(super) fn record_end(&mut self, id: RequestId, outcome: ReplyOutcome) {
         if let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.open) {
             attempt.open = false;
@@ -259,7 +268,7 @@
         }
     }
 
-    /// Requests that were admitted and have not ended.
+    /// Number of requests that were admitted and have not ended.
     pub fn open_attempts(&self) -> usize {
         self.attempts.values().filter(|attempt| attempt.open).count()
     }
--- a/crates/node/src/handover_link/frame.rs
+++ b/crates/node/src/handover_link/frame.rs
@@ -8,117 +8,125 @@
 use gaugestand_idempotency::ReplicatedEntry;
 use serde::{Deserialize, Serialize};
 
-/// The longest frame, in bytes. An engine with ten thousand open attempts takes a few megabytes; a longer frame is damaged,
-/// and reading it would take the memory that the limit protects.
+/// Maximum length of a frame, in bytes, without its length field. An engine with ten thousand open attempts
+/// takes a few megabytes; a longer frame is damaged, and reading it would take the memory that the limit
+/// protects.
 const MAX_FRAME_BYTES: usize = 16 << 20;
-/// The length before each frame, in bytes.
+/// Size of the length field before each frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
 /// One message between two processes of a node.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Frame {
-    /// From the predecessor, first, with its listening socket.
+    /// From the predecessor: its first frame, which passes its listening socket.
     Hello {
-        /// Its clocks when it sent this.
+        /// Time on the predecessor's monotonic and wall clocks when it sent this frame.
         moment: Moment,
-        /// The secret that fingerprints of bodies are made with.
+        /// Secret that fingerprints of request bodies are computed with.
         #[serde(rename = "secret")]
         fingerprint_secret: [u8; 32],
-        /// It drains already: it will send keys and nothing else.
+        /// Whether the predecessor drains already: it then sends keys and nothing else.
         #[serde(rename = "leaving")]
         draining: bool,
     },
-    /// Keys as they are now.
+    /// From the predecessor: idempotency keys in their current state.
     Keys(Vec<ReplicatedEntry>),
-    /// All keys were sent. From now on a change of a key is sent before the command that it is about.
+    /// From the predecessor: all keys were sent. From now on a change of a key is sent before the kernel is
+    /// sent the command that the change concerns.
     #[serde(rename = "Synced")]
     KeysComplete,
-    /// A connection, with its socket.
+    /// From the predecessor: a gateway's connection; the frame passes its socket.
     #[serde(rename = "Conn")]
     Connection(Box<connections::ConnectionState>),
-    /// An attempt that is open, or whose run continues.
+    /// From the predecessor: an attempt that is open, or whose run continues.
     #[serde(rename = "Try")]
-    Attempt(Box<FrontAttempt>),
-    /// Everything else.
+    Attempt(Box<AttemptState>),
+    /// From the predecessor: the rest of its state.
     #[serde(rename = "Rest")]
     FinalState(Box<FinalState>),
-    /// The whole state was sent and the lock is free; it has this number of generation marks.
+    /// From the predecessor: its whole state was sent and the service lock is free. The lock then has this
+    /// number of generation marks.
     #[serde(rename = "Over")]
     StateComplete(u64),
-    /// From the successor: it is the active process.
+    /// From the successor: it has taken over and is the active process.
     #[serde(rename = "Taken")]
     TakenOver,
-    /// An outbound call that was made by the predecessor has ended: how, with which reply, after which time.
+    /// From the predecessor: an outbound call that it, or a process before it, made for this attempt has
+    /// ended. The fields are the attempt, the outcome, the store's reply if there is one, and the latency.
     #[serde(rename = "Called")]
     CallEnded(RequestId, CallOutcome, Option<Vec<u8>>, Micros),
-    /// From the successor: abandon that outbound call.
+    /// From the successor: abandon the outbound call of this attempt.
     DropCall(RequestId),
 }
 
-/// What the front knows of an attempt: where to answer it, and what its run needs.
+/// What the event loop knows of an attempt: where to answer it, and what its run needs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct FrontAttempt {
-    /// Its id.
+pub struct AttemptState {
+    /// Id of the attempt, as the gateway sent it.
     pub id: RequestId,
-    /// The connection that it came on.
-    pub conn: ConnectionId,
-    /// Its FastCGI request id on that connection.
-    pub fcgi: u16,
-    /// Index of its class.
+    /// The gateway's connection that the attempt arrived on.
+    #[serde(rename = "conn")]
+    pub connection: ConnectionId,
+    /// FastCGI request id of the attempt on that connection.
+    #[serde(rename = "fcgi")]
+    pub fcgi_id: u16,
+    /// Slot of the attempt's class.
     pub class: usize,
-    /// Its body, until its run starts.
+    /// Request body; empty once the run has started.
     pub body: Vec<u8>,
-    /// The body of the outbound call that its run waits for.
-    pub call: Vec<u8>,
-    /// The number of the kernel's notice that asked for that call.
+    /// Body of the outbound call that the run waits for; empty if the run has requested none.
+    #[serde(rename = "call")]
+    pub call_body: Vec<u8>,
+    /// Number of the kernel's notice that requested that call; 0 if the run has requested none.
     pub call_notice: u64,
-    /// It was admitted and has not been answered.
+    /// Whether the attempt was admitted and has not been answered.
     pub open: bool,
 }
 
-/// The state that is not sent piece by piece.
+/// The part of the predecessor's state that is sent in a single frame.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FinalState {
-    /// The engine, with the controller in it.
+    /// Snapshot of the engine, with the admission controller in it.
     #[serde(rename = "facade")]
     pub engine: EngineSnapshot,
-    /// Kernel links whose runs continue, the predecessor's own first.
+    /// Snapshots of the kernel links whose runs continue; the predecessor's own link comes first.
     pub kernels: Vec<kernel::KernelSnapshot>,
-    /// Attempts whose outbound calls were made by the predecessor, or by one before it, and have not ended.
+    /// Attempts whose outbound calls were made by the predecessor, or by a process before it, and have not
+    /// ended.
     #[serde(rename = "calls")]
     pub outbound_calls: Vec<RequestId>,
     /// Names of the classes, by slot.
     #[serde(rename = "classes")]
     pub class_names: Vec<String>,
-    /// How long connections may be idle.
+    /// How long gateways' connections may be idle; none if the engine has set no limit.
     #[serde(rename = "idle")]
     pub idle_timeout: Option<Micros>,
 }
 
-/// Why bytes are not a frame.
+/// Why received bytes cannot be decoded as a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Its length is above the limit.
-    #[error("a frame that is too long")]
+    /// The length of the frame is above the limit of 16 MiB.
+    #[error("frame is longer than 16 MiB")]
     TooLong,
-    /// It is not CBOR, or not a frame of this version.
-    #[error("a frame that cannot be read")]
+    /// The bytes are not CBOR, or not a frame of this version of the protocol.
+    #[error("frame is not CBOR, or not one of this version of the hand-over protocol")]
     Unreadable,
-    /// Bytes follow the frame within its length.
-    #[error("a frame with more behind it")]
+    /// Bytes follow the encoded frame within the stated length.
+    #[error("frame is shorter than its stated length")]
     TrailingBytes,
 }
 
-/// A frame, and how many bytes it took with its length.
+/// A decoded frame, and how many bytes its encoding took.
 #[derive(Debug)]
 pub struct DecodedFrame {
-    /// The frame.
+    /// The decoded frame.
     pub frame: Frame,
-    /// Bytes to skip to the next one.
+    /// Size of the encoded frame in bytes, with its length field: the next frame begins there.
     pub consumed: usize,
 }
 
-/// Decodes the frame at the start of `buffer`; none if it is not complete.
+/// Decodes the frame at the start of `buffer`; none if the frame is not complete.
 ///
 /// # Errors
 /// The length is above the limit ([`FrameError::TooLong`]), or the bytes are not exactly one frame of this
@@ -137,7 +145,8 @@
     Ok(Some(DecodedFrame { frame, consumed: LENGTH_BYTES + length }))
 }
 
-/// Encodes a frame with its length. None if it cannot be encoded, which no frame of the node's own is.
+/// Encodes a frame, with its length field first. None if the frame cannot be encoded, which does not happen
+/// with frames that the node makes.
 pub(super) fn encode(frame: &Frame) -> Option<Vec<u8>> {
     let mut bytes = vec![0; LENGTH_BYTES];
     ciborium::into_writer(frame, &mut bytes).ok()?;
--- a/crates/node/src/handover_link/link.rs
+++ b/crates/node/src/handover_link/link.rs
@@ -1,4 +1,5 @@
-//! One link to another process: frames are queued, written as the system takes them, and read whole.
+//! A hand-over link to another process of the node: frames are queued and written as the system accepts them,
+//! and received frames are returned once they are complete.
 
 use super::frame::{self, DecodedFrame, Frame, FrameError};
 use crate::connections::ConnectionId;
@@ -6,100 +7,105 @@
 use std::collections::VecDeque;
 use std::io;
 
-/// What each side sends first. The number is the protocol's version: another one breaks the link.
+/// Bytes that each side sends first. The number is the protocol's version: a side that reads another version
+/// closes the link.
 pub const PROTOCOL: &[u8; 8] = b"gskin-3\n";
-/// Keys in one frame: few enough that encoding one does not delay requests.
+/// Maximum number of keys in one frame: few enough that encoding a frame does not delay requests.
 pub const KEYS_PER_FRAME: usize = 64;
-/// Bytes read in one iteration of the event loop, so that a long series of frames does not delay requests.
+/// Number of bytes after which one iteration of the event loop stops reading from a link, so that a long
+/// series of frames does not delay requests.
 const MAX_BYTES_PER_ITERATION: usize = 256 * 1024;
-/// Bytes of one read.
+/// Size of the buffer of one read, in bytes.
 const READ_CHUNK_BYTES: usize = 64 * 1024;
-/// Bytes that may be queued before replication pauses: it bounds the memory that a slow reader takes.
+/// Number of queued bytes from which on replication pauses. It bounds the memory that the queue takes if the
+/// other side reads slowly.
 const MAX_QUEUED_BYTES: usize = 256 * 1024;
 
 /// The socket that is passed with a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttachedSocket {
-    /// None.
+    /// The frame passes no socket.
     None,
-    /// The listening socket.
+    /// The listening socket for gateways.
     Listener,
-    /// That of a connection.
+    /// The socket of the gateway's connection with this id.
     Connection(ConnectionId),
 }
 
-/// Why a link cannot go on.
+/// Why a link cannot be used any longer.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// The system reports an error, or the other side is gone.
+    /// The system reports an error, or the other process has closed the link.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The other side does not speak this version of the protocol.
-    #[error("the other process speaks another version")]
-    OtherVersion,
-    /// What it sent is not a frame.
+    /// The other process does not use this version of the protocol.
+    #[error("the other process does not use this version of the hand-over protocol (gskin-3)")]
+    VersionMismatch,
+    /// The other process sent something that is not a frame.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// It sent a frame that makes no sense at this point.
-    #[error("a frame out of order")]
-    OutOfOrder,
-    /// The connection whose socket was to be passed has been closed.
-    #[error("a socket that is gone")]
-    SocketGone,
+    /// The other process sent a frame that is not allowed at this point of the hand-over.
+    #[error("received a frame that is not allowed at this point of the hand-over")]
+    UnexpectedFrame,
+    /// The socket that was to be passed with a frame has been closed.
+    #[error("the socket that was to be passed with a frame is closed")]
+    SocketClosed,
 }
 
 impl LinkError {
-    /// Whether the processes do not understand each other; otherwise the link was merely lost.
+    /// Whether the link failed for another reason than an I/O error: the processes do not understand each
+    /// other. After an I/O error the link was merely lost.
     pub fn is_protocol_error(&self) -> bool {
         !matches!(self, LinkError::Io(_))
     }
 }
 
-/// A frame that waits to be written.
+/// An encoded frame that waits to be written, with the socket that is passed with it.
 #[derive(Debug)]
 struct QueuedFrame {
     bytes: Vec<u8>,
     socket: AttachedSocket,
 }
 
-/// The complete frames that a link had.
+/// The complete frames that have been read from a link.
 #[derive(Debug)]
 pub struct ReceivedFrames {
-    /// The frames, in order.
+    /// The frames, in the order in which they were sent.
     pub frames: Vec<Frame>,
-    /// Whether something that is not a frame follows them.
+    /// Whether the bytes after these frames are an incomplete frame or nothing; otherwise why they are not a
+    /// frame.
     pub end: Result<(), LinkError>,
 }
 
-/// One link to another process.
+/// A hand-over link to another process of the node.
 #[derive(Debug)]
 pub struct FramedLink<S: System> {
     link: S::HandoverLink,
     input: Vec<u8>,
-    /// The other side's protocol version was read.
-    greeted: bool,
+    /// Whether the other side's protocol version has been read and is this one.
+    version_checked: bool,
     queue: VecDeque<QueuedFrame>,
-    /// Bytes of the first queued frame that were written.
+    /// Number of bytes of the first queued frame that have been written.
     written: usize,
-    /// Bytes in the queue that were not written.
+    /// Number of bytes in the queue that have not been written.
     queued_bytes: usize,
 }
 
 impl<S: System> FramedLink<S> {
-    /// A link that was just made.
+    /// Wraps a link that was just made, and queues the protocol version as its first bytes.
     pub fn new(link: S::HandoverLink) -> Self {
-        let greeting = QueuedFrame { bytes: PROTOCOL.to_vec(), socket: AttachedSocket::None };
+        let version = QueuedFrame { bytes: PROTOCOL.to_vec(), socket: AttachedSocket::None };
         FramedLink {
             link,
             input: Vec::new(),
-            greeted: false,
-            queue: VecDeque::from([greeting]),
+            version_checked: false,
+            queue: VecDeque::from([version]),
             written: 0,
             queued_bytes: PROTOCOL.len(),
         }
     }
 
-    /// Queues a frame, and the socket that goes with it.
+    /// Queues a frame, and the socket that is passed with the frame's first bytes.
     pub fn queue(&mut self, frame: &Frame, socket: AttachedSocket) {
         if let Some(bytes) = frame::encode(frame) {
             self.queued_bytes += bytes.len();
@@ -107,7 +113,7 @@
         }
     }
 
-    /// Whether more keys may be queued.
+    /// Whether the queue is short enough that more keys may be queued.
     pub fn has_room(&self) -> bool {
         self.queued_bytes < MAX_QUEUED_BYTES
     }
@@ -117,11 +123,13 @@
         self.queue.is_empty()
     }
 
-    /// Writes what the system takes; `find_socket` finds the sockets that go along.
+    /// Writes as much of the queue as the system accepts. `find_socket` returns the socket to pass with a
+    /// frame; none if that socket has been closed.
     ///
     /// # Errors
-    /// [`LinkError::SocketGone`] if a connection that was to be passed has been closed, and [`LinkError::Io`]
-    /// if the other process is gone. The link cannot go on; queued frames may not have been delivered.
+    /// [`LinkError::SocketClosed`] if a connection that was to be passed has been closed, and
+    /// [`LinkError::Io`] if the other process is gone. The link cannot go on; queued frames may not have been
+    /// delivered.
     pub fn flush<'a>(
         &mut self,
         find_socket: impl Fn(AttachedSocket) -> Option<PassedSocket<'a, S::Stream, S::Listener>>,
@@ -131,7 +139,7 @@
     {
         while let Some(QueuedFrame { bytes, socket }) = self.queue.front() {
             let passed = match self.written {
-                0 => find_socket(*socket).ok_or(LinkError::SocketGone)?,
+                0 => find_socket(*socket).ok_or(LinkError::SocketClosed)?,
                 _ => PassedSocket::None,
             };
             match self.link.send(bytes.get(self.written..).unwrap_or_default(), passed) {
@@ -151,8 +159,8 @@
         Ok(self.link.watch(true, !self.queue.is_empty())?)
     }
 
-    /// Reads what has arrived, up to a bound; returns the number of bytes. An error does not lose complete frames that were
-    /// read before it: [`FramedLink::next_frame`] still returns them.
+    /// Reads what has arrived, up to a limit for one iteration; returns the number of bytes. An error does
+    /// not lose complete frames that were read before it: [`FramedLink::next_frame`] still returns them.
     ///
     /// # Errors
     /// [`LinkError::Io`] if the other process has closed the link ([`io::ErrorKind::UnexpectedEof`]), the
@@ -175,7 +183,7 @@
         Ok(total)
     }
 
-    /// All complete frames that were read.
+    /// Takes all complete frames that have been read.
     pub fn next_frames(&mut self) -> ReceivedFrames {
         let mut frames = Vec::new();
         loop {
@@ -187,13 +195,13 @@
         }
     }
 
-    /// The next complete frame.
+    /// Takes the next complete frame; none if no frame is complete.
     ///
     /// # Errors
-    /// [`LinkError::OtherVersion`] if the other process does not speak this protocol, and
+    /// [`LinkError::VersionMismatch`] if the other process does not speak this protocol, and
     /// [`LinkError::Frame`] if it sent something that is not a frame. The link cannot go on.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, LinkError> {
-        if !self.greeted && !self.read_greeting()? {
+        if !self.version_checked && !self.check_version()? {
             return Ok(None);
         }
         let Some(DecodedFrame { frame, consumed }) = frame::decode(&self.input)? else { return Ok(None) };
@@ -201,21 +209,21 @@
         Ok(Some(frame))
     }
 
-    /// Reads the other side's protocol version; false if it has not arrived whole.
-    fn read_greeting(&mut self) -> Result<bool, LinkError> {
+    /// Reads the other side's protocol version; false if it has not arrived completely.
+    fn check_version(&mut self) -> Result<bool, LinkError> {
         let length = self.input.len().min(PROTOCOL.len());
         if self.input[..length] != PROTOCOL[..length] {
-            return Err(LinkError::OtherVersion);
+            return Err(LinkError::VersionMismatch);
         }
         if length < PROTOCOL.len() {
             return Ok(false);
         }
         self.input.drain(..length);
-        self.greeted = true;
+        self.version_checked = true;
         Ok(true)
     }
 
-    /// Takes the next socket that was received, as a connection watched under this key.
+    /// Takes the next socket that was received, as a connection watched under this poller key.
     ///
     /// # Errors
     /// [`LinkError::Io`] if no socket came with the frame, or the system cannot watch it. The connection
@@ -224,7 +232,8 @@
         Ok(self.link.take_stream(key)?)
     }
 
-    /// Takes the next socket that was received, as a listener that is not watched yet.
+    /// Takes the next socket that was received, as a listener that is not watched yet. `key` is the poller
+    /// key that it will be watched under.
     ///
     /// # Errors
     /// [`LinkError::Io`] if no socket came with the frame, or the system cannot watch it. This process cannot
