--- a/crates/node/src/event_loop/cluster/operator_calls.rs
+++ b/crates/node/src/event_loop/cluster/operator_calls.rs
@@ -19,7 +19,7 @@
 const MAX_WORDS: usize = 4;
 /// Word that stands for 'no version' or 'no force'.
 const ABSENT: &str = "-";
-/// Word that forces a change that validation would otherwise refuse.
+/// Word that forces a proposal or a removal that would otherwise be refused.
 const FORCE: &str = "force";
 
 /// An operator's call about the cluster.
--- a/crates/node/src/event_loop/handover/inherited_kernels.rs
+++ b/crates/node/src/event_loop/handover/inherited_kernels.rs
@@ -10,8 +10,8 @@
 /// Maximum number of inherited kernels; the poller has one key for each. There is one inherited kernel for
 /// each hand-over whose runs continue, and runs end within their deadline.
 const MAX_INHERITED_KERNELS: usize = 4;
-/// Time after the longest deadline of any class until a run that its kernel has not reported counts as
-/// failed.
+/// Additional time, after the longest deadline of any class, until a run that its kernel has not reported
+/// counts as failed.
 const EXPIRY_GRACE: Micros = Micros::millis(2_000);
 
 /// The link to the kernel of an earlier process.
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -111,7 +111,7 @@
     /// successor.
     exit_deadline: Option<Timestamp>,
     draining: bool,
-    /// Number of iterations within the exit margin of the drain.
+    /// Number of iterations within `drain::EXIT_MARGIN` of the exit deadline; stays at 255 once it is there.
     final_polls: u8,
     /// Links to the other nodes; none if this node belongs to no cluster.
     peers: Option<Box<Peers<S>>>,
