--- a/crates/admission/src/controller/arrival.rs
+++ b/crates/admission/src/controller/arrival.rs
@@ -1,22 +1,23 @@
-//! What happens as a request arrives: its times and priority, and whether it is coalesced with another,
-//! remembered for repeats, or rejected at once.
+//! Arrival of a request: sets its times and priority, and decides whether it is coalesced with another
+//! request, remembered for repeats, or rejected at once.
 //!
 //! Guarantees that a keyed request runs only if it is remembered for the whole time in which a repeat may
-//! come. Otherwise the request is queued; what then becomes of it is decided at the end of the batch.
+//! arrive. A request that is neither coalesced nor rejected is queued; what becomes of it is decided at the
+//! end of the batch.
 
 use super::Controller;
 use super::requests::{Phase, RequestEntry};
 use crate::interface::{Action, Effect, Request, RequestId};
 use crate::time::{Span, Time};
 
-/// Least size of a hinted request, in seconds of work: hints of zero would make any run look endless in
-/// comparison.
+/// Least size of a request with a work hint, in seconds of work. With a hint of zero, every run would look
+/// endless in comparison.
 const MIN_SIZE_S: f64 = 1e-4;
-/// Least weight of which a logarithm is taken.
+/// Least weight of which a logarithm is taken; the logarithm of zero is not finite.
 const MIN_WEIGHT: f64 = 1e-9;
 
 impl Controller {
-    /// Takes in a request. One whose id is known is the same attempt, reported twice, and is ignored.
+    /// Handles a new request. A request with a known id is the same attempt, reported twice, and is ignored.
     pub(super) fn on_request(&mut self, request: &Request, actions: &mut Vec<Action>) {
         if self.requests.entries.contains_key(&request.id) {
             return;
@@ -43,7 +44,7 @@
             if !is_after_drain && self.can_remember() {
                 self.remember(request.id, retention, actions);
             } else if effect == Effect::Keyed {
-                // Unremembered, a repeat of it would run a second time.
+                // Without being remembered, a repeat of this request would run a second time.
                 return self.reject(request.id, actions);
             }
         }
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The entry of a request that arrives, which it counts in the estimators and its tenant's quota.
+    /// Creates the entry of a new request; counts the request in the estimators and in its tenant's quota.
     fn new_entry(&mut self, request: &Request) -> RequestEntry {
         let class = request.class.min(self.settings.classes.len() - 1);
         let arrived_at = self.now - request.read_delay;
@@ -89,8 +90,9 @@
         }
     }
 
-    /// When the request must be answered, margin taken off: as the caller said, else by its class, and before
-    /// the stop of a worker that drains. Never in the past, so that it is answered rather than overdue.
+    /// Time by which the request must be answered: the deadline that the caller states, or else that of the
+    /// class, less a margin; while the worker drains, also before its stop. Never in the past, so that the
+    /// request is answered now instead of being overdue.
     fn deadline(&self, request: &Request, class: usize, arrived_at: Time) -> Time {
         let by_class = arrived_at + self.settings.classes[class].deadline;
         let deadline = self.with_margin(request.deadline.unwrap_or(by_class)).max(self.now);
@@ -100,21 +102,23 @@
         }
     }
 
-    /// When the class's latency objective is missed; it may grow with the request's own work.
+    /// Time until which an answer meets the latency objective of the class, which may grow with the request's
+    /// own work.
     fn latency_objective(&self, request: &Request, class: usize, arrived_at: Time) -> Time {
         let class = &self.settings.classes[class];
         let stretch_s = request.work_hint.map_or(0.0, |hint| hint.secs() * class.objective_stretch);
         arrived_at + class.latency_objective + Span::from_secs(stretch_s)
     }
 
-    /// The time less the longest gap between two looks at it.
+    /// `time` less the longest time between two checks of the requests.
     pub(super) fn with_margin(&self, time: Time) -> Time {
         time - self.timer_period()
     }
 
-    /// A request's priority: two steps for each factor of two in weight, where traffic beyond its tenant's
-    /// quota has less. A read whose answer is expected to serve others counts for each of them. A retry goes
-    /// behind first attempts of equal weight: it has spent part of its objective, unseen.
+    /// Initial priority of a request: two steps for each factor of two in its weight. Requests beyond their
+    /// tenant's quota have less weight. A read whose answer is expected to serve other requests has the
+    /// weight of all of them. A retry ranks below first attempts of equal weight: part of its objective has
+    /// passed before this worker received it.
     fn initial_priority(&mut self, request: &Request, class: usize, is_within_quota: bool) -> i32 {
         let served = match request.resource_key {
             Some(key) if self.settings.cache_ttl.0 > 0 => {
@@ -129,20 +133,20 @@
         2 * weight.log2().round() as i32 + served_steps - i32::from(request.is_retry)
     }
 
-    /// Lets a request wait for the run of the one that it repeats.
+    /// Lets a request wait for the run of the request that it repeats.
     fn coalesce(&mut self, id: RequestId, original: RequestId, deadline: Time, actions: &mut Vec<Action>) {
         if let Some(original) = self.requests.get_mut(original) {
             original.has_waiters = true;
         }
         self.set_phase(id, Phase::Coalesced);
-        // One read at the end of a drain may see no further look at it before the stop.
+        // A request that is read at the end of a drain may not be checked again before the stop.
         if self.now >= deadline {
             return self.reject(id, actions);
         }
         actions.push(Action::Coalesce(id));
     }
 
-    /// Has the worker recognise repeats of a request for this long.
+    /// Asks the worker to recognise repeats of a request for the time `retention`.
     fn remember(&mut self, id: RequestId, retention: Span, actions: &mut Vec<Action>) {
         self.memory.remembered.insert((self.now + retention, id));
         actions.push(Action::Remember(id, retention));
--- a/crates/admission/src/controller/backpressure.rs
+++ b/crates/admission/src/controller/backpressure.rs
@@ -1,56 +1,58 @@
-//! Backpressure: messages upon which callers send less, or elsewhere.
+//! Backpressure: signals that make callers send fewer requests, or send them elsewhere.
 //!
-//! Three messages: the capacity announced with every answer, the advice of a rejection when to retry
-//! (Retry-After), and whether a retry elsewhere makes sense. They follow from the share of rejected requests
-//! and from the read backlog. Callers may ignore them; nothing here admits or rejects.
+//! There are three signals: the capacity announced with every answer, the time after which a rejected caller
+//! should retry (Retry-After), and whether a retry elsewhere makes sense. They are computed from the share of
+//! rejected requests and from the read backlog. Callers may ignore them; this module neither admits nor
+//! rejects requests.
 
 use super::Controller;
 use super::estimators::{SAMPLE_WEIGHT, blend};
 use crate::interface::{Action, BackpressureSignal};
 use crate::time::Span;
 
-/// Weight of a start or a rejection in the rejected share: some thirty decisions make it up at any rate, so
-/// that quiet spells say nothing.
+/// Weight of a start or a rejection in the rejected share. The share covers about thirty decisions at any
+/// request rate, so that quiet periods do not change it.
 pub(super) const DECISION_WEIGHT: f64 = 0.03;
 /// Weight of a request in the mean read delay: a backlog must show within a few requests.
 const READ_DELAY_WEIGHT: f64 = 3.0 * SAMPLE_WEIGHT;
 /// Weight of a control period in the mean number of callers.
 const CALLERS_WEIGHT: f64 = 2.0 * SAMPLE_WEIGHT;
-/// Mean read delay, as a share of the mean latency objective, over which there is a read backlog: with more,
-/// a worker soon reads only what has expired, and callers must learn of it before that.
+/// Mean read delay, as a share of the mean latency objective, above which there is a read backlog. With a
+/// longer delay, a worker soon reads only requests that have expired; callers must learn of the backlog
+/// before that.
 const BACKLOG_BEGINS_FRACTION: f64 = 0.3;
-/// Mean read delay, as a share of the mean latency objective, under which the read backlog is over: well
-/// under the former, or callers would be sent to and fro.
+/// Mean read delay, as a share of the mean latency objective, below which the read backlog is over: well
+/// below `BACKLOG_BEGINS_FRACTION`, as callers would otherwise be sent away and back repeatedly.
 const BACKLOG_ENDS_FRACTION: f64 = 0.12;
-/// Share of its traffic that the signal keeps away, for each unit of rejected share; more would shut out the
-/// lowest class while there is room.
+/// Share of the traffic that the capacity signal holds back, per unit of the rejected share. A larger one
+/// would shut out the class of lowest priority while there is capacity.
 const SIGNAL_GAIN: f64 = 0.3;
-/// Rejected share from which the cluster counts as overloaded: below, a rejection was bad luck.
+/// Rejected share from which the cluster counts as overloaded: below it, rejections are ordinary variation.
 const OVERLOAD_REJECTED_FRACTION: f64 = 0.05;
-/// Least part of the longest Retry-After that a rejection advises: a retry at once finds the same queue.
+/// Least Retry-After of a rejection, as a share of the longest one: an immediate retry would find the same
+/// queue.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.05;
-/// Requests at a caller for each place of the concurrency limit, in the allowance: one runs, one is on its
-/// way.
-const REQUESTS_PER_PLACE: f64 = 2.0;
-/// Standard deviations, of what a caller has in hand about its part, that an allowance leaves room for.
-const SCATTER_DEVIATIONS: f64 = 2.0;
-/// The signal is announced anew when it has changed by more than this share of itself.
+/// Outstanding requests per permitted run that the allowances add up to: one runs, one is in transit.
+const OUTSTANDING_PER_RUN: f64 = 2.0;
+/// Margin of an allowance, in standard deviations of a caller's number of outstanding requests.
+const MARGIN_DEVIATIONS: f64 = 2.0;
+/// Relative change of the signal from which it is announced again.
 const MIN_CHANGE_FRACTION: f64 = 0.01;
-/// Stands for a signal that was not announced yet; no signal is negative.
+/// Stands for a signal that was not announced yet; announced signals are never negative.
 const NOT_ANNOUNCED: f64 = -1.0;
 
-/// What the messages follow from.
+/// State from which the signals are computed.
 #[derive(Clone, Debug)]
 pub(super) struct Backpressure {
-    /// Share of the latest decisions that were rejections; by decisions, not by time.
+    /// Share of rejections among the latest decisions; averaged over decisions, not over time.
     pub(super) rejected_fraction: f64,
-    /// Mean number of callers with a request in hand here.
+    /// Mean number of callers with an outstanding request at this worker.
     pub(super) callers: f64,
     /// Mean time from a request's arrival at the machine until it was read, in seconds.
     pub(super) read_delay_s: f64,
-    /// The read delay says that this worker does not keep up with reading.
+    /// Whether there is a read backlog, that is, whether this worker reads requests too slowly.
     pub(super) is_backlogged: bool,
-    /// The signal last announced.
+    /// The capacity signal that was last announced; `NOT_ANNOUNCED` before the first one.
     pub(super) announced: f64,
 }
 
@@ -67,18 +69,18 @@
 }
 
 impl Backpressure {
-    /// So many callers have a request in hand at the end of a control period.
+    /// Records the number of callers with an outstanding request at the end of a control period.
     pub(super) fn note_callers(&mut self, callers: usize) {
         blend(&mut self.callers, callers as f64, CALLERS_WEIGHT);
     }
 }
 
 impl Controller {
-    /// A request was read this long after it arrived.
+    /// Records that a request was read `delay` after its arrival.
     ///
-    /// Guard for whatever makes reading too slow (slow or stolen cores, a cold start, many retries): callers
-    /// are told to stay away before all that is read has expired. Its cost: cores that idle for as long as
-    /// callers remember it, when the backlog was over soon.
+    /// If reading becomes too slow for any reason (slow or stolen cores, a cold start, many retries), callers
+    /// are told to stay away before all requests that are read have expired. Drawback: if the backlog is
+    /// short, cores are idle for as long as callers remember the signal.
     pub(super) fn note_read_delay(&mut self, delay: Span) {
         let objective_s = self.estimators.latency_objective_s;
         let backpressure = &mut self.backpressure;
@@ -91,18 +93,19 @@
         backpressure.is_backlogged = backpressure.read_delay_s > objective_s * limit_fraction;
     }
 
-    /// Whether rejections tell of a cluster without room, so that a retry elsewhere would only cost another
-    /// reading. Those of a worker that drains or is stalled tell of itself alone.
+    /// Whether rejections show that the whole cluster has no capacity, so that a retry elsewhere would only
+    /// cost another reading. Rejections by a worker that drains or is stalled show nothing about other
+    /// workers.
     ///
-    /// Guard for waves of retries. Its cost: requests lost where this worker alone draws too much traffic.
+    /// Prevents waves of retries. Drawback: requests are lost where this worker alone gets too much traffic.
     pub(super) fn is_cluster_overloaded(&self) -> bool {
         self.drain.is_none()
             && !self.is_stalled()
             && self.backpressure.rejected_fraction > OVERLOAD_REJECTED_FRACTION
     }
 
-    /// When a rejected caller should come back: the longest advice while nothing is of use here, else little
-    /// after few rejections and long in overload.
+    /// Time after which a rejected caller should retry: the longest Retry-After while this worker cannot
+    /// usefully serve new requests, otherwise short after few rejections and long in overload.
     pub(super) fn retry_after(&self) -> Span {
         let fraction = if self.is_unavailable() {
             1.0
@@ -122,7 +125,7 @@
         }
     }
 
-    /// The signal in the meaning that callers give it; `None` where they take none.
+    /// The capacity signal as `Settings::backpressure_signal` defines it; `None` if callers read no signal.
     fn capacity_signal(&self) -> Option<f64> {
         let open_fraction =
             if self.is_unavailable() { 0.0 } else { 1.0 - SIGNAL_GAIN * self.backpressure.rejected_fraction };
@@ -134,22 +137,23 @@
         }
     }
 
-    /// Requests that each caller may have in hand here.
+    /// Number of outstanding requests that each caller may have at this worker.
     ///
-    /// Where few callers have all that is in hand, each gets its part of twice the limit; where each has one
-    /// at most, an allowance under one is a weight. A part of a few requests is a mean, about which what each
-    /// caller sends scatters: while little is rejected there is room for that, as far as the cores have time
-    /// or the queue has places, or callers would hold back what this worker could still take. Its cost:
-    /// rejections as a wave begins.
+    /// If the outstanding requests come from few callers, each caller gets an equal share of twice the
+    /// concurrency limit; if each caller has one at most, an allowance below one acts as a weight. A share of
+    /// a few requests is a mean, around which the number of requests of each caller varies. While little is
+    /// rejected, the allowance has a margin for this variation, as far as the cores have time or the queue
+    /// has capacity; otherwise callers would hold back requests that this worker could still serve. Drawback:
+    /// rejections at the start of a burst.
     fn allowance(&self, open_fraction: f64) -> f64 {
-        let places = REQUESTS_PER_PLACE * self.concurrency_limit;
-        let part = open_fraction * (places / self.backpressure.callers.max(1.0)).max(1.0);
+        let total = OUTSTANDING_PER_RUN * self.concurrency_limit;
+        let share = open_fraction * (total / self.backpressure.callers.max(1.0)).max(1.0);
         if self.backpressure.rejected_fraction >= OVERLOAD_REJECTED_FRACTION {
-            return part;
+            return share;
         }
         let queue_fill =
             if self.is_busy() { self.queue.order.len() as f64 / self.queue_capacity() } else { 0.0 };
         let free_fraction = (1.0 - queue_fill).max(0.0);
-        part + SCATTER_DEVIATIONS * part.sqrt() * free_fraction.powi(2)
+        share + MARGIN_DEVIATIONS * share.sqrt() * free_fraction.powi(2)
     }
 }
--- a/crates/admission/src/controller/concurrency_limit.rs
+++ b/crates/admission/src/controller/concurrency_limit.rs
@@ -1,46 +1,50 @@
-//! The concurrency limit (MPL): how many requests may run at once. Formula (5) of the paper, the law.
+//! The concurrency limit (MPL): how many requests may run at once, by formula (5), the latency law.
 //!
-//! Reset each control period from Ne (mean running requests), L (their latency) and Ti (arrival rate) such
-//! that the latency on the cores tends to Lmax. Guarantees that the limit is at least the number of cores and
-//! at most a share of what the worker survives.
+//! The limit is recomputed each control period from Ne (mean number of running requests), L (their latency)
+//! and Ti (arrival rate), so that the latency on the cores tends to Lmax. It is at least the number of cores,
+//! and at most a share of the concurrent runs that the worker survives.
 
 use super::Controller;
 
-/// γ' of formula (5) in units of Ti / Lmax, so that it means the same at every rate and objective.
+/// γ' of formula (5) in units of Ti / Lmax, so that its effect is the same at every arrival rate and
+/// objective.
 const GAMMA: f64 = 0.25;
-/// The limit falls at most to this factor of itself in a period: one odd period must not empty the cores.
+/// Least factor by which the limit changes in a control period: one outlier period must not empty the cores.
 const MAX_DECREASE: f64 = 0.85;
-/// The limit rises at most to this factor of itself in a period: latency tells of a rise only a period later.
+/// Largest factor by which the limit changes in a control period: the latency shows the effect of a rise only
+/// a period later.
 const MAX_INCREASE: f64 = 1.15;
-/// The factor a period while cores idle beside queued work: then more runs cost no latency.
+/// Factor of the limit in a control period in which cores are idle while requests are queued: then more runs
+/// cost no latency.
 const IDLE_INCREASE: f64 = 1.3;
-/// Least Ti − Ne/L, as a share of Ti, at which formula (5) is used; below it noise would decide the quotient,
-/// and the limit holds or rises.
+/// Least Ti − Ne/L, as a share of Ti, at which formula (5) is used. Below it noise would determine the
+/// quotient; the limit then stays or rises.
 const MIN_EXCESS_FRACTION: f64 = 0.03;
-/// Least divisor of formula (5) that is used; at and below zero the formula has no answer.
+/// Least divisor of formula (5) that is used; at zero and below the formula has no solution.
 const MIN_DIVISOR: f64 = 0.05;
-/// Share of the limit that must be in use before it rises without formula (5): an unused limit says nothing.
+/// Share of the limit that must be in use before the limit rises without formula (5): an unused limit gives
+/// no information.
 const MIN_USED_FRACTION: f64 = 0.9;
-/// Highest limit as a share of the runs at once that the worker survives: well before it collapses, a worker
-/// with many runs at once gets less done than with fewer.
+/// Largest limit, as a share of the concurrent runs that the worker survives: well before it collapses, a
+/// worker with many concurrent runs completes less work than with fewer.
 const SURVIVABLE_FRACTION: f64 = 0.4;
 
-/// What formula (5) reads, in the paper's terms.
-struct LawInputs {
-    /// Ne: mean running requests over the last periods.
+/// Inputs of formula (5).
+struct FormulaInputs {
+    /// Ne: mean number of running requests over the last control periods.
     mean_running: f64,
-    /// L, in seconds.
+    /// L: latency on the cores, in seconds.
     latency_s: f64,
-    /// Lmax, in seconds.
+    /// Lmax: the latency that the formula aims at, in seconds.
     max_latency_s: f64,
-    /// Ti, a second.
+    /// Ti: arrivals per second.
     arrival_rate: f64,
 }
 
-/// Formula (5): the next limit from this one, MPL = Ne / (1 + γ' (L - Lmax) / (Ti - Ne/L)), by at most a
-/// step.
-fn next_limit(limit: f64, inputs: &LawInputs) -> f64 {
-    let LawInputs { mean_running, latency_s, max_latency_s, arrival_rate } = *inputs;
+/// Computes the next limit by formula (5), MPL = Ne / (1 + γ' (L - Lmax) / (Ti - Ne/L)), with a bounded
+/// change: at most by the factors `MAX_DECREASE` and `MAX_INCREASE`.
+fn next_limit(limit: f64, inputs: &FormulaInputs) -> f64 {
+    let FormulaInputs { mean_running, latency_s, max_latency_s, arrival_rate } = *inputs;
     let excess_rate = arrival_rate - mean_running / latency_s;
     let mut next = limit;
     if excess_rate > MIN_EXCESS_FRACTION * arrival_rate && arrival_rate > 0.0 {
@@ -57,9 +61,9 @@
 }
 
 impl Controller {
-    /// Resets the limit at the end of a control period.
+    /// Recomputes the limit at the end of a control period.
     pub(super) fn reset_concurrency_limit(&mut self) {
-        let inputs = LawInputs {
+        let inputs = FormulaInputs {
             mean_running: self.estimators.mean_running,
             latency_s: self.estimators.effective_latency_s(),
             max_latency_s: self.estimators.max_latency_s(),
@@ -75,20 +79,21 @@
         self.concurrency_limit = next.clamp(cores, self.survivable_concurrency().max(cores));
     }
 
-    /// The concurrency survival limit: a share of the runs at once that the worker survives, less while it
-    /// may be cold.
+    /// Upper bound of concurrent runs: a share of those that the worker survives, which is lower while the
+    /// worker may still be cold.
     pub(super) fn survivable_concurrency(&self) -> f64 {
-        let per_core = 1.0 + (self.settings.survivable_runs_per_core - 1.0).max(0.0) * self.warmth();
+        let per_core =
+            1.0 + (self.settings.survivable_runs_per_core - 1.0).max(0.0) * self.assured_speed_share();
         SURVIVABLE_FRACTION * per_core * f64::from(self.settings.cores)
     }
 
-    /// The share of its full speed that a worker which started cold is sure to have by now.
-    fn warmth(&self) -> f64 {
+    /// Speed that a worker which started cold has by now in any case, as a share of its full speed.
+    fn assured_speed_share(&self) -> f64 {
         match self.started_at {
             Some(started_at) if self.settings.cold && self.settings.warmup_duration.0 > 0 => {
                 let elapsed_s = (self.now - started_at).secs();
-                let warmed = (elapsed_s / self.settings.warmup_duration.secs()).min(1.0);
-                self.settings.cold_speed_share + (1.0 - self.settings.cold_speed_share) * warmed
+                let warmup_progress = (elapsed_s / self.settings.warmup_duration.secs()).min(1.0);
+                self.settings.cold_speed_share + (1.0 - self.settings.cold_speed_share) * warmup_progress
             }
             _ => 1.0,
         }
--- a/crates/admission/src/controller/dispatch.rs
+++ b/crates/admission/src/controller/dispatch.rs
@@ -1,8 +1,8 @@
-//! Which queued requests start, and when.
+//! Dispatch: which queued requests start, and when.
 //!
-//! Guarantees that no more requests run than the concurrency limit allows or, while cores idle, than the
-//! worker survives; that no run overfills the memory; and that nothing starts which can't be answered in
-//! time.
+//! Guarantees that no more requests run than the concurrency limit allows or, while cores are idle, than the
+//! worker survives; that no run exceeds the memory limit; and that no request starts that cannot be answered
+//! in time.
 
 use super::Controller;
 use super::backpressure::DECISION_WEIGHT;
@@ -11,7 +11,7 @@
 use crate::interface::{Action, RequestId};
 
 impl Controller {
-    /// Starts queued requests in order, while there is room for a run.
+    /// Starts queued requests in order, while one more may run.
     pub(super) fn start_queued(&mut self, actions: &mut Vec<Action>) {
         let survivable = self.survivable_concurrency() as usize;
         while self.can_start_run(survivable) {
@@ -27,25 +27,26 @@
         }
     }
 
-    /// Below the limit there is room; above it, as long as cores idle, up to what the worker survives: runs
-    /// that wait for the disk or a lock take no core.
+    /// Whether one more run may start: below the concurrency limit always; above it, while cores are idle, up
+    /// to the number of runs that the worker survives, because runs that wait for the disk or a lock take no
+    /// core.
     fn can_start_run(&self, survivable: usize) -> bool {
         let running = self.requests.running;
         (running as f64) < self.concurrency_limit.floor()
             || self.estimators.cores.idle > 0 && running < survivable
     }
 
-    /// The first in the queue that may start.
+    /// The first request in the queue that may start.
     ///
-    /// Guard for a dependency that is slow, overloaded or down: while as many runs as the limit stand at
-    /// calls, only classes that make none are started, and they keep the cores busy.
+    /// While as many runs as the concurrency limit allows wait at outbound calls, only classes that make no
+    /// calls are started. A dependency that is slow, overloaded or down then does not keep the cores idle.
     fn next_to_start(&self) -> Option<RequestId> {
-        let is_choked = self.requests.at_calls as f64 >= self.concurrency_limit;
+        let are_calls_saturated = self.requests.at_calls as f64 >= self.concurrency_limit;
         let makes_no_call = |id: RequestId| {
             self.requests.get(id).is_none_or(|entry| !self.settings.classes[entry.class].calls)
         };
         let mut startable =
-            self.queue.order.iter().map(|key| key.id).filter(|id| !is_choked || makes_no_call(*id));
+            self.queue.order.iter().map(|key| key.id).filter(|id| !are_calls_saturated || makes_no_call(*id));
         startable.next()
     }
 
--- a/crates/admission/src/controller/drain.rs
+++ b/crates/admission/src/controller/drain.rs
@@ -1,26 +1,27 @@
-//! Drain: what still runs after the notice to stop.
+//! Drain: which requests still run after the drain notice.
 //!
-//! Guarantees that nothing runs which arrives after the grace, and that all is answered before the process
-//! stops. Within the grace requests are taken as before: callers hear of the notice late.
+//! Guarantees that no request runs that arrives after the grace, and that all requests are answered before
+//! the process stops. Within the grace requests are admitted as before, because callers learn of the drain
+//! late.
 
 use super::Controller;
 use crate::interface::Action;
 use crate::time::Time;
 
-/// The bounds of a drain.
+/// The time limits of a drain.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Drain {
-    /// The end of the grace, counted from when the controller heard of the notice: what arrives later is
-    /// not run. The engine's own bound (`engine::Drain`) counts from the notice itself.
+    /// End of the grace, counted from when the controller was told of the drain: a request that arrives later
+    /// is not run. The engine has a limit of its own (`engine::Drain`), counted from the notice itself.
     pub(super) last_arrival: Time,
-    /// All must be answered by now, margin taken off.
+    /// Time by which all requests must be answered: the stop of the process less a margin.
     pub(super) answer_by: Time,
 }
 
 impl Controller {
-    /// The notice to stop; the process ends at `stop`. All deadlines are moved up before it.
+    /// Handles the drain notice; the process ends at `stop`. Moves all deadlines to before that time.
     pub(super) fn on_drain(&mut self, stop: Time, actions: &mut Vec<Action>) {
-        // One margin for the last look at a request, and one for its answer to leave the machine.
+        // One margin for the last check of a request, and one for its answer to leave the machine.
         let answer_by = self.with_margin(self.with_margin(stop)).max(self.now);
         self.drain = Some(Drain { last_arrival: self.now + self.settings.drain_grace, answer_by });
         self.announce(actions);
--- a/crates/admission/src/controller/final_answer.rs
+++ b/crates/admission/src/controller/final_answer.rs
@@ -1,7 +1,7 @@
-//! Final answers that the controller gives itself, and what becomes of the run behind them.
+//! Final answers that the controller itself gives, and what becomes of the runs of these requests.
 //!
-//! Guarantees that a rejection, which tells the caller that it may retry, is given only where the request
-//! never ran or may safely run twice; anything else gets a failure without such a promise.
+//! A rejection tells the caller that it may retry. Guarantees that a request is rejected only if it never ran
+//! or may safely run twice; any other request gets a failure, which does not promise that.
 
 use super::Controller;
 use super::backpressure::DECISION_WEIGHT;
@@ -10,15 +10,15 @@
 use crate::interface::{Action, Effect, Preemption, RequestId};
 
 impl Controller {
-    /// Gives a request its final answer: a rejection with advice where that is allowed, else a failure; then
-    /// releases it. One that is answered already stays as it is.
+    /// Gives a request its final answer and releases it: a rejection with advice on retries where that is
+    /// allowed, otherwise a failure. A request that is already answered is left unchanged.
     pub(super) fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(entry) = self.requests.get(id).filter(|entry| !entry.is_answered) else { return };
         let has_effect = self.settings.classes[entry.class].effect != Effect::Pure;
-        // A coalesced request's effect is that of the run that it waits for.
+        // The effect of a coalesced request is that of the run that it waits for.
         let may_have_run = entry.was_started || entry.phase == Phase::Coalesced;
         let never_started = !entry.was_started;
-        // An answer after its objective would be worth nothing from another node either.
+        // After the objective, an answer from another node would count nothing either.
         let no_retry_elsewhere = self.is_cluster_overloaded() || entry.useful_until <= self.now;
         let retry_after = self.retry_after();
         if let Some(entry) = self.requests.get_mut(id) {
@@ -35,12 +35,13 @@
         self.release(id, actions);
     }
 
-    /// A request is rejected that never ran: its token goes back, and a repeat of it is a first attempt.
+    /// Reverts the admission of a rejected request that never ran: its quota token is returned, and a repeat
+    /// of it counts as a first attempt.
     fn undo_admission(&mut self, id: RequestId, has_effect: bool, actions: &mut Vec<Action>) {
         blend(&mut self.backpressure.rejected_fraction, 1.0, DECISION_WEIGHT);
         let Some(entry) = self.requests.get(id) else { return };
         if entry.is_within_quota {
-            self.quota.give_back(entry.tenant);
+            self.quota.refund(entry.tenant);
         }
         if entry.is_remembered && has_effect {
             self.memory.remembered.retain(|(_, remembered)| *remembered != id);
@@ -48,8 +49,9 @@
         }
     }
 
-    /// Lets go of a request that was answered, and stops its run where that can be done. A run is left alone
-    /// that others wait for or that a repeat of its key may ask for.
+    /// Releases a request that needs no answer any more: stops its run where that is possible, or removes it
+    /// if it waits. A run is not stopped if others wait for its result, or if it is keyed and a repeat may
+    /// ask for it.
     pub(super) fn release(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(entry) = self.requests.get(id) else { return };
         let is_keyed = self.settings.classes[entry.class].effect == Effect::Keyed;
--- a/crates/admission/src/controller/health.rs
+++ b/crates/admission/src/controller/health.rs
@@ -1,17 +1,17 @@
-//! Health: whether checks find this worker in service.
+//! Health: whether health checks report this worker as in service.
 //!
-//! A check is answered from this setting alone, without work. A worker is out of service while what arrives
-//! is of no use here: it drains, is stalled, or reads too late.
+//! Checks are answered from this state alone, without any work. A worker is out of service while it cannot
+//! usefully serve new requests: it drains, is stalled, or reads requests too late.
 
 use super::Controller;
 use crate::interface::Action;
 
-/// Arrivals, as a multiple of this worker's part of all quotas, from which the whole cluster has too much;
-/// below, it is scatter.
+/// Arrivals, as a multiple of this worker's share of all quotas, from which the whole cluster counts as over
+/// quota; a smaller excess is ordinary variation.
 const OVER_QUOTA_FACTOR: f64 = 1.25;
 
 impl Controller {
-    /// Announces health and capacity where they have changed.
+    /// Announces health and capacity if they have changed.
     pub(super) fn announce(&mut self, actions: &mut Vec<Action>) {
         self.announce_health(actions);
         self.announce_capacity(actions);
@@ -25,25 +25,27 @@
         }
     }
 
-    /// Where every caller's list of workers follows health, a wave that overruns all workers would take each
-    /// off the list and send its traffic to the rest and back: there a read backlog counts only while it is
-    /// this worker's own.
+    /// Whether health checks should report this worker as in service.
+    ///
+    /// Where every caller's list of workers follows health, a burst that overloads all workers would take
+    /// each worker off the lists, send its traffic to the others, and back. There a read backlog takes this
+    /// worker out of service only if other workers do not share the backlog.
     fn should_be_in_service(&self) -> bool {
-        let is_failing_alone = self.drain.is_some() || self.is_stalled();
-        let is_backlog_shared = self.settings.list_follows_health && self.is_cluster_over_quota();
-        !is_failing_alone && (!self.is_unavailable() || is_backlog_shared)
+        let is_draining_or_stalled = self.drain.is_some() || self.is_stalled();
+        let is_backlog_cluster_wide = self.settings.list_follows_health && self.is_cluster_over_quota();
+        !is_draining_or_stalled && (!self.is_unavailable() || is_backlog_cluster_wide)
     }
 
-    /// Whether more arrives than this worker's part of all quotas: what overruns it overruns the others too.
-    /// With less, it is the one that is slow.
+    /// Whether more requests arrive than this worker's share of all quotas. Such a load overloads the other
+    /// workers too; with a smaller load, this worker alone is slow.
     fn is_cluster_over_quota(&self) -> bool {
         let quotas_per_s: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         let cluster_arrival_rate = self.estimators.arrival_rate * f64::from(self.settings.cluster_size);
         cluster_arrival_rate > OVER_QUOTA_FACTOR * quotas_per_s
     }
 
-    /// Whether nothing that arrives is of use here. Within the grace after the notice to stop it still is:
-    /// callers hear of the notice late, and the worker that takes this one's place is not listed yet.
+    /// Whether this worker cannot usefully serve any new request. Within the grace after the drain notice it
+    /// still can: callers learn of the drain late, and the worker that replaces this one is not listed yet.
     pub(super) fn is_unavailable(&self) -> bool {
         let is_past_grace = self.drain.as_ref().is_some_and(|drain| self.now >= drain.last_arrival);
         is_past_grace || self.is_stalled() || self.backpressure.is_backlogged
--- a/crates/admission/src/controller/mod.rs
+++ b/crates/admission/src/controller/mod.rs
@@ -1,32 +1,32 @@
-//! The admission controller: decides for one worker which requests run, wait, are answered at once or
-//! rejected.
+//! The admission controller of one worker: decides which requests run, which wait, which are answered from
+//! the run of another request, and which are rejected.
 //!
 //! Guarantees: every request gets one final answer by its deadline; a request is rejected only if it never
-//! ran or may safely run twice; nothing with an effect runs twice. Does not: read a clock, draw random
-//! numbers, do I/O or keep threads. The caller hands in batches of events with the time and carries out the
-//! actions that come back, in their order; the same events give the same actions. The types that go in and
-//! out are in `src/interface/`.
+//! ran or may safely run twice; no request with an effect runs twice. The controller reads no clock, draws no
+//! random numbers, does no I/O and starts no threads: its caller passes in batches of events together with
+//! the time, and carries out the returned actions in their order. The same events always give the same
+//! actions. The types of settings, events and actions are in `src/interface/`.
 //!
-//! Internally times are [`Time`] and [`Span`] in nanoseconds; figures that are averaged are `f64` in seconds
-//! (names end in `_s`), kilobytes (`_kb`) or counts. State is grouped by concern, one module each:
+//! Times are [`Time`] and [`Span`], in nanoseconds. Averaged quantities are `f64`: in seconds (names end in
+//! `_s`), in kilobytes (`_kb`) or plain counts. The state is grouped by concern, one module each:
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `arrival` | a request's times and priority; what is coalesced, remembered or rejected as it arrives |
-//! | `queue` | order of the admission queue, expiry, which requests are shed |
+//! | `arrival` | times and priority of a new request; what is coalesced, remembered or rejected at once |
+//! | `queue` | the order of the admission queue, expiry, load shedding |
 //! | `dispatch` | which queued requests start, and when |
-//! | `final_answer` | rejection or failure, and what becomes of the run |
-//! | `concurrency_limit` | how many requests may run at once: formula (5) of the paper |
-//! | `estimators` | Ne, L, Ti, service times, slowdown; whether the worker is stalled |
+//! | `final_answer` | whether a request is rejected or fails, and whether its run is stopped |
+//! | `concurrency_limit` | how many requests may run at once: formula (5), the latency law |
+//! | `estimators` | whether the worker is stalled; measures Ne, L, Ti, service times and the slowdown |
 //! | `quota` | which requests are within their tenant's quota |
-//! | `outbound_calls` | when a call is made, retried or given up |
-//! | `memory` | what is rejected or not remembered for want of memory |
+//! | `outbound_calls` | when a call is made, retried, skipped or abandoned |
+//! | `memory` | what is rejected or not remembered because memory is short |
 //! | `backpressure` | announced capacity, Retry-After, whether to retry elsewhere |
 //! | `health` | whether health checks pass |
 //! | `idle_connections` | how long idle connections are kept |
-//! | `drain` | what still runs after the notice to stop |
-//! | `requests` | nothing: the table of requests, their phases and the totals over them |
-//! | `snapshot` | nothing: the stored form of the controller, for hand-over between two versions |
+//! | `drain` | which requests still run after the drain notice |
+//! | `requests` | nothing; holds the table of requests, their phases and the totals over them |
+//! | `snapshot` | nothing; defines the stored form of the controller for the hand-over between two versions |
 
 mod arrival;
 mod backpressure;
@@ -58,38 +58,39 @@
 use serde::{Deserialize, Serialize};
 use snapshot::ControllerSnapshot;
 
-/// Ticks between two timers: often enough to answer within a deadline's margin, rare enough to cost nothing.
+/// Period of the controller's timer, in ticks: short enough to answer a request within the margin before its
+/// deadline, long enough to cost next to nothing.
 const TIMER_PERIOD_TICKS: u64 = 4;
-/// The id of the only timer.
+/// Id of the controller's only timer.
 const TIMER_ID: u64 = 1;
 
-/// Decides for one worker; see the crate's page.
+/// The admission controller of one worker. The documentation of the crate has an example.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(into = "ControllerSnapshot", from = "ControllerSnapshot")]
 pub struct Controller {
     settings: Settings,
-    /// The time of the present batch.
+    /// Time of the batch that is being processed.
     now: Time,
-    /// The time of the first step.
+    /// Time of the first step; `None` before that step.
     started_at: Option<Time>,
     requests: RequestTable,
     queue: Queue,
     memory: Memory,
     outbound_calls: OutboundCalls,
     estimators: Estimators,
-    /// Requests that may run at once; see `concurrency_limit`.
+    /// Number of requests that may run at once; see `concurrency_limit`.
     concurrency_limit: f64,
     quota: Quota,
     backpressure: Backpressure,
-    /// What health checks were last announced to hear.
+    /// Whether the last [`Action::Health`] reported the worker as in service.
     is_in_service: bool,
     idle_connections: IdleConnections,
     drain: Option<Drain>,
 }
 
 impl Controller {
-    /// A controller for a worker that has just started. The seed is for random choices;
-    /// this version makes none.
+    /// Creates the controller of a worker that has just started. The seed is meant for random choices; this
+    /// version makes none.
     ///
     /// # Errors
     /// The settings are unusable: no core, no class, a tick of zero, or a class without a latency objective
@@ -115,9 +116,9 @@
         })
     }
 
-    /// Goes on under other settings. Requests keep the index of their class; class `i` goes on with the
-    /// service time learnt for class `previous_classes[i]`, or with none. Whether the worker started cold
-    /// does not change.
+    /// Replaces the settings. Known requests keep the index of their class. Class `i` inherits the service
+    /// time measured for class `previous_classes[i]` of the old settings, or starts without one.
+    /// [`Settings::cold`] keeps its old value, as it says how the worker started.
     pub fn update_settings(&mut self, settings: Settings, previous_classes: &[Option<usize>]) {
         self.estimators.reindex_classes(previous_classes);
         self.quota.resize(settings.tenants.len());
@@ -125,12 +126,13 @@
         self.settings = outbound_calls::without_limit_unless_shared(settings);
     }
 
-    /// Whether the first step was taken; that one needs no event.
+    /// Whether the first step was taken. The first step needs no event.
     pub fn is_started(&self) -> bool {
         self.started_at.is_some()
     }
 
-    /// Takes in all events of a batch, then decides; appends what the worker is to do, in order.
+    /// Processes all events of a batch, then decides; appends the actions that the worker has to carry out,
+    /// in order.
     pub fn step(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         if self.started_at.is_none() {
@@ -171,7 +173,7 @@
         actions.push(Action::SetTimer(TIMER_ID, self.timer_period()));
     }
 
-    /// The longest time between two looks at the requests.
+    /// The longest time between two checks of the requests.
     fn timer_period(&self) -> Span {
         Span(self.settings.tick.0 * TIMER_PERIOD_TICKS)
     }
@@ -179,8 +181,8 @@
     fn on_timer(&mut self, gauges: &Gauges, actions: &mut Vec<Action>) {
         self.estimators.cores.update(gauges, self.requests.running, self.settings.cores);
         if gauges.runnable.is_some() && self.estimators.cores.idle > 0 {
-            // Whatever comes now is read at once. Where callers' lists follow health nothing else can end the
-            // read backlog: nobody comes.
+            // With an idle core, a request that arrives now is read at once. Where callers' lists of workers
+            // follow health, nothing else can end the read backlog, because no request arrives.
             self.note_read_delay(Span(0));
         }
         self.update_slowdown();
@@ -195,13 +197,14 @@
         self.set_timer(actions);
     }
 
-    /// Ends a control period: rolls the estimators on, refills the quota and resets the concurrency limit.
+    /// Ends a control period: updates the estimators, refills the quotas and recomputes the concurrency
+    /// limit.
     fn close_period(&mut self, elapsed_s: f64) {
         self.backpressure.note_callers(self.requests.callers_waiting());
         if self.estimators.arrivals == 0.0 && self.requests.entries.is_empty() {
             self.note_read_delay(Span(0));
         }
-        self.outbound_calls.mark_period(self.now, self.settings.call_window);
+        self.outbound_calls.sample_period(self.now, self.settings.call_window);
         self.estimators.close_period(self.now, elapsed_s);
         self.quota.refill(&self.settings.tenants, self.settings.cluster_size, elapsed_s);
         self.queue.forget_old_reads(self.now, self.settings.cache_ttl, self.estimators.latency_s);
--- a/crates/admission/src/controller/outbound_calls.rs
+++ b/crates/admission/src/controller/outbound_calls.rs
@@ -1,10 +1,12 @@
-//! Calls to the dependency: when one is made, retried, skipped or given up.
+//! Outbound calls to the dependency: when one is made, retried, skipped or abandoned.
 //!
-//! Guarantees that this worker's calls in hand stay, in the mean over any of the settings' windows, under its
-//! share of what the dependency survives, whatever the dependency does; and that a call which may have had an
-//! effect is not made again. Calls are unlimited where no dependency is shared.
+//! Guarantees that the number of this worker's outstanding calls, averaged over any window of the settings'
+//! length, stays below its share of what the dependency survives, whatever the dependency does; and that a
+//! call which may have had an effect is not made again. Calls are not limited unless the dependency is
+//! shared.
 //!
-//! 'In hand' means made and not ended, or abandoned so recently that the dependency may still work on it.
+//! A call is outstanding while it is in flight and, once abandoned, as long as the dependency may still work
+//! on it.
 
 use super::Controller;
 use super::estimators::{SAMPLE_WEIGHT, blend};
@@ -15,152 +17,156 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Share of the calls that the dependency survives which this worker has in hand in the mean: the other half
-/// is for workers that have more to do and for a dependency weaker than its settings say.
-const MEAN_FRACTION: f64 = 0.5;
-/// The same at any one time: calls come in bursts, and the dependency is judged by its mean.
-const MAX_FRACTION: f64 = 1.5;
-/// The same over a window, were every call in hand to last as long as it may.
-const PROMISED_FRACTION: f64 = 0.9;
-/// Pause before the first retry of a call, as a share of the mean latency objective: short against the
-/// objective, long against a refused connection.
+/// Largest mean number of outstanding calls, as a share of the outbound call limit: the other half is for
+/// workers that have more calls to make and for a dependency that survives less than its settings say.
+const MEAN_LIMIT_FRACTION: f64 = 0.5;
+/// Largest number of outstanding calls at any one time, as a share of the outbound call limit: calls come in
+/// bursts, and what the dependency survives is a mean.
+const PEAK_LIMIT_FRACTION: f64 = 1.5;
+/// Largest mean number of outstanding calls over a window, as a share of the outbound call limit, if every
+/// outstanding call lasted as long as it may.
+const RESERVED_LIMIT_FRACTION: f64 = 0.9;
+/// Pause before the first retry of a call, as a share of the mean latency objective: short compared with the
+/// objective, long compared with the time that a refused connection takes.
 const FIRST_RETRY_PAUSE_FRACTION: f64 = 0.0015;
-/// Longest pause before a retry, as a share of the mean latency objective: a later one would seldom help.
+/// Longest pause before a retry, as a share of the mean latency objective: a later retry would seldom help.
 const MAX_RETRY_PAUSE_FRACTION: f64 = 0.1;
-/// Doublings after which pauses and timeouts grow no further; by then they exceed any objective.
+/// Number of doublings after which pauses and timeouts grow no further; by then they exceed any objective.
 const MAX_DOUBLINGS: u32 = 16;
-/// A call that may be made again is given up after this many mean replies, and then made again.
+/// Timeout of a call that may be retried, as a multiple of the mean reply time.
 const TIMEOUT_MEAN_REPLIES: f64 = 8.0;
-/// A call is made while this share of a mean reply is left until the objective: some are quicker than the
-/// mean.
+/// A call is made only while at least this share of a mean reply time is left until the objective: some
+/// replies are faster than the mean.
 const MIN_TIME_LEFT_FRACTION: f64 = 0.5;
 /// Weight of a reply in the recent mean: a dependency that becomes slow must show within a few replies.
 const REPLY_WEIGHT: f64 = 2.0 * SAMPLE_WEIGHT;
-/// Weight with which the quickest mean is forgotten: a dependency that has become slower for good is taken as
-/// it is after some hundred replies.
-const QUICKEST_WEIGHT: f64 = SAMPLE_WEIGHT * SAMPLE_WEIGHT;
-/// Least window used in a division, in seconds.
+/// Weight with which the lowest mean moves towards the recent mean: after some hundred replies, a dependency
+/// that has become slower for good counts as normal.
+const LOWEST_MEAN_WEIGHT: f64 = SAMPLE_WEIGHT * SAMPLE_WEIGHT;
+/// Least window that is used as a divisor, in seconds.
 const MIN_WINDOW_S: f64 = 1e-3;
-/// Least reply time used in a division, in seconds.
+/// Least reply time that is used as a divisor, in seconds.
 const MIN_REPLY_S: f64 = 1e-6;
-/// Least capacity of the dependency over a window used in a division, in call-seconds.
+/// Least capacity of the dependency over a window that is used as a divisor, in call-seconds.
 const MIN_WINDOW_CAPACITY: f64 = 1e-6;
 
-/// The calls' state.
+/// State of the outbound calls.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OutboundCalls {
-    /// Requests that wait to make a call, in order.
+    /// Requests that wait to make a call, in the order in which they will make it.
     pub(super) waiting: BTreeSet<QueueKey>,
-    /// Calls made and not ended.
+    /// Number of calls that were made and have not ended.
     pub(super) in_flight: usize,
-    /// Abandoned calls that may still be in the dependency's hands, by the time at which they are surely
-    /// over.
+    /// Abandoned calls on which the dependency may still work: for each, the time by which that work is
+    /// certainly over.
     pub(super) abandoned: Vec<Time>,
-    /// Calls in hand, smoothed over the settings' window: with a hard edge all workers would stop and start
-    /// together.
-    pub(super) mean_in_hand: f64,
-    /// Call-seconds in hand since the start.
+    /// Mean number of outstanding calls, smoothed exponentially over the settings' call window: with a window
+    /// of sharp edges, all workers would stop and start calling together.
+    pub(super) mean_outstanding: f64,
+    /// Time integral of the number of outstanding calls since the start, in call-seconds.
     pub(super) call_seconds: f64,
-    /// The same at each control period's end within the settings' window.
-    pub(super) period_marks: VecDeque<(Time, f64)>,
-    /// `None` before the first reply.
+    /// Values of `call_seconds` at the ends of the control periods within the settings' call window.
+    pub(super) period_samples: VecDeque<(Time, f64)>,
+    /// Reply times of the dependency; `None` before the first reply.
     pub(super) reply_times: Option<ReplyTimes>,
 }
 
-/// How long calls took.
+/// Mean reply times of the dependency.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplyTimes {
     /// Mean of recent calls, in seconds.
-    pub(super) recent_s: f64,
-    /// The quickest that this mean has been, slowly forgotten, in seconds.
-    pub(super) quickest_s: f64,
+    pub(super) recent_mean_s: f64,
+    /// Lowest value of the recent mean, in seconds; moves slowly towards the recent mean.
+    pub(super) lowest_mean_s: f64,
 }
 
-/// Calls have no limit where no dependency is shared.
+/// Removes the limit on outbound calls unless the dependency is shared and the limit is above 0.
 pub(super) fn without_limit_unless_shared(settings: Settings) -> Settings {
     let has_limit = settings.downstream == Downstream::Shared && settings.outbound_call_limit > 0.0;
     let outbound_call_limit = if has_limit { settings.outbound_call_limit } else { f64::INFINITY };
     Settings { outbound_call_limit, ..settings }
 }
 
-/// Twice as much for each call that failed before.
+/// Factor of a pause or timeout: doubles with each failed call, `MAX_DOUBLINGS` times at most.
 fn backoff_factor(failed_calls: u32) -> f64 {
     2f64.powi(failed_calls.min(MAX_DOUBLINGS) as i32)
 }
 
 impl OutboundCalls {
-    /// Carries the averages on to now.
+    /// Updates the averages to `now`, `elapsed_s` seconds after the last update.
     pub(super) fn advance(&mut self, now: Time, elapsed_s: f64, window: Span) {
         self.abandoned.retain(|over_at| *over_at > now);
-        let in_hand = self.in_hand() as f64;
-        self.call_seconds += in_hand * elapsed_s;
+        let outstanding = self.outstanding() as f64;
+        self.call_seconds += outstanding * elapsed_s;
         let weight = 1.0 - (-elapsed_s / window.secs().max(MIN_WINDOW_S)).exp();
-        blend(&mut self.mean_in_hand, in_hand, weight);
+        blend(&mut self.mean_outstanding, outstanding, weight);
     }
 
-    /// Marks the end of a control period; marks older than the window go, but for the one at its start.
-    pub(super) fn mark_period(&mut self, now: Time, window: Span) {
-        self.period_marks.push_back((now, self.call_seconds));
-        while self.period_marks.get(1).is_some_and(|(marked_at, _)| *marked_at + window <= now) {
-            self.period_marks.pop_front();
+    /// Records the end of a control period. Samples older than the window are removed, except the last one
+    /// before the window's start.
+    pub(super) fn sample_period(&mut self, now: Time, window: Span) {
+        self.period_samples.push_back((now, self.call_seconds));
+        while self.period_samples.get(1).is_some_and(|(sampled_at, _)| *sampled_at + window <= now) {
+            self.period_samples.pop_front();
         }
     }
 
-    /// A call was given up; the dependency may work on it until then.
+    /// Records that a call was abandoned; the dependency may work on it until `over_at`.
     pub(super) fn abandon(&mut self, over_at: Time) {
         self.abandoned.push(over_at);
     }
 
-    /// A call ended or timed out after this long.
+    /// Records the time after which a call was answered or timed out.
     fn note_reply_time(&mut self, duration: Span) {
-        let unknown = ReplyTimes { recent_s: duration.secs(), quickest_s: duration.secs() };
+        let unknown = ReplyTimes { recent_mean_s: duration.secs(), lowest_mean_s: duration.secs() };
         let times = self.reply_times.get_or_insert(unknown);
-        blend(&mut times.recent_s, duration.secs(), REPLY_WEIGHT);
-        blend(&mut times.quickest_s, times.recent_s, QUICKEST_WEIGHT);
-        times.quickest_s = times.quickest_s.min(times.recent_s);
+        blend(&mut times.recent_mean_s, duration.secs(), REPLY_WEIGHT);
+        blend(&mut times.lowest_mean_s, times.recent_mean_s, LOWEST_MEAN_WEIGHT);
+        times.lowest_mean_s = times.lowest_mean_s.min(times.recent_mean_s);
     }
 
-    fn in_hand(&self) -> usize {
+    fn outstanding(&self) -> usize {
         self.in_flight + self.abandoned.len()
     }
 
-    /// Most calls in hand at once. Slow replies are a sign of an overloaded dependency: the bound shrinks
-    /// with them.
-    fn max_in_hand(&self, limit: f64) -> f64 {
-        let speed = self.reply_times.map_or(1.0, |times| times.quickest_s / times.recent_s.max(MIN_REPLY_S));
-        (MAX_FRACTION * limit * speed).max(1.0)
+    /// Largest number of outstanding calls at any one time. Slow replies are a sign of an overloaded
+    /// dependency: the bound falls as the mean reply time rises.
+    fn max_outstanding(&self, limit: f64) -> f64 {
+        let speed =
+            self.reply_times.map_or(1.0, |times| times.lowest_mean_s / times.recent_mean_s.max(MIN_REPLY_S));
+        (PEAK_LIMIT_FRACTION * limit * speed).max(1.0)
     }
 
-    /// Requests that wait for a call at this priority or a higher one.
+    /// Number of requests that wait for a call at this priority or a higher one.
     pub(super) fn waiting_ahead_of(&self, priority: i32) -> usize {
         self.waiting.iter().take_while(|key| key.priority <= Reverse(priority)).count()
     }
 
-    /// Expected wait for a call's turn behind so many, in seconds.
+    /// Expected time until a request may make its call, with `ahead` requests before it, in seconds.
     ///
-    /// Guard for a dependency that is slow or down: what could not make its call in time is rejected before
-    /// it runs, not after.
+    /// Requests that could not make their call in time, as the dependency is slow or down, are thereby
+    /// rejected before they run, not after.
     pub(super) fn expected_wait_s(&self, ahead: usize, limit: f64) -> f64 {
-        // In the long run the mean in hand binds, not the most at once.
-        let in_hand = self.max_in_hand(limit).min(MEAN_FRACTION * limit);
-        self.reply_times.map_or(0.0, |times| ahead as f64 * times.recent_s / in_hand)
+        // In the long run the allowed mean limits the calls, not the allowed peak.
+        let outstanding = self.max_outstanding(limit).min(MEAN_LIMIT_FRACTION * limit);
+        self.reply_times.map_or(0.0, |times| ahead as f64 * times.recent_mean_s / outstanding)
     }
 
-    /// Expected length of a call, in seconds. With none in flight one is tried whatever is expected: it shows
-    /// when replies are quick again.
+    /// Expected duration of a call, in seconds. Zero while no call is in flight, so that one is tried: it
+    /// shows when replies are fast again.
     pub(super) fn expected_call_s(&self) -> f64 {
-        self.reply_times.filter(|_| self.in_flight > 0).map_or(0.0, |times| times.recent_s)
+        self.reply_times.filter(|_| self.in_flight > 0).map_or(0.0, |times| times.recent_mean_s)
     }
 
-    /// Call-seconds in hand over about a window until now.
+    /// Call-seconds of outstanding calls over about one window until now.
     fn recent_call_seconds(&self) -> f64 {
-        self.call_seconds - self.period_marks.front().map_or(0.0, |(_, call_seconds)| *call_seconds)
+        self.call_seconds - self.period_samples.front().map_or(0.0, |(_, call_seconds)| *call_seconds)
     }
 }
 
 impl Controller {
-    /// A call ended: the run goes on, with or without its result; or the call is retried; or the request is
-    /// rejected.
+    /// Handles the end of a call: the run continues with or without the result, or the call is retried, or
+    /// the request is rejected.
     pub(super) fn on_call_ended(
         &mut self,
         id: RequestId,
@@ -196,11 +202,12 @@
         }
     }
 
-    /// Sets the pause before a call is made again; it doubles with each call that failed.
+    /// Sets the pause before a call is retried; the pause doubles with each failed call.
     ///
-    /// Guard for a dependency that is down or overloaded: its answer comes at once, and calls made again at
-    /// once go round as fast as the network does, cost it a reading each time and find it no better. Its
-    /// cost: the pause, where the next attempt would have gone well.
+    /// A dependency that is down or overloaded fails calls at once. Without a pause, retries would repeat as
+    /// fast as the network allows, each would cost the dependency the reading of a call, and they would find
+    /// the dependency in the same state. Drawback: the pause delays a request whose next attempt would have
+    /// succeeded.
     fn delay_retry(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get_mut(id) else { return };
         let pause_fraction =
@@ -209,20 +216,21 @@
         entry.next_call_at = self.now + Span::from_secs(pause_fraction * self.estimators.latency_objective_s);
     }
 
-    /// Call-seconds taken over the last window and promised to calls in hand, as a share of what the
+    /// Call-seconds used in the last window plus those reserved for outstanding calls, as a share of what the
     /// dependency survives.
     fn call_load(&self) -> f64 {
         let calling = self.requests.entries.values().filter(|entry| entry.phase == Phase::Calling);
         let over_at = calling
             .map(|entry| entry.call_deadline + self.settings.abandoned_call_duration)
             .chain(self.outbound_calls.abandoned.iter().copied());
-        let promised: f64 = over_at.map(|time| (time - self.now).secs()).sum();
-        let spent = self.outbound_calls.recent_call_seconds();
+        let reserved: f64 = over_at.map(|time| (time - self.now).secs()).sum();
+        let used = self.outbound_calls.recent_call_seconds();
         let capacity = self.settings.outbound_call_limit * self.settings.call_window.secs();
-        (spent + promised) / capacity.max(MIN_WINDOW_CAPACITY)
+        (used + reserved) / capacity.max(MIN_WINDOW_CAPACITY)
     }
 
-    /// Makes the calls that wait, by priority and age, while this worker's share of the dependency has room.
+    /// Makes the waiting calls, by priority and age, while this worker's share of the dependency has
+    /// capacity.
     pub(super) fn start_calls(&mut self, actions: &mut Vec<Action>) {
         let is_ready =
             |key: &&QueueKey| self.requests.get(key.id).is_none_or(|entry| entry.next_call_at <= self.now);
@@ -248,34 +256,37 @@
         }
     }
 
-    /// Guards against work in the dependency for answers that come too late: what can't be back is not sent.
+    /// Whether the reply to a call would come too late. Such a call is not made, as it would be useless work
+    /// for the dependency.
     fn is_too_late_to_call(&self, entry: &RequestEntry) -> bool {
         let needed_s = MIN_TIME_LEFT_FRACTION * self.outbound_calls.expected_call_s();
         self.now + Span::from_secs(needed_s) >= entry.useful_until
     }
 
-    /// The longest that one more call may take, in seconds, such that the mean over any window stays under
-    /// the share whatever the dependency does; `None` where there is no room for a call of usual length.
+    /// Longest duration of one more call, in seconds, with which the mean over any window stays below this
+    /// worker's share whatever the dependency does; `None` if there is no capacity for a call of usual
+    /// length.
     fn max_call_duration_s(&self) -> Option<f64> {
         let limit = self.settings.outbound_call_limit;
         let window_s = self.settings.call_window.secs().max(MIN_WINDOW_S);
-        let in_hand = (self.outbound_calls.in_hand() + 1) as f64;
-        let free_call_seconds = (PROMISED_FRACTION - self.call_load()) * limit * window_s;
+        let outstanding = (self.outbound_calls.outstanding() + 1) as f64;
+        let free_call_seconds = (RESERVED_LIMIT_FRACTION - self.call_load()) * limit * window_s;
         let max_duration_s = free_call_seconds - self.settings.abandoned_call_duration.secs();
-        let is_full = in_hand > self.outbound_calls.max_in_hand(limit)
-            || self.outbound_calls.mean_in_hand > MEAN_FRACTION * limit
+        let is_full = outstanding > self.outbound_calls.max_outstanding(limit)
+            || self.outbound_calls.mean_outstanding > MEAN_LIMIT_FRACTION * limit
             || max_duration_s < self.usual_call_s();
         (!is_full).then_some(max_duration_s)
     }
 
-    /// A mean reply, in seconds; before the first one, the least time in which a reply can be noticed.
+    /// Mean reply time, in seconds; before the first reply the least time in which a reply can be noticed,
+    /// one tick.
     fn usual_call_s(&self) -> f64 {
-        self.outbound_calls.reply_times.map_or(self.settings.tick.secs(), |times| times.recent_s)
+        self.outbound_calls.reply_times.map_or(self.settings.tick.secs(), |times| times.recent_mean_s)
     }
 
-    /// When a call is given up: at the request's objective, or as soon as its room is used up. One that may
-    /// be made again is given up sooner, as a reply that has not come for long may never come; each retry
-    /// waits twice as long, so that slow calls still end.
+    /// Time at which a call is abandoned: at the request's objective, or earlier if its reserved capacity is
+    /// used up. A call that may be retried is abandoned sooner, as a reply that is long overdue may never
+    /// come; the timeout doubles with each failed call, so that slow calls still succeed.
     fn call_deadline(&self, entry: &RequestEntry, max_duration_s: f64) -> Time {
         let timeout_s = TIMEOUT_MEAN_REPLIES * self.usual_call_s() * backoff_factor(entry.failed_calls);
         let is_pure = self.settings.classes[entry.class].effect == Effect::Pure;
--- a/crates/admission/src/controller/queue.rs
+++ b/crates/admission/src/controller/queue.rs
@@ -1,9 +1,9 @@
-//! The admission queue: its order, what expires in it and what is shed from it.
+//! The admission queue: its order, the expiry of requests, and load shedding.
 //!
-//! Order: highest priority first, then the oldest. Guarantees that while the cores are busy nothing waits
-//! that is not expected to be answered in time, and that a request which misses its latency objective is
-//! answered at once, unless a late answer still counts and there is room for it. Which requests start is
-//! `dispatch`'s.
+//! The queue is ordered by priority, highest first, then by age, oldest first. While the cores are busy, no
+//! request stays in the queue that is not expected to be answered in time. A request that misses its latency
+//! objective is answered at once, unless a late answer still counts and there is capacity for it. The
+//! `dispatch` module decides which requests start.
 
 use super::Controller;
 use super::requests::Phase;
@@ -12,19 +12,19 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Share of busy cores from which they count as busy: a request that comes then waits for another one's end.
+/// Share of busy cores from which the cores count as busy: a new request then waits until another one ends.
 pub(super) const BUSY_FRACTION: f64 = 0.9;
 /// Longest expected wait in the queue while the cores are busy, as a share of the mean latency objective: the
-/// run, its calls and the network need the rest.
+/// run, its outbound calls and the network need the rest.
 const MAX_WAIT_FRACTION: f64 = 0.3;
-/// Least capacity of the queue, in requests: few cores start few requests in a given time, so that ordinary
-/// scatter of arrivals and service times would overrun a capacity in proportion.
+/// Least capacity of the queue, in requests. A worker with few cores starts few requests in a given time, so
+/// that ordinary variation of arrivals and service times would exceed a proportional capacity.
 const MIN_QUEUE_CAPACITY: f64 = 4.0;
-/// A read key is forgotten after this many times the time over which its reads are counted: by then less than
-/// a fiftieth of its count is left.
+/// Retention of a resource key, as a multiple of the time over which its reads are counted: after that less
+/// than a fiftieth of its count is left.
 const READ_KEY_RETENTION: f64 = 4.0;
 
-/// Place in the order of the queue and of the line for calls; the first is served first.
+/// Position in the admission queue or in the queue for outbound calls; the lowest key is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
     pub(super) priority: Reverse<i32>,
@@ -32,27 +32,27 @@
     pub(super) id: RequestId,
 }
 
-/// Reads of one key and class of late.
+/// Recent reads of one resource key by one class.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReadCount {
-    /// Reads, forgotten over the time that one answer serves.
+    /// Number of reads; decays over the time for which one answer serves other reads.
     pub(super) reads: f64,
     pub(super) last_read: Time,
 }
 
-/// The queue's state.
+/// State of the admission queue.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
     pub(super) order: BTreeSet<QueueKey>,
-    /// When to look at a request again, queued or not: its latency objective, then its deadline.
+    /// Times at which requests, queued or not, are checked: at the latency objective, then at the deadline.
     pub(super) expiry: BTreeSet<(Time, RequestId)>,
-    /// By resource key and class.
+    /// Recent reads by resource key and class.
     pub(super) recent_reads: BTreeMap<(u64, usize), ReadCount>,
 }
 
 impl Queue {
-    /// Counts a read of this key; returns the requests that one run of it is expected to serve, 1 or more.
-    /// `served_for_s`: how long one answer serves other reads, in seconds.
+    /// Counts a read of this key; returns the number of requests that one run of it is expected to serve, 1
+    /// or more. `served_for_s` is the time for which one answer serves other reads, in seconds.
     pub(super) fn expected_coalescing(&mut self, key: (u64, usize), now: Time, served_for_s: f64) -> f64 {
         let count = self.recent_reads.entry(key).or_insert(ReadCount { reads: 0.0, last_read: now });
         let since_last_s = (now - count.last_read).secs();
@@ -61,7 +61,7 @@
         count.reads
     }
 
-    /// Forgets keys that nobody has read for long, so that the table stays bounded.
+    /// Removes keys that have not been read recently, so that the table stays bounded.
     pub(super) fn forget_old_reads(&mut self, now: Time, cache_ttl: Span, latency_s: f64) {
         let retention = Span::from_secs(READ_KEY_RETENTION * (cache_ttl.secs() + latency_s));
         self.recent_reads.retain(|_, count| count.last_read + retention > now);
@@ -69,18 +69,19 @@
 }
 
 impl Controller {
-    /// Whether the cores are busy, by the latest gauge.
+    /// Whether the cores are busy according to the latest gauges.
     pub(super) fn is_busy(&self) -> bool {
         self.estimators.cores.busy >= BUSY_FRACTION
     }
 
-    /// Requests that may wait while the cores are busy.
+    /// Number of requests that may wait while the cores are busy.
     pub(super) fn queue_capacity(&self) -> f64 {
         let starts_per_s = self.concurrency_limit / self.estimators.effective_latency_s();
         (starts_per_s * MAX_WAIT_FRACTION * self.estimators.latency_objective_s).max(MIN_QUEUE_CAPACITY)
     }
 
-    /// The queued request to shed first: lowest priority, newest, with nobody waiting for its result.
+    /// The queued request to shed first: of those whose result no other request waits for, the newest of the
+    /// lowest priority.
     pub(super) fn first_to_shed(&self) -> Option<RequestId> {
         let lowest_first = self.queue.order.iter().rev().map(|key| key.id);
         let mut sheddable =
@@ -88,8 +89,9 @@
         sheddable.next()
     }
 
-    /// Sheds while the cores are busy: what exceeds the queue's capacity, and the last in line for as long as
-    /// its expected wait and run would miss its objective. Rejected at once, a caller can still go elsewhere.
+    /// Sheds requests while the cores are busy: those beyond the capacity of the queue, and the last one in
+    /// the queue as long as its expected wait and run would miss its objective. A caller that is rejected at
+    /// once still has time to go elsewhere.
     pub(super) fn shed_queue(&mut self, actions: &mut Vec<Action>) {
         if !self.is_busy() {
             return;
@@ -108,11 +110,12 @@
         }
     }
 
-    /// Whether a queued request can no longer be answered in time, even if it started now. One that others
-    /// wait for never counts as such: their time may be longer.
+    /// Whether a request could not be answered in time even if it started now. Always false for a request
+    /// that others wait for, as they may have more time.
     pub(super) fn cannot_meet_objective(&self, id: RequestId) -> bool {
         let Some(entry) = self.requests.get(id).filter(|entry| !entry.has_waiters) else { return false };
-        // With nothing on the cores one run is tried whatever is expected: it shows when they are well again.
+        // While nothing runs, one run is tried whatever time is expected: it shows when the cores are fast
+        // again.
         let run_s = if self.requests.running == 0 {
             0.0
         } else {
@@ -129,7 +132,7 @@
         self.now + Span::from_secs(expected_s) >= entry.useful_until
     }
 
-    /// Looks at requests whose objective or deadline has come, and at those in the queue.
+    /// Checks the requests whose objective or deadline has come, and all queued requests.
     pub(super) fn expire_requests(&mut self, actions: &mut Vec<Action>) {
         while let Some((time, id)) = self.queue.expiry.first().copied().filter(|(time, _)| *time <= self.now)
         {
@@ -143,9 +146,9 @@
         }
     }
 
-    /// What can no longer meet its objective gets its final answer at once. Where a late answer counts it
-    /// stays, at the priority that a late answer has, until its deadline; a queued one only while the cores
-    /// have room.
+    /// Gives a request that can no longer meet its objective its final answer at once. Where a late answer
+    /// still counts, the request is kept until its deadline instead, with the priority of a late answer; a
+    /// queued request only while the cores are not busy.
     pub(super) fn on_objective_missed(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(entry) = self.requests.get(id).filter(|entry| !entry.is_answered) else { return };
         let useful_until = entry.useful_until;
--- a/crates/admission/src/controller/requests.rs
+++ b/crates/admission/src/controller/requests.rs
@@ -1,7 +1,8 @@
-//! The table of requests: where each stands, and the totals over them.
+//! The table of requests: the phase of each request, and totals over all of them.
 //!
-//! Guarantees that the totals (running requests, requests at calls, memory, the admission queue, the line for
-//! calls) follow each change of phase: a phase is set here and nowhere else. Decides nothing.
+//! Guarantees that the totals (running requests, requests at calls, memory, the admission queue, the queue
+//! for outbound calls) follow each change of phase, because phases are changed only here. This module makes
+//! no decisions.
 
 use super::Controller;
 use super::queue::QueueKey;
@@ -11,116 +12,117 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a request stands. The stored names are those of the hand-over format; see `snapshot`.
+/// Phase of a request. The names given by `serde` belong to the hand-over format; see `snapshot`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Phase {
-    /// Read, waiting to run.
+    /// Read, and waiting in the admission queue.
     #[serde(rename = "Held")]
     Queued,
     /// Waiting for the run of the request that it repeats.
     #[serde(rename = "Reusing")]
     Coalesced,
-    /// On the cores.
+    /// Running on the cores.
     Running,
-    /// On the cores, answered and being stopped: nothing goes back to the queue.
+    /// Running on the cores, but answered and being stopped; does not return to the queue.
     Stopping,
-    /// Off the cores, wants to call.
+    /// Off the cores, waiting to make an outbound call.
     #[serde(rename = "AtCall")]
     AwaitingCall,
-    /// Off the cores, call under way.
+    /// Off the cores, waiting for the reply to its outbound call.
     Calling,
 }
 
 impl Phase {
-    /// Takes the time of the cores.
+    /// Whether a request in this phase takes core time.
     pub(super) fn is_on_cores(self) -> bool {
         matches!(self, Phase::Running | Phase::Stopping)
     }
 
-    /// Takes the memory of a request that was read, not that of a run.
+    /// Whether a request in this phase takes the memory of a queued request, not that of a run.
     pub(super) fn is_waiting(self) -> bool {
         matches!(self, Phase::Queued | Phase::Coalesced)
     }
 }
 
-/// One request. The stored names are those of the hand-over format; see `snapshot`.
+/// State of one request. The names given by `serde` belong to the hand-over format; see `snapshot`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct RequestEntry {
-    /// Index into the settings' classes.
+    /// Class of the request: an index into `Settings::classes`.
     pub(super) class: usize,
-    /// Index into the settings' tenants.
+    /// Tenant of the request: an index into `Settings::tenants`.
     pub(super) tenant: usize,
     pub(super) phase: Phase,
-    /// When it reached the machine.
+    /// Time at which the request arrived at the machine.
     #[serde(rename = "reached")]
     pub(super) arrived_at: Time,
-    /// An answer after this counts nothing: the latency objective; once that is missed and late answers
-    /// count, the deadline.
+    /// Time after which an answer counts nothing: the latency objective or, once the objective is missed and
+    /// late answers count, the deadline.
     #[serde(rename = "aim")]
     pub(super) useful_until: Time,
-    /// Must be answered by now, margin taken off.
+    /// Time by which the request must be answered: the time when its caller gives up, less a margin.
     #[serde(rename = "due")]
     pub(super) deadline: Time,
     pub(super) caller: u64,
-    /// Memory while it waits, in kilobytes.
+    /// Memory of the request while it is queued, in kilobytes.
     #[serde(rename = "held_kb")]
     pub(super) queued_kb: f64,
-    /// Expected seconds of work where hinted, else one unit.
+    /// Expected seconds of work if the request has a work hint, otherwise 1.
     pub(super) size: f64,
-    /// Higher runs first and is shed last; see `arrival::initial_priority`.
+    /// Priority: a request of higher priority runs first and is shed last; see
+    /// `Controller::initial_priority`.
     #[serde(rename = "level")]
     pub(super) priority: i32,
-    /// Took a token of its tenant's quota.
+    /// Whether the request was within its tenant's quota when it arrived.
     #[serde(rename = "in_share")]
     pub(super) is_within_quota: bool,
-    /// When the call under way is given up.
+    /// Time at which the outbound call under way is abandoned.
     #[serde(rename = "call_until")]
     pub(super) call_deadline: Time,
-    /// Calls that failed and are to be retried.
+    /// Number of failed outbound calls of this request that were to be retried.
     #[serde(rename = "calls_lost")]
     pub(super) failed_calls: u32,
-    /// When the next call may be made.
+    /// Earliest time at which the next outbound call may be made.
     #[serde(rename = "call_at")]
     pub(super) next_call_at: Time,
-    /// The final answer was given, or none is owed.
+    /// Whether the final answer was given, or none is needed as the caller is gone.
     #[serde(rename = "answered")]
     pub(super) is_answered: bool,
-    /// A run was begun at some time.
+    /// Whether a run of this request was ever started.
     #[serde(rename = "ran")]
     pub(super) was_started: bool,
-    /// The worker was asked to remember it for repeats.
+    /// Whether the worker was asked to remember the request, to recognise repeats of it.
     #[serde(rename = "kept")]
     pub(super) is_remembered: bool,
-    /// Another request waits for its result.
+    /// Whether another request waits for the result of this one.
     #[serde(rename = "waited_for")]
     pub(super) has_waiters: bool,
-    /// Start of the present phase.
+    /// Time at which the present phase began.
     #[serde(rename = "since")]
     pub(super) phase_began: Time,
-    /// Seconds on the cores before the present phase.
+    /// Time on the cores before the present phase, in seconds.
     #[serde(rename = "on_core_s")]
     pub(super) earlier_run_s: f64,
 }
 
 impl RequestEntry {
-    /// Its place in the order of the queue and of the line for calls.
+    /// Position of the request in the admission queue and in the queue for outbound calls.
     pub(super) fn queue_key(&self, id: RequestId) -> QueueKey {
         QueueKey { priority: Reverse(self.priority), arrived_at: self.arrived_at, id }
     }
 
-    /// Seconds on the cores so far; the request is on them now.
+    /// Time on the cores so far, in seconds; only for a request that is on the cores at `now`.
     pub(super) fn run_s(&self, now: Time) -> f64 {
         self.earlier_run_s + (now - self.phase_began).secs()
     }
 }
 
-/// All requests that are not over, and how many of them stand where.
+/// All requests that are not over, with totals by phase.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RequestTable {
     pub(super) entries: BTreeMap<RequestId, RequestEntry>,
-    /// Requests on the cores.
+    /// Number of requests on the cores.
     pub(super) running: usize,
-    /// Requests whose run stands at a call, made or awaited.
+    /// Number of requests whose run makes an outbound call or waits to make one.
     pub(super) at_calls: usize,
 }
 
@@ -133,7 +135,7 @@
         self.entries.get_mut(&id)
     }
 
-    /// Callers that have a request here which is not answered.
+    /// Number of callers that have an unanswered request at this worker.
     pub(super) fn callers_waiting(&self) -> usize {
         let unanswered = self.entries.values().filter(|entry| !entry.is_answered);
         unanswered.map(|entry| entry.caller).collect::<BTreeSet<_>>().len()
@@ -141,7 +143,7 @@
 }
 
 impl Controller {
-    /// Adds a request to the table, to the totals and to the times at which requests are looked at.
+    /// Adds a request to the table, to the totals and to the expiry times.
     pub(super) fn insert(&mut self, id: RequestId, entry: RequestEntry) {
         let useful_until = entry.useful_until;
         self.requests.entries.insert(id, entry);
@@ -149,7 +151,7 @@
         self.queue.expiry.insert((useful_until, id));
     }
 
-    /// Forgets a request.
+    /// Removes a request from the table, from the totals and from the expiry times.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<RequestEntry> {
         self.subtract_from_totals(id);
         let entry = self.requests.entries.remove(&id)?;
@@ -158,10 +160,10 @@
         Some(entry)
     }
 
-    /// Moves a request on; unknown ids are ignored.
+    /// Changes the phase of a request; ignores an unknown id.
     pub(super) fn set_phase(&mut self, id: RequestId, phase: Phase) {
         if phase == Phase::Running && self.requests.running == 0 {
-            // Nothing could complete while nothing ran: that silence is no sign of a stall.
+            // No run could complete while none ran: that time must not count as a stall.
             self.estimators.last_completion = self.now;
         }
         self.subtract_from_totals(id);
@@ -175,7 +177,7 @@
         self.add_to_totals(id);
     }
 
-    /// Changes what a request's place in the order depends on.
+    /// Changes fields on which the request's position in the queues depends.
     pub(super) fn reorder(&mut self, id: RequestId, change: impl FnOnce(&mut RequestEntry)) {
         self.subtract_from_totals(id);
         if let Some(entry) = self.requests.get_mut(id) {
@@ -184,7 +186,7 @@
         self.add_to_totals(id);
     }
 
-    /// A request's memory in its present phase, in kilobytes.
+    /// Memory that a request takes in its present phase, in kilobytes.
     fn memory_of_kb(&self, entry: &RequestEntry) -> f64 {
         let factor =
             if entry.phase.is_waiting() { 1.0 } else { self.settings.running_memory_factor.max(1.0) };
@@ -210,7 +212,7 @@
         }
     }
 
-    /// The reverse of `add_to_totals`; nothing that its key or phase depends on may change in between.
+    /// Reverses `add_to_totals`. The phase and the fields of the queue key must be the same in both calls.
     fn subtract_from_totals(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get(id) else { return };
         let (key, phase) = (entry.queue_key(id), entry.phase);
@@ -230,19 +232,20 @@
         }
     }
 
-    /// The caller has stopped waiting: no answer is owed.
+    /// Handles a caller that has stopped waiting: its request needs no answer.
     pub(super) fn on_caller_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(entry) = self.requests.get_mut(id) else { return };
         entry.is_answered = true;
         self.release(id, actions);
     }
 
-    /// A run is over, or a stop took effect.
+    /// Handles a run that ended or was stopped: removes its request and, if the run succeeded, counts its
+    /// time.
     pub(super) fn on_run_ended(&mut self, id: RequestId, outcome: Outcome) {
         let Some(entry) = self.requests.get(id) else { return };
         let phase = entry.phase;
         if phase == Phase::Calling {
-            // Its call is given up with it, and may stay in the dependency's hands like any abandoned one.
+            // The call is abandoned together with its run; the dependency may still work on it.
             self.outbound_calls.abandon(self.now + self.settings.abandoned_call_duration);
         }
         let Some(entry) = self.remove(id) else { return };
--- a/crates/admission/src/controller/snapshot.rs
+++ b/crates/admission/src/controller/snapshot.rs
@@ -1,14 +1,14 @@
-//! The stored form of the controller: part of the frames by which one process of a node hands over to the
-//! next.
+//! The stored form of the controller. It is part of the frames that one process of a node sends to its
+//! successor in a hand-over.
 //!
-//! Both may be of different versions, so the form (CBOR through serde: field names, their order and nesting)
-//! stays as the first version wrote it, whatever the code calls its state or how it groups it. The names are
-//! mapped here by `#[serde(rename)]`; those of `RequestEntry` and `Phase`, whose shape is the stored one, in
-//! place. A change here must keep `the_frames_of_a_handover_keep_their_bytes` of
-//! `crates/node/tests/stored_forms.rs`.
+//! The two processes may be of different versions. The format (CBOR through serde: field names, their order
+//! and nesting) therefore stays as the first version wrote it, however the code names and groups its state.
+//! `#[serde(rename)]` maps the names in this module; `RequestEntry` and `Phase`, which have the structure of
+//! the stored form, map their names themselves. After a change here,
+//! `the_frames_of_a_handover_keep_their_bytes` in `crates/node/tests/stored_forms.rs` must still pass.
 //!
-//! Unknown fields are skipped as a newer version's; a missing one is an error, upon which the hand-over is
-//! given up.
+//! Unknown fields are skipped, as a newer version may have written them. A missing field is an error, upon
+//! which the hand-over is abandoned.
 
 use super::Controller;
 use super::backpressure::Backpressure;
@@ -26,13 +26,13 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A queue key: the priority negated, arrival, id.
+/// A queue key: negated priority, arrival time, request id.
 type StoredQueueKey = (i32, Time, RequestId);
 
-/// Reads and the last one, by resource key and class.
+/// Number of recent reads and time of the last one, by resource key and class.
 type StoredReadCounts = BTreeMap<(u64, usize), (f64, Time)>;
 
-/// [`Controller`] as stored. The order of the fields is part of the form.
+/// Stored form of [`Controller`]. The order of the fields is part of the format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct ControllerSnapshot {
     #[serde(rename = "s")]
@@ -65,14 +65,14 @@
     announced: f64,
     #[serde(rename = "healthy")]
     is_in_service: bool,
-    /// Timeout and announced timeout, in seconds.
+    /// The idle timeout and the announced idle timeout, in seconds.
     #[serde(rename = "idle")]
     idle_connections: (f64, f64),
-    /// Last arrival and the time by which all is answered.
+    /// Last arrival time of requests that are run, and time by which all requests are answered.
     drain: Option<(Time, Time)>,
 }
 
-/// [`OutboundCalls`] as stored.
+/// Stored form of [`OutboundCalls`]. The order of the fields is part of the format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct OutboundCallsSnapshot {
     waiting: BTreeSet<StoredQueueKey>,
@@ -81,17 +81,18 @@
     #[serde(rename = "lingering")]
     abandoned: Vec<Time>,
     #[serde(rename = "mean")]
-    mean_in_hand: f64,
+    mean_outstanding: f64,
     #[serde(rename = "spent")]
     call_seconds: f64,
     #[serde(rename = "marks")]
-    period_marks: VecDeque<(Time, f64)>,
-    /// Recent and quickest mean, in seconds.
+    period_samples: VecDeque<(Time, f64)>,
+    /// Recent mean and lowest mean of the reply time, in seconds.
     #[serde(rename = "lag")]
     reply_times: Option<(f64, f64)>,
 }
 
-/// [`Estimators`] as stored, with what [`Backpressure`] measures.
+/// Stored form of [`Estimators`] and of what [`Backpressure`] measures. The order of the fields is part of
+/// the format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct EstimatorsSnapshot {
     period: Span,
@@ -119,7 +120,7 @@
     read_delay_s: f64,
     #[serde(rename = "swamped")]
     is_backlogged: bool,
-    /// Mean run in seconds and mean size, by class.
+    /// Mean run time in seconds and mean size of each class.
     #[serde(rename = "runs")]
     service_times: Vec<Option<(f64, f64)>>,
     slowdown: f64,
@@ -194,10 +195,10 @@
             waiting: store_keys(calls.waiting),
             in_flight: calls.in_flight,
             abandoned: calls.abandoned,
-            mean_in_hand: calls.mean_in_hand,
+            mean_outstanding: calls.mean_outstanding,
             call_seconds: calls.call_seconds,
-            period_marks: calls.period_marks,
-            reply_times: calls.reply_times.map(|times| (times.recent_s, times.quickest_s)),
+            period_samples: calls.period_samples,
+            reply_times: calls.reply_times.map(|times| (times.recent_mean_s, times.lowest_mean_s)),
         }
     }
 }
@@ -208,10 +209,12 @@
             waiting: restore_keys(stored.waiting),
             in_flight: stored.in_flight,
             abandoned: stored.abandoned,
-            mean_in_hand: stored.mean_in_hand,
+            mean_outstanding: stored.mean_outstanding,
             call_seconds: stored.call_seconds,
-            period_marks: stored.period_marks,
-            reply_times: stored.reply_times.map(|(recent_s, quickest_s)| ReplyTimes { recent_s, quickest_s }),
+            period_samples: stored.period_samples,
+            reply_times: stored
+                .reply_times
+                .map(|(recent_mean_s, lowest_mean_s)| ReplyTimes { recent_mean_s, lowest_mean_s }),
         }
     }
 }
--- a/crates/admission/src/interface/actions.rs
+++ b/crates/admission/src/interface/actions.rs
@@ -1,49 +1,52 @@
-//! What a controller has its worker do.
+//! Actions: the instructions that a [`Controller`](crate::Controller) gives to its worker.
 
 use super::events::RequestId;
 use crate::time::{Span, Time};
 
-/// Something the worker is to do, in the order given.
+/// An instruction to the worker, which carries out the actions of a batch in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start a queued request.
+    /// Start the run of a queued request.
     Run(RequestId),
-    /// Stop a run.
+    /// Stop the run of a request. [`Settings::preemption`](super::Settings::preemption) says what that does.
     Preempt(RequestId),
-    /// Final answer: rejected; it never ran, or may safely run again.
+    /// Final answer: the request is rejected. It never ran or may safely run again, so that the caller may
+    /// retry.
     Reject {
-        /// The request.
+        /// The rejected request.
         id: RequestId,
-        /// How long the caller should wait before a retry; zero for no advice.
+        /// How long the caller should wait before it retries; zero gives no advice.
         retry_after: Span,
-        /// Asks the caller not to retry at another worker.
+        /// Whether the caller is asked not to retry at another worker.
         no_retry_elsewhere: bool,
     },
-    /// Final answer: an error; the request may have run.
+    /// Final answer: the request failed; it may have run.
     Fail(RequestId),
-    /// Answer a request from the run of the one that it repeats.
+    /// Answer this request from the run of the request that it repeats, its
+    /// [`Request::original`](super::Request::original).
     Coalesce(RequestId),
-    /// Remember a request for this long, so that repeats are recognised.
+    /// Remember the request for this time, counted from now, so that repeats of it are recognised.
     Remember(RequestId, Span),
-    /// Forget a remembered request.
+    /// Stop remembering the request: a later repeat of it counts as a first attempt.
     Forget(RequestId),
-    /// Make the call that a request waits for; it is given up at this time.
+    /// Make the outbound call that the run of this request waits for; abandon the call at the given time.
     Call(RequestId, Time),
-    /// Let the run go on without its call.
+    /// Let the run of this request continue without the result of its outbound call.
     SkipCall(RequestId),
-    /// Set the value sent with every answer.
+    /// Send this capacity with every answer from now on. Its meaning and range depend on
+    /// [`Settings::backpressure_signal`](super::Settings::backpressure_signal).
     AnnounceCapacity(f64),
-    /// What health checks report from now on.
+    /// Set what health checks report from now on.
     Health {
-        /// In service.
+        /// Whether the worker is in service.
         good: bool,
-        /// Answer from this setting alone.
+        /// Whether checks are answered from `good` alone, without doing any work.
         shallow: bool,
     },
-    /// Close connections idle for this long.
+    /// Close connections that have been idle for this long.
     SetIdleTimeout(Span),
-    /// Ask for a timer after this time.
+    /// Deliver an [`Event::Timer`](super::Event::Timer) with this id once this time has passed.
     SetTimer(u64, Span),
-    /// A line for the log.
+    /// Write this line to the log.
     Log(String),
 }
--- a/crates/admission/src/interface/events.rs
+++ b/crates/admission/src/interface/events.rs
@@ -1,90 +1,95 @@
-//! What a worker tells its controller: requests, ends of runs and calls, timers with gauges, the notice to stop.
+//! Events: what a worker reports to its [`Controller`](crate::Controller): requests, the ends of runs and of
+//! outbound calls, timers together with gauges, and the drain notice.
 
 use crate::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 
-/// Names one attempt of a request; never reused by the worker.
+/// Identifies one attempt of a request. The worker never uses an id for two attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u128);
 
-/// A request that was read and now awaits a decision.
+/// An attempt of a request that the worker has read and that the controller has to decide on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the attempt.
     pub id: RequestId,
-    /// Index into [`Settings::classes`](super::Settings::classes).
+    /// Class of the request: an index into [`Settings::classes`](super::Settings::classes). An index beyond
+    /// the last class stands for the last class.
     pub class: usize,
-    /// Index into [`Settings::tenants`](super::Settings::tenants); 0 where there are none.
+    /// Tenant of the request: an index into [`Settings::tenants`](super::Settings::tenants); 0 where there
+    /// are no tenants.
     pub tenant: usize,
-    /// What it concerns, where known: the same number for the same thing.
+    /// The resource that the request concerns, where known: equal numbers stand for the same resource.
     pub resource_key: Option<u64>,
-    /// When its caller stops waiting, where known.
+    /// Time at which the caller stops waiting, where known; otherwise the deadline of the class applies.
     pub deadline: Option<Time>,
-    /// Expected work on a standard core, where known.
+    /// Expected work of the run, as time on one standard core, where known.
     pub work_hint: Option<Span>,
-    /// Memory while queued, in kilobytes.
+    /// Memory that the request takes while it is queued, in kilobytes.
     pub queued_kb: f64,
-    /// Place in the order of shedding, from 0 to under 1; lower is shed first.
+    /// Position of the request in the shedding order, from 0 to below 1: lower values are shed first. Callers
+    /// compare it with the value of [`BackpressureSignal::Floor`](super::BackpressureSignal::Floor); the
+    /// controller does not read it.
     pub shed_order: f64,
-    /// The number of its caller; 0 where callers are not distinguished.
+    /// Number of the caller that sent the request; 0 where callers are not distinguished.
     pub caller: u64,
-    /// Known to be a retry or a second copy.
+    /// Whether the request is known to be a retry or a second copy of an earlier attempt.
     pub is_retry: bool,
-    /// How long ago it arrived at the machine.
+    /// Time from the arrival of the request at the machine until the worker read it.
     pub read_delay: Span,
-    /// The remembered request that this one repeats.
+    /// The remembered request that this one repeats; `None` for a first attempt.
     pub original: Option<RequestId>,
 }
 
-/// How a run or a call ended.
+/// How a run or an outbound call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded.
+    /// The run or call succeeded.
     Ok,
-    /// It failed, perhaps after its effect.
+    /// The run or call failed; it may have had its effect.
     Error,
-    /// The dependency rejected the call; it never ran.
+    /// The dependency rejected the call because of overload; the call never ran.
     Overloaded,
-    /// The call was given up; it may have had its effect.
+    /// The call was abandoned at its deadline; it may have had its effect.
     TimedOut,
-    /// The dependency was out of reach; the call never ran.
+    /// The dependency could not be reached; the call never ran.
     Unreachable,
-    /// The call broke off; it may have had its effect.
+    /// The connection broke during the call; the call may have had its effect.
     Reset,
-    /// The run was stopped.
+    /// The run was stopped before its end.
     Cancelled,
-    /// Nothing started, since the request was already over.
+    /// The run never started, for example because the request was already over.
     NeverStarted,
 }
 
-/// The worker's own gauges; those it lacks are `None`.
+/// Gauges of the worker, read when a timer is due; `None` for a gauge that the worker does not have.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// Share of the cores busy of late.
+    /// Share of the cores that were busy recently, from 0 to about 1.
     pub cpu_busy: Option<f64>,
-    /// Everything that wants a core now.
+    /// Number of tasks that want a core now, running tasks included.
     pub runnable: Option<f64>,
-    /// Share of the memory in use.
+    /// Share of the memory in use, from 0 to 1. The controller does not read it.
     pub mem_used: Option<f64>,
-    /// Open connections.
+    /// Number of open connections. The controller does not read it.
     pub sockets: Option<f64>,
 }
 
-/// Something that happened to this worker.
+/// An event at the worker. The controller processes events in batches.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A request was read.
+    /// The worker read a request.
     Request(Request),
-    /// The caller has stopped waiting.
+    /// The caller of this request has stopped waiting for the answer.
     CallerGone(RequestId),
-    /// The worker is to drain; its process stops at the time given.
+    /// The worker was told to drain; its process stops at the given time.
     Drain(Time),
-    /// A run or a coalesced request is over, or a stop took effect.
+    /// The run of this request ended or was stopped, or the coalesced request was answered.
     RunEnded(RequestId, Outcome),
-    /// A running request wants to call the dependency.
+    /// The run of this request waits to make an outbound call.
     CallRequested(RequestId),
-    /// A call ended after this long.
+    /// The outbound call of this request ended, this long after it was made.
     CallEnded(RequestId, Outcome, Span),
-    /// A timer set earlier is due.
+    /// The timer with this id is due; the gauges are those of the worker at present.
     Timer(u64, Gauges),
 }
--- a/crates/admission/src/interface/mod.rs
+++ b/crates/admission/src/interface/mod.rs
@@ -1,6 +1,7 @@
-//! The types that pass between a worker and its [`Controller`](crate::Controller).
+//! The types exchanged between a worker and its [`Controller`](crate::Controller): the worker passes in
+//! settings and events, and the controller returns actions.
 //!
-//! Nothing here decides anything: settings and events go in, actions come out.
+//! These modules hold data only; they make no decisions.
 
 mod actions;
 mod events;
--- a/crates/admission/src/interface/settings.rs
+++ b/crates/admission/src/interface/settings.rs
@@ -1,190 +1,202 @@
-//! The settings of a controller: the classes and tenants, what the worker can do, and what it survives.
+//! Settings of a controller: request classes and tenants, the capabilities of the worker, its callers and its
+//! dependency, and the load that they survive.
 //!
-//! The stored names (`#[serde(rename)]`) are those of the hand-over between two processes of a node, which may be of
-//! different versions.
+//! The names given by `#[serde(rename)]` belong to the format of the hand-over between two processes of a
+//! node, which may be of different versions; they must not change.
 
 use crate::time::Span;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// What a second run of a request would do.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
-    /// Safe to repeat.
+    /// The request may safely run more than once.
     Pure,
-    /// Has an effect; repeats are recognised by a key and answered from the first run.
+    /// The request has an effect. Repeats are recognised by an idempotency key and answered from the first
+    /// run.
     Keyed,
-    /// Has an effect and repeats cannot be recognised.
+    /// The request has an effect, and repeats of it cannot be recognised.
     Unsafe,
 }
 
-/// One class of requests.
+/// One class of requests: its latency objective, deadline, weight and effect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// An answer within this time of the first attempt counts its full weight.
+    /// Time within which an answer counts its full weight, measured from the first attempt of a request;
+    /// above 0. The controller, which does not know earlier attempts, measures it from the arrival of each
+    /// attempt.
     #[serde(rename = "aim")]
     pub latency_objective: Span,
-    /// The objective grows by this multiple of the request's own work (0: not at all).
+    /// Extension of `latency_objective`, as a multiple of the request's own work hint; 0 for no extension.
     #[serde(rename = "aim_stretch")]
     pub objective_stretch: f64,
-    /// The caller gives up after this long.
+    /// Time after which the caller gives up, measured from the arrival of the request; above 0. A deadline
+    /// stated by the request itself takes precedence.
     pub deadline: Span,
-    /// What a request counts.
+    /// Weight of a request or of a unit of work, depending on [`Settings::weight_by`]. The priority of a
+    /// request follows from it.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Share of the weight for an answer between objective and deadline.
+    /// Share of `priority_weight` that an answer between objective and deadline counts; 0 if it counts
+    /// nothing.
     #[serde(rename = "late_worth")]
     pub late_weight: f64,
-    /// Whether a request may run again.
+    /// Whether a request of this class may run more than once.
     pub effect: Effect,
-    /// For [`Effect::Keyed`]: how long after its arrival a request may come back.
+    /// For [`Effect::Keyed`]: time after the arrival of a request within which repeats of it may arrive.
     pub dedup_window: Span,
-    /// Whether its requests may call the dependency.
+    /// Whether the runs of this class may make outbound calls.
     pub calls: bool,
-    /// Share of the weight where a call was skipped; 0 where it must not be.
+    /// Share of `priority_weight` that an answer counts whose run skipped its outbound call; 0 if the call
+    /// must not be skipped.
     #[serde(rename = "skip_worth")]
     pub skipped_call_weight: f64,
 }
 
-/// One tenant.
+/// One tenant: its quota and its share of the service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Requests a second over all workers that are within its quota.
+    /// Requests per second, over all workers of the cluster together, that are within the tenant's quota.
     pub quota_per_s: f64,
-    /// Its portion of the service.
+    /// The tenant's share of the service. The controller does not read it.
     pub share: f64,
 }
 
-/// What stopping a run does.
+/// What happens to a run that is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Preemption {
     /// Runs cannot be stopped.
     Never,
-    /// The work done is lost and the request may be run anew.
+    /// The work done so far is lost; the request may run again from the start.
     Discard,
-    /// The run keeps its progress and memory until it is continued.
+    /// The run keeps its progress and its memory until it is continued.
     Freeze,
 }
 
-/// What callers take the announced value to mean.
+/// How callers interpret the value of [`Action::AnnounceCapacity`](super::Action::AnnounceCapacity).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackpressureSignal {
-    /// No value can be announced.
+    /// Callers read no value, and none is announced.
     Silent,
-    /// Callers send nothing with a shed order below the value.
+    /// Lowest shed order that callers send, from 0 to 1: they hold back requests with a lower one.
     Floor,
-    /// No caller has more than this many requests in hand here.
+    /// Largest number of outstanding requests that each caller may have at this worker.
     Allowance,
-    /// The probability with which a caller that picks this worker uses it.
+    /// Probability, from 0 to 1, with which a caller that picks this worker sends it the request.
     Weight,
 }
 
-/// What the workers call.
+/// What the runs of the workers make outbound calls to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Downstream {
-    /// Nothing.
+    /// There is no dependency.
     Nothing,
-    /// One dependency that all workers share.
+    /// One dependency that all workers share; outbound calls to it are limited.
     Shared,
-    /// The workers of another tier.
+    /// The workers of another tier; outbound calls to them are not limited.
     Tier,
 }
 
-/// Whether weight counts by request or by unit of work.
+/// Unit to which the weight of a class applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WeightBy {
-    /// Each request counts its class's weight.
+    /// Each request counts the weight of its class.
     Request,
-    /// Each unit of work counts its class's weight.
+    /// Each unit of work counts the weight of its class.
     Work,
 }
 
-/// Everything that a controller knows from its start.
+/// Settings of a controller, set by the operators' configuration or by the simulator when the worker starts.
+/// [`Controller::update_settings`](crate::Controller::update_settings) replaces them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Classes, by index.
+    /// Request classes; requests refer to them by index.
     pub classes: Vec<Class>,
-    /// Tenants, by index; may be empty.
+    /// Tenants; requests refer to them by index. May be empty.
     pub tenants: Vec<Tenant>,
-    /// Share of its weight that traffic beyond its tenant's quota counts.
+    /// Share of its weight that a request beyond its tenant's quota counts.
     #[serde(rename = "over_share_worth")]
     pub over_quota_weight: f64,
-    /// How weight is counted.
+    /// Unit to which the weight of a class applies. The controller does not read it.
     #[serde(rename = "worth_by")]
     pub weight_by: WeightBy,
-    /// Workers listed at this start.
+    /// Number of workers in the cluster when these settings were made; quotas are split evenly over them.
     #[serde(rename = "fleet_size")]
     pub cluster_size: u32,
-    /// Callers at this start.
+    /// Number of callers when these settings were made; 0 if not known.
     pub callers: u32,
-    /// Cores of this worker.
+    /// Number of cores of this worker; at least 1.
     pub cores: u32,
-    /// Memory, in kilobytes.
+    /// Memory of this worker, in kilobytes.
     pub memory_kb: f64,
-    /// A running request's memory as a multiple of a queued one's.
+    /// Memory of a running request as a multiple of that of a queued one.
     #[serde(rename = "run_factor")]
     pub running_memory_factor: f64,
     /// Memory of one remembered request, in kilobytes.
     #[serde(rename = "key_kb")]
     pub entry_kb: f64,
-    /// What the workers call.
+    /// What the runs of the workers make outbound calls to.
     #[serde(rename = "below")]
     pub downstream: Downstream,
-    /// This worker's part of the calls at once that the dependency survives.
+    /// This worker's share of the concurrent calls that the dependency survives. Applies only to
+    /// [`Downstream::Shared`]; 0 means no limit.
     #[serde(rename = "calls_out")]
     pub outbound_call_limit: f64,
-    /// Span over which calls in hand are averaged.
+    /// Time over which the number of outstanding calls is averaged for `outbound_call_limit`.
     pub call_window: Span,
-    /// How long the dependency may still work on an abandoned call.
+    /// Longest time for which the dependency may still work on a call after the call was abandoned.
     #[serde(rename = "call_lingers")]
     pub abandoned_call_duration: Span,
-    /// What stopping a run does.
+    /// What happens to a run that is stopped.
     #[serde(rename = "halt")]
     pub preemption: Preemption,
-    /// What the announced value means.
+    /// How callers interpret the announced capacity.
     #[serde(rename = "signal")]
     pub backpressure_signal: BackpressureSignal,
-    /// How long a caller remembers the announced value.
+    /// Time for which a caller follows an announced capacity. The controller does not read it.
     #[serde(rename = "heeded")]
     pub signal_retention: Span,
-    /// The longest Retry-After that callers follow; `None` where it is not passed on.
+    /// The longest Retry-After that callers follow; `None` if callers do not receive a Retry-After.
     #[serde(rename = "max_stay_away")]
     pub max_retry_after: Option<Span>,
-    /// Callers close idle connections after this.
+    /// Time after which callers close idle connections.
     pub caller_idle: Span,
-    /// How long a read's answer may serve other requests; 0 means never.
+    /// Time for which the answer to a read may serve other requests; 0 if it may not serve any.
     #[serde(rename = "fresh_for")]
     pub cache_ttl: Span,
-    /// Health checks do real work unless they are answered from a setting alone.
+    /// Whether health checks do real work unless they are answered from `Action::Health` alone. The
+    /// controller does not read it.
     #[serde(rename = "full_checks")]
     pub deep_health_checks: bool,
-    /// Every caller's list of workers follows their health, a little later.
+    /// Whether every caller's list of workers follows the health of the workers, with a short delay.
     #[serde(rename = "list_follows")]
     pub list_follows_health: bool,
-    /// The worker starts cold.
+    /// Whether the worker starts cold, that is, below its full speed.
     pub cold: bool,
-    /// Fully warm after this time or sooner.
+    /// Longest time from a cold start until the worker reaches its full speed.
     #[serde(rename = "cold_for")]
     pub warmup_duration: Span,
-    /// A cold worker starts at this share of its speed or more.
+    /// Least speed of a worker at a cold start, as a share of its full speed.
     #[serde(rename = "cold_share")]
     pub cold_speed_share: f64,
-    /// Span over which running requests are averaged.
+    /// Time over which the number of running requests is averaged when it is compared with what the worker
+    /// survives. The controller does not read it.
     #[serde(rename = "crowd_window")]
     pub concurrency_window: Span,
-    /// Requests on the cores at once, for each core, that a warm worker survives.
+    /// Number of concurrent runs per core that a warm worker survives.
     #[serde(rename = "crowd_multiple")]
     pub survivable_runs_per_core: f64,
-    /// Nothing that arrives more than this after the drain notice is run.
+    /// Time after the drain notice within which requests that arrive are still run.
     pub drain_grace: Span,
-    /// Time past the deadline in which an answer still counts.
+    /// Time after the deadline within which an answer still counts. The controller does not read it.
     pub answer_slack: Span,
-    /// The shortest gap between batches.
+    /// Shortest time between two batches of events; above 0.
     pub tick: Span,
 }
 
 impl Settings {
-    /// Whether a controller can work under these settings; names the first that makes no sense.
+    /// Checks that a controller can work under these settings. The error names the first unusable setting.
     pub(crate) fn check(&self) -> Result<(), SettingsError> {
         if self.cores == 0 {
             return Err(SettingsError::NoCores);
@@ -203,28 +215,28 @@
     }
 }
 
-/// A setting that makes no sense.
+/// A setting under which a controller cannot work.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// A worker without cores runs nothing.
+    /// `cores` is 0, so that the worker could not run any request.
     #[error("setting cores: must be at least 1")]
     NoCores,
-    /// Every request has a class.
+    /// `classes` is empty, although every request needs a class.
     #[error("setting classes: must not be empty")]
     NoClasses,
-    /// Timers are set in ticks.
+    /// `tick` is 0, although timers are set in whole ticks.
     #[error("setting tick: must be above 0")]
     ZeroTick,
-    /// The class at this index has no time for an answer.
+    /// The latency objective or the deadline of a class is 0, so that no answer could be in time.
     #[error("setting classes.{class}: aim and deadline must be above 0")]
     ZeroClassTime {
-        /// Index into [`Settings::classes`].
+        /// The class, as an index into [`Settings::classes`].
         class: usize,
     },
-    /// A time below zero.
+    /// A setting that must not be negative is below zero.
     #[error("setting {key}: must not be negative")]
     Negative {
-        /// The setting, as its source names it.
+        /// Name of the setting in the source that it comes from.
         key: String,
     },
 }
