--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, requests and a small host that carries out actions, for all tests.
+//! Settings, requests and a small host of the controller, used by all tests.
 #![allow(dead_code, missing_docs)]
 
 use gaugestand_admission::*;
@@ -18,7 +18,7 @@
     }
 }
 
-/// Three classes: pure, keyed, unsafe.
+/// Settings with three classes: pure (index 0), keyed (1) and unsafe (2).
 pub fn settings() -> Settings {
     Settings {
         classes: vec![class(Effect::Pure), class(Effect::Keyed), class(Effect::Unsafe)],
@@ -71,7 +71,7 @@
     }
 }
 
-/// How the host sees one request.
+/// State of one request, as the host sees it.
 #[derive(Clone, Debug)]
 pub struct SeenRequest {
     pub class: usize,
@@ -88,7 +88,7 @@
     pub last_call: Option<Outcome>,
 }
 
-/// Steps a controller, re-arms its timers, and checks what holds for every action.
+/// A host that steps a controller, delivers its timers, and checks the rules that hold for every action.
 pub struct Host {
     pub config: Settings,
     pub controller: Controller,
@@ -101,13 +101,13 @@
 
 impl Host {
     pub fn new(config: Settings) -> Self {
-        let controller = Controller::new(config.clone(), 1).expect("sound settings");
+        let controller = Controller::new(config.clone(), 1).expect("the settings are valid");
         let gauges = Gauges::default();
         let now = Time(1_000_000_000);
         Host { config, controller, now, seen: BTreeMap::new(), gauges, drained_at: None, timers: vec![] }
     }
 
-    /// A host whose gauges read busy cores, after the first timers.
+    /// A host with gauges that report busy cores, after the first timers.
     pub fn with_busy_cores(config: Settings, runnable: Option<f64>) -> Self {
         let mut host = Host::new(config);
         host.gauges.cpu_busy = Some(1.0);
@@ -117,17 +117,17 @@
         host
     }
 
-    /// The requests of which this holds, by id.
+    /// Ids of the requests for which `holds` returns true.
     pub fn ids(&self, holds: impl Fn(&SeenRequest) -> bool) -> Vec<RequestId> {
         self.seen.iter().filter(|(_, request)| holds(request)).map(|(id, _)| *id).collect()
     }
 
-    /// Ends the runs of these requests well.
+    /// Ends the runs of these requests successfully.
     pub fn complete(&mut self, ids: &[RequestId]) -> Vec<Action> {
         self.step(ids.iter().map(|id| Event::RunEnded(*id, Outcome::Ok)).collect())
     }
 
-    /// Takes in one batch and returns what came of it.
+    /// Passes one batch of events and the timers that are due to the controller; returns its actions.
     pub fn step(&mut self, mut events: Vec<Event>) -> Vec<Action> {
         let now = self.now;
         for (_, name) in self.timers.iter().filter(|(time, _)| *time <= now) {
@@ -187,7 +187,7 @@
         actions
     }
 
-    /// Lets time pass in ticks, with nothing happening but timers.
+    /// Advances the time in ticks of 5 ms, without events other than timers.
     pub fn advance(&mut self, ms: u64) -> Vec<Action> {
         let mut actions = Vec::new();
         for _ in 0..ms.div_ceil(5) {
@@ -202,7 +202,7 @@
     }
 
     fn seen_mut(&mut self, id: RequestId) -> &mut SeenRequest {
-        self.seen.get_mut(&id).expect("the controller names only requests it was given")
+        self.seen.get_mut(&id).expect("the controller or the test named an unknown request")
     }
 
     fn effect(&mut self, id: RequestId) -> Effect {
@@ -218,13 +218,22 @@
             Action::Run(id) => {
                 let effect = self.effect(*id);
                 let request = self.seen_mut(*id);
-                assert!(!request.is_over && request.answers == 0, "ran a finished request");
+                assert!(
+                    !request.is_over && request.answers == 0,
+                    "started a request that is over or answered"
+                );
                 request.runs += 1;
                 request.is_on_cores = true;
-                assert!(effect == Effect::Pure || request.runs == 1, "an effect twice");
-                assert!(effect != Effect::Keyed || request.original.is_none(), "a keyed repeat run");
+                assert!(
+                    effect == Effect::Pure || request.runs == 1,
+                    "started a request with an effect twice"
+                );
+                assert!(effect != Effect::Keyed || request.original.is_none(), "started a keyed repeat");
                 if let Some(drained_at) = drained_at {
-                    assert!(request.arrived_at <= drained_at + grace, "ran what came after the grace");
+                    assert!(
+                        request.arrived_at <= drained_at + grace,
+                        "started a request that arrived after the grace"
+                    );
                 }
             }
             Action::Reject { id, .. } => {
@@ -232,14 +241,17 @@
                 let request = self.seen_mut(*id);
                 request.answers += 1;
                 request.is_rejected = true;
-                assert_eq!(request.answers, 1, "two answers");
-                assert!(effect == Effect::Pure || request.runs == 0, "rejected after an effect");
+                assert_eq!(request.answers, 1, "answered a request twice");
+                assert!(
+                    effect == Effect::Pure || request.runs == 0,
+                    "rejected a request with an effect after its run started"
+                );
                 request.is_over = !request.is_on_cores;
             }
             Action::Fail(id) => {
                 let request = self.seen_mut(*id);
                 request.answers += 1;
-                assert!(request.answers == 1 || request.is_caller_gone, "two answers");
+                assert!(request.answers == 1 || request.is_caller_gone, "answered a request twice");
             }
             Action::Call(id, _) => {
                 let effect = self.effect(*id);
@@ -248,23 +260,27 @@
                     request.last_call,
                     None | Some(Outcome::Ok | Outcome::Overloaded | Outcome::Unreachable)
                 );
-                assert!(effect == Effect::Pure || safe, "a call repeated that may have run");
+                assert!(effect == Effect::Pure || safe, "repeated a call that may have had an effect");
                 request.is_call_in_flight = true;
             }
             Action::Preempt(_) => {
-                assert_ne!(self.config.preemption, Preemption::Never, "stopped where that is a fault")
+                assert_ne!(
+                    self.config.preemption,
+                    Preemption::Never,
+                    "stopped a run although runs cannot be stopped"
+                )
             }
             Action::SkipCall(id) => {
                 let class = self.seen_mut(*id).class;
                 assert!(
                     self.config.classes[class].skipped_call_weight > 0.0,
-                    "skipped a call where that is a fault"
+                    "skipped a call that must not be skipped"
                 );
             }
             Action::AnnounceCapacity(capacity) => {
                 assert!(
                     self.config.backpressure_signal != BackpressureSignal::Silent && *capacity >= 0.0,
-                    "announced where that is a fault"
+                    "announced a negative capacity, or one that callers do not read"
                 );
             }
             Action::Coalesce(_)
@@ -280,11 +296,14 @@
         self.seen.values().filter(|request| request.is_on_cores).count()
     }
 
-    /// Fails if a request is unanswered past its deadline and the slack.
+    /// Fails if a request is unanswered later than its deadline plus the answer slack.
     pub fn assert_none_overdue(&self) {
         for (id, request) in &self.seen {
             let late = self.now > request.deadline + self.config.answer_slack;
-            assert!(request.answers > 0 || request.is_caller_gone || !late, "lost {id:?}: {request:?}");
+            assert!(
+                request.answers > 0 || request.is_caller_gone || !late,
+                "unanswered after its deadline: {id:?}: {request:?}"
+            );
         }
     }
 }
--- a/crates/admission/tests/property.rs
+++ b/crates/admission/tests/property.rs
@@ -1,4 +1,4 @@
-//! Random legal sequences of events; the host in `common` checks the rules at every action.
+//! Random valid sequences of events; the host in `common` checks the rules at every action.
 mod common;
 
 use common::{Host, SeenRequest, request, settings};
@@ -6,49 +6,50 @@
 use gaugestand_admission::*;
 
 const SEEDS: u64 = 200;
-/// Steps of 5 ms in a sequence, if the drain does not end it before.
+/// Number of 5 ms steps in a sequence, unless the drain ends the sequence earlier.
 const STEPS: usize = 2100;
 
-fn one_of<T: Copy>(rng: &mut Rng, choices: &[T]) -> T {
+fn choose<T: Copy>(rng: &mut Rng, choices: &[T]) -> T {
     choices[rng.usize(0..choices.len())]
 }
 
-/// What a sequence is played with.
+/// The settings of one random sequence, and whether the controller is told of callers that are gone.
 struct Scenario {
     config: Settings,
     reports_gone_callers: bool,
 }
 
-/// The order of the draws is kept, so that a seed stands for the same sequence in every version of this test.
+/// Draws a random scenario. The order of the draws must not change, so that a seed gives the same sequence in
+/// every version of this test.
 fn random_scenario(rng: &mut Rng) -> Scenario {
     let mut config = settings();
-    config.preemption = one_of(rng, &[Preemption::Never, Preemption::Discard, Preemption::Freeze]);
+    config.preemption = choose(rng, &[Preemption::Never, Preemption::Discard, Preemption::Freeze]);
     let signals = [
         BackpressureSignal::Silent,
         BackpressureSignal::Floor,
         BackpressureSignal::Allowance,
         BackpressureSignal::Weight,
     ];
-    config.backpressure_signal = one_of(rng, &signals);
-    config.downstream = one_of(rng, &[Downstream::Nothing, Downstream::Shared, Downstream::Tier]);
-    config.outbound_call_limit = one_of(rng, &[0.0, 0.01, 0.3, 3.0]);
-    config.cores = one_of(rng, &[1, 2, 2, 8]);
-    config.callers = one_of(rng, &[0, 1, 4, 1000]);
-    config.cluster_size = one_of(rng, &[0, 1, 20, 1000]);
-    let quota_per_s = one_of(rng, &[0.0, 3.0, 1e6]);
+    config.backpressure_signal = choose(rng, &signals);
+    config.downstream = choose(rng, &[Downstream::Nothing, Downstream::Shared, Downstream::Tier]);
+    config.outbound_call_limit = choose(rng, &[0.0, 0.01, 0.3, 3.0]);
+    config.cores = choose(rng, &[1, 2, 2, 8]);
+    config.callers = choose(rng, &[0, 1, 4, 1000]);
+    config.cluster_size = choose(rng, &[0, 1, 20, 1000]);
+    let quota_per_s = choose(rng, &[0.0, 3.0, 1e6]);
     config.tenants = (0..rng.usize(0..4)).map(|_| Tenant { quota_per_s, share: 0.3 }).collect();
     config.cold = rng.bool();
     config.list_follows_health = rng.bool();
-    config.cache_ttl = Span::millis(one_of(rng, &[0, 600]));
-    config.classes[1].late_weight = one_of(rng, &[0.0, 0.2]);
-    config.classes[1].dedup_window = Span::millis(one_of(rng, &[5000, 32_000]));
+    config.cache_ttl = Span::millis(choose(rng, &[0, 600]));
+    config.classes[1].late_weight = choose(rng, &[0.0, 0.2]);
+    config.classes[1].dedup_window = Span::millis(choose(rng, &[5000, 32_000]));
     let reports_gone_callers = rng.bool();
-    config.classes[0].skipped_call_weight = one_of(rng, &[0.0, 0.5]);
-    config.classes[2].late_weight = one_of(rng, &[0.0, 0.2]);
+    config.classes[0].skipped_call_weight = choose(rng, &[0.0, 0.5]);
+    config.classes[2].late_weight = choose(rng, &[0.0, 0.2]);
     Scenario { config, reports_gone_callers }
 }
 
-/// What may happen to a request next, if anything does.
+/// Draws the next event of a request; `None` if nothing happens to it.
 fn random_event(
     rng: &mut Rng,
     id: RequestId,
@@ -60,7 +61,7 @@
         let outcome = if rng.f64() < 0.9 { Outcome::Ok } else { Outcome::Error };
         Some(Event::RunEnded(id, outcome))
     } else if seen.is_on_cores && rng.f64() < 0.01 {
-        // One whose answer was given, or whose caller is gone, ends at its call.
+        // A run whose request is answered, or whose caller is gone, ends when it reaches a call.
         if is_answered || seen.is_caller_gone {
             Some(Event::RunEnded(id, Outcome::Cancelled))
         } else {
@@ -69,7 +70,7 @@
     } else if seen.is_call_in_flight && !is_answered && rng.f64() < 0.1 {
         let outcomes =
             [Outcome::Ok, Outcome::Overloaded, Outcome::TimedOut, Outcome::Unreachable, Outcome::Reset];
-        Some(Event::CallEnded(id, one_of(rng, &outcomes), Span::millis(20)))
+        Some(Event::CallEnded(id, choose(rng, &outcomes), Span::millis(20)))
     } else if reports_gone_callers && !seen.is_caller_gone && !is_answered && rng.f64() < 0.001 {
         Some(Event::CallerGone(id))
     } else {
@@ -77,7 +78,8 @@
     }
 }
 
-/// A request of this number; `keyed` holds the keyed first attempts so far, which it may repeat or join.
+/// Draws a request with this number. `keyed` holds the keyed first attempts so far: the request repeats the
+/// last of them or is added to them.
 fn random_request(rng: &mut Rng, number: u128, keyed: &mut Vec<RequestId>) -> Request {
     let mut arrival = request(number, rng.usize(0..3));
     arrival.read_delay = Span::millis(rng.u64(0..400));
@@ -95,12 +97,12 @@
 }
 
 fn random_gauges(rng: &mut Rng) -> Gauges {
-    let odd = [None, Some(0.0), Some(0.5), Some(1.0), Some(-1.0), Some(f64::NAN), Some(1e300)];
-    let mut gauge = || one_of(rng, &odd);
+    let values = [None, Some(0.0), Some(0.5), Some(1.0), Some(-1.0), Some(f64::NAN), Some(1e300)];
+    let mut gauge = || choose(rng, &values);
     Gauges { cpu_busy: gauge(), runnable: gauge(), mem_used: gauge(), sockets: gauge() }
 }
 
-fn play(seed: u64) {
+fn run_scenario(seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let Scenario { config, reports_gone_callers } = random_scenario(&mut rng);
     let survivable = f64::from(config.cores) * config.survivable_runs_per_core;
@@ -118,8 +120,8 @@
         preempted.retain(|id| host.seen[id].is_on_cores);
         let mut events: Vec<Event> =
             preempted.iter().map(|id| Event::RunEnded(*id, Outcome::Cancelled)).collect();
-        let untouched = host.seen.iter().filter(|(id, seen)| !seen.is_over && !preempted.contains(id));
-        for (id, seen) in untouched {
+        let active = host.seen.iter().filter(|(id, seen)| !seen.is_over && !preempted.contains(id));
+        for (id, seen) in active {
             events.extend(random_event(&mut rng, *id, seen, reports_gone_callers));
         }
         if step == drain_step {
@@ -135,7 +137,7 @@
         }
         host.gauges = random_gauges(&mut rng);
         let actions = host.step(events);
-        assert!(host.running() as f64 <= survivable, "seed {seed}: overloaded cores");
+        assert!(host.running() as f64 <= survivable, "seed {seed}: more runs than the worker survives");
         let preempt = |action: &Action| match action {
             Action::Preempt(id) => Some(*id),
             _ => None,
@@ -147,10 +149,10 @@
     assert!(unanswered.is_empty(), "seed {seed}: unanswered at the stop: {unanswered:?}");
 }
 
-// Faults lie in combinations that nobody thought of: settings, gauges, retries, calls and a drain at any time.
+// Faults lie in unforeseen combinations of settings, gauges, retries, calls and a drain at any time.
 #[test]
-fn random_legal_event_sequences_keep_the_rules() {
+fn random_valid_event_sequences_keep_the_rules() {
     for seed in 0..SEEDS {
-        play(seed);
+        run_scenario(seed);
     }
 }
--- a/crates/admission/tests/rules/arrival.rs
+++ b/crates/admission/tests/rules/arrival.rs
@@ -1,12 +1,13 @@
-//! What happens as a request arrives.
+//! Rules for the arrival of a request.
 
 use crate::common::{Host, request, settings};
 use crate::{id, is_rejected};
 use gaugestand_admission::*;
 
-// A caller that states a shorter deadline than its class has would be gone when the answer comes.
+// A caller states a shorter deadline than its class has. It would be gone if the answer came by the deadline
+// of the class.
 #[test]
-fn a_deadline_stated_in_the_request_counts() {
+fn a_deadline_stated_in_the_request_overrides_that_of_the_class() {
     let mut host = Host::new(settings());
     let mut arrival = request(1, 0);
     arrival.deadline = Some(host.now + Span::millis(300));
@@ -15,7 +16,8 @@
     host.assert_none_overdue();
 }
 
-// A request lay unread for longer than its caller waits. It is over as it arrives and must not be queued.
+// A request was unread for longer than its caller waits. It has expired when it arrives and must not be
+// queued.
 #[test]
 fn a_request_read_after_its_deadline_is_answered_at_once() {
     let mut host = Host::new(settings());
@@ -24,7 +26,8 @@
     assert!(is_rejected(&host.arrive(arrival), 1));
 }
 
-// A caller repeats a booking while the first one runs, and again after it. A second run would book twice.
+// A caller repeats a booking during the run of the first attempt, and again after that run. A second run
+// would book twice.
 #[test]
 fn a_keyed_repeat_is_answered_from_the_first_run() {
     let mut host = Host::new(settings());
@@ -44,7 +47,8 @@
     assert!(actions.contains(&Action::Coalesce(id(3))) && !actions.contains(&Action::Run(id(3))));
 }
 
-// The queue is full of retries, which have little time left. A first attempt must not be shed for them.
+// The queue is full of retries, which have little time left. A first attempt must not be shed in favour of
+// them.
 #[test]
 fn a_first_attempt_takes_the_place_of_a_retry_of_equal_weight() {
     let mut host = Host::with_busy_cores(settings(), None);
--- a/crates/admission/tests/rules/backpressure.rs
+++ b/crates/admission/tests/rules/backpressure.rs
@@ -1,12 +1,13 @@
-//! Announced capacity, Retry-After, retry elsewhere.
+//! Rules for the announced capacity, Retry-After, and the advice on retries elsewhere.
 
 use crate::common::{Host, request, settings};
 use crate::is_rejected;
 use gaugestand_admission::*;
 
-// A worker reads requests so late that most have expired. Callers must stay away, and come back as soon as it keeps up.
+// A worker reads requests so late that most have expired. Callers must stay away, and return as soon as the
+// worker keeps up.
 #[test]
-fn a_read_backlog_closes_the_floor_and_one_prompt_read_opens_it() {
+fn a_read_backlog_raises_the_floor_to_1_and_one_prompt_read_lowers_it() {
     let mut config = settings();
     config.backpressure_signal = BackpressureSignal::Floor;
     let mut host = Host::new(config);
@@ -24,8 +25,8 @@
     assert!(announced.iter().any(|a| matches!(a, Action::AnnounceCapacity(x) if *x < 0.5)));
 }
 
-// Callers follow the advice: a long one after bad luck idles the cores, a short one in overload brings all back at
-// once.
+// Callers follow the advice: a long one after a few rejections makes the cores idle, a short one in overload
+// brings all callers back at once.
 #[test]
 fn retry_after_is_short_for_a_few_rejections_and_long_in_overload() {
     let max_retry_after = |completing_every: u128| {
@@ -52,10 +53,10 @@
     assert!(max_retry_after(3) < Span::millis(300), "{:?}", max_retry_after(3));
 }
 
-// In overload each retry elsewhere costs a reading and finds no room either. After bad luck, or when only this worker
-// drains, it would have been served.
+// In overload each retry elsewhere costs a reading and finds no capacity there either. If rejections are
+// rare, or if only this worker drains, the retry would be served.
 #[test]
-fn rejections_ask_for_no_retry_elsewhere_unless_rare_or_this_workers_own_trouble() {
+fn rejections_advise_against_a_retry_elsewhere_only_while_the_cluster_is_overloaded() {
     let mut host = Host::with_busy_cores(settings(), Some(4.0));
     let advice_of = |actions: &[Action]| -> Vec<bool> {
         let advice = actions.iter().map(|a| match a {
@@ -71,17 +72,18 @@
     assert_eq!(
         (no_retry_elsewhere.first(), no_retry_elsewhere.last()),
         (Some(&false), Some(&true)),
-        "one is bad luck, many are not"
+        "only many rejections are a sign of overload"
     );
     let actions =
         host.step(vec![Event::Drain(host.now + Span::millis(3000)), Event::Request(request(99, 0))]);
     assert!(
         advice_of(&actions).iter().all(|no_retry_elsewhere| !no_retry_elsewhere),
-        "others have capacity while this one drains"
+        "other workers have capacity while this one drains"
     );
 }
 
-/// The lowest allowance announced while each of the callers has one request in hand.
+/// The lowest announced allowance while each of `active_callers` sends one request at a time, out of
+/// `callers` in the settings.
 fn lowest_allowance(callers: u32, active_callers: u64) -> f64 {
     let mut config = settings();
     config.backpressure_signal = BackpressureSignal::Allowance;
@@ -107,19 +109,19 @@
     lowest
 }
 
-// A thousand callers share a small worker. An allowance split among them all would be zero for each.
+// A thousand callers share a small worker. An allowance split among all of them would be zero for each.
 #[test]
-fn an_allowance_shuts_nobody_out_while_nothing_is_rejected_however_many_callers_there_are() {
+fn without_rejections_the_allowance_is_at_least_1_for_any_number_of_callers() {
     for (callers, active_callers) in [(1, 1), (4, 4), (1000, 3), (1000, 400)] {
         let lowest = lowest_allowance(callers, active_callers);
-        assert!(lowest >= 1.0, "{lowest} for {active_callers} of {callers}");
+        assert!(lowest >= 1.0, "an allowance of {lowest} for {active_callers} of {callers} callers");
     }
 }
 
-// Without the room, callers held back one request in ten that the cores had time for, and one in fifteen that the
-// queue had a place for.
+// Without the margin, callers held back one request in ten that the cores had time for, and one in fifteen
+// that the queue had capacity for.
 #[test]
-fn an_allowance_has_room_for_scatter_while_the_cores_have_time_or_the_queue_has_places() {
+fn the_allowance_has_a_margin_while_the_cores_or_the_queue_have_capacity() {
     for (busy, queued, lowest, highest) in [(0.5, 0, 8.0, 8.0), (1.0, 0, 8.0, 8.0), (1.0, 2, 4.1, 7.0)] {
         let mut host =
             Host::new(Settings { backpressure_signal: BackpressureSignal::Allowance, ..settings() });
@@ -133,8 +135,12 @@
             Action::AnnounceCapacity(x) => Some(x),
             _ => None,
         });
-        // Twice the limit, which is the two cores, for the one caller that there may be; and two deviations.
+        // Twice the limit, which equals the two cores, for the only possible caller; plus a margin of two
+        // deviations.
         let last = announced.next_back().unwrap_or_default();
-        assert!((lowest..=highest).contains(&last), "{last} at {busy} with {queued} queued");
+        assert!(
+            (lowest..=highest).contains(&last),
+            "an allowance of {last} with {busy} of the cores busy and {queued} queued"
+        );
     }
 }
--- a/crates/admission/tests/rules/concurrency_limit.rs
+++ b/crates/admission/tests/rules/concurrency_limit.rs
@@ -1,11 +1,12 @@
-//! The bounds of the concurrency limit; the law itself is in `tests/law.rs`.
+//! Rules for the bounds of the concurrency limit; formula (5) itself is tested in `tests/law.rs`.
 
 use crate::common::{Host, request, settings};
 use gaugestand_admission::*;
 
-// A cold worker survives fewer runs at once than a warm one. The limit must not climb over that while cores idle.
+// A cold worker survives fewer concurrent runs than a warm one. The limit must not exceed that number while
+// cores idle.
 #[test]
-fn concurrency_stays_below_what_the_worker_survives_even_cold() {
+fn concurrency_stays_below_what_a_cold_worker_survives() {
     let mut config = settings();
     config.cold = true;
     config.warmup_duration = Span::millis(600_000);
@@ -20,6 +21,6 @@
     for n in 1..=2000 {
         host.arrive(request(n, 0));
         host.advance(20);
-        assert!((host.running() as f64) < survives, "{} on the cores", host.running());
+        assert!((host.running() as f64) < survives, "{} requests run", host.running());
     }
 }
--- a/crates/admission/tests/rules/dispatch.rs
+++ b/crates/admission/tests/rules/dispatch.rs
@@ -1,16 +1,17 @@
-//! Which queued requests start.
+//! Rules for which queued requests start.
 
 use crate::common::{Host, request, settings};
-use crate::{choked_dependency, id};
+use crate::{id, saturated_dependency};
 
-// The runs all stand at a slow dependency. Classes that make no calls must not wait behind them.
+// All runs wait at a slow dependency. Requests of classes that make no calls must not wait behind them.
 #[test]
-fn a_choked_dependency_leaves_the_cores_to_classes_that_make_no_calls() {
-    let host = choked_dependency(false);
+fn a_saturated_dependency_leaves_the_cores_to_classes_that_make_no_calls() {
+    let host = saturated_dependency(false);
     assert_eq!(host.seen[&id(8)].runs, 1);
 }
 
-// Runs wait for the disk, so that cores idle though the limit is reached. Queued requests must not wait for them.
+// Runs wait for the disk, so that cores are idle although the limit is reached. Queued requests must not wait
+// for these runs.
 #[test]
 fn an_idle_core_starts_a_queued_request_while_runs_wait_for_disk() {
     let mut host = Host::new(settings());
--- a/crates/admission/tests/rules/drain.rs
+++ b/crates/admission/tests/rules/drain.rs
@@ -1,12 +1,13 @@
-//! The notice to stop.
+//! Rules for the drain.
 
 use crate::common::{Host, request, settings};
 use crate::{id, is_rejected};
 use gaugestand_admission::*;
 
-// The process stops at a time that is fixed. What is unanswered then is lost; what arrives late must go elsewhere.
+// The process stops at a fixed time. A request that is unanswered then is lost; one that arrives late must go
+// elsewhere.
 #[test]
-fn a_drain_runs_nothing_late_and_answers_everything_before_the_stop() {
+fn a_drain_runs_nothing_after_the_grace_and_answers_everything_before_the_stop() {
     let mut host = Host::new(settings());
     for n in 1..=5 {
         host.arrive(request(n, (n % 3) as usize));
@@ -18,10 +19,13 @@
     let actions = host.arrive(request(9, 0));
     assert!(is_rejected(&actions, 9));
     host.advance(390);
-    assert!(host.seen.values().all(|e| e.answers == 1), "unanswered at the stop");
+    assert!(
+        host.seen.values().all(|e| e.answers == 1),
+        "a request was not answered exactly once before the stop"
+    );
 }
 
-// A repeat is read so late that no timer comes before the stop. It must be answered as it arrives.
+// A repeat is read so late that no timer comes before the stop. It must be answered on arrival.
 #[test]
 fn a_keyed_repeat_read_just_before_the_stop_is_answered() {
     let mut host = Host::new(settings());
@@ -32,8 +36,8 @@
     assert_eq!(host.seen[&id(2)].answers, 1);
 }
 
-// Callers hear of the notice to stop late, and the worker that takes this one's place is not listed yet: until the
-// grace is over what arrives is still run, so that nobody need hold it back.
+// Callers learn of the drain late, and the worker that replaces this one is not listed yet. Until the grace
+// is over, requests that arrive are still run, so that no caller needs to hold them back.
 #[test]
 fn a_draining_worker_announces_capacity_until_the_grace_is_over() {
     let mut host = Host::new(Settings { backpressure_signal: BackpressureSignal::Allowance, ..settings() });
--- a/crates/admission/tests/rules/estimators.rs
+++ b/crates/admission/tests/rules/estimators.rs
@@ -1,12 +1,13 @@
-//! What the controller concludes from service times, ages and silence.
+//! Rules for the conclusions from service times, the ages of runs, and missing completions.
 
 use crate::common::{Host, request, settings};
 use crate::{id, is_rejected};
 use gaugestand_admission::*;
 
-// Some requests hint at far less work than they take. By their ratio, ordinary ones would look too long to start.
+// Some requests hint at far less work than they take. By the ratio of work to hint of these, ordinary
+// requests would look too long to start.
 #[test]
-fn small_hints_do_not_make_everything_look_too_late() {
+fn too_small_work_hints_do_not_keep_other_requests_from_starting() {
     let mut host = Host::new(settings());
     for n in 1..=60 {
         let mut arrival = request(n, 0);
@@ -21,9 +22,10 @@
     assert!(host.arrive(big).contains(&Action::Run(id(100))));
 }
 
-// The cores become slow, so that no run ends to tell of it. Service times of before would admit what comes too late.
+// The cores become slow, so that no run ends that would show it. By the earlier service times, requests would
+// be admitted that end too late.
 #[test]
-fn slow_cores_are_noticed_though_no_run_ends() {
+fn slow_cores_are_detected_although_no_run_ends() {
     let mut host = Host::new(settings());
     for n in 1..=20 {
         host.arrive(request(n, 0));
@@ -39,10 +41,10 @@
     assert!(is_rejected(&host.arrive(last), 99));
 }
 
-// The time in which nothing ran was taken for a hang: the first requests after a start or a pause were rejected, and
-// their callers sent away for a second, as soon as the cores were full.
+// The time in which nothing ran was counted as a hang: the first requests after a start or a pause were
+// rejected, and their callers sent away for a second, as soon as the cores were full.
 #[test]
-fn silence_is_a_sign_of_a_stall_only_while_there_is_work() {
+fn missing_completions_count_as_a_stall_only_while_requests_run() {
     let mut host = Host::new(settings());
     host.step(vec![]);
     host.advance(5000);
@@ -51,8 +53,11 @@
         actions.extend(host.arrive(request(n, 0)));
     }
     actions.extend(host.advance(100));
-    let is_unwell = |a: &Action| matches!(a, Action::Reject { .. } | Action::Health { good: false, .. });
-    assert!(!actions.iter().any(is_unwell), "{actions:?}");
-    assert!(host.advance(900).contains(&Action::Health { good: false, shallow: true }), "now it is stalled");
+    let shows_a_stall = |a: &Action| matches!(a, Action::Reject { .. } | Action::Health { good: false, .. });
+    assert!(!actions.iter().any(shows_a_stall), "{actions:?}");
+    assert!(
+        host.advance(900).contains(&Action::Health { good: false, shallow: true }),
+        "a worker whose runs do not end must count as stalled"
+    );
     assert!(is_rejected(&host.arrive(request(4, 0)), 4));
 }
--- a/crates/admission/tests/rules/final_answer.rs
+++ b/crates/admission/tests/rules/final_answer.rs
@@ -1,10 +1,10 @@
-//! Final answers that the controller gives itself, and what becomes of the runs behind them.
+//! Rules for the final answers that the controller itself gives, and for the runs of these requests.
 
 use crate::common::{Host, request, settings};
 use crate::{id, is_rejected};
 use gaugestand_admission::*;
 
-// A run hangs. Its caller must hear by the deadline all the same, whatever becomes of the run.
+// A run hangs. Its caller must get an answer by the deadline, whatever becomes of the run.
 #[test]
 fn a_running_request_is_answered_by_its_deadline() {
     for preemption in [Preemption::Never, Preemption::Discard, Preemption::Freeze] {
@@ -20,7 +20,8 @@
     }
 }
 
-// A caller has stopped waiting. Its run is work for nobody, and its queued request would take a place.
+// A caller has stopped waiting. The run of its request would be useless, and a queued request of it would
+// take up the queue.
 #[test]
 fn a_caller_that_is_gone_is_not_served() {
     let mut host = Host::new(settings());
@@ -28,14 +29,15 @@
         host.arrive(request(n, 0));
     }
     let actions = host.step(vec![Event::CallerGone(id(1)), Event::CallerGone(id(3))]);
-    assert!(actions.contains(&Action::Preempt(id(1))), "work for nobody is stopped");
+    assert!(actions.contains(&Action::Preempt(id(1))), "the run of a caller that is gone must be stopped");
     let actions = host.step(vec![Event::RunEnded(id(1), Outcome::Cancelled)]);
     assert!(!actions.contains(&Action::Run(id(3))) && !host.advance(50).contains(&Action::Run(id(3))));
 }
 
-// A run with an effect is stopped. A second run may repeat the effect, and a rejection would invite one.
+// A run with an effect is stopped. A second run could repeat the effect, and a rejection would invite a
+// retry.
 #[test]
-fn a_discarded_effect_is_neither_run_again_nor_rejected() {
+fn a_stopped_run_with_an_effect_is_neither_repeated_nor_rejected() {
     let mut host = Host::new(settings());
     host.arrive(request(1, 2));
     host.advance(3000);
@@ -45,7 +47,7 @@
     host.assert_none_overdue();
 }
 
-// A run hangs that cannot be stopped. Its caller can still go elsewhere, if it hears at the objective.
+// A run hangs and cannot be stopped. Its caller can still go elsewhere if it gets an answer at the objective.
 #[test]
 fn a_run_that_cannot_be_stopped_is_answered_at_its_objective() {
     let mut config = settings();
@@ -58,7 +60,8 @@
     assert!(answered(&host.advance(60)));
 }
 
-// The run that a repeat waits for hangs. The repeat has its own objective, and its effect may have happened.
+// A repeat waits for a run that hangs. The repeat has an objective of its own, and its effect may have
+// happened.
 #[test]
 fn a_repeat_that_waits_for_another_run_is_answered_at_its_objective() {
     let mut host = Host::new(settings());
@@ -69,9 +72,10 @@
     assert!(host.advance(1020).contains(&Action::Fail(id(2))));
 }
 
-// A read misses its objective while another caller waits for its result. Stopped, it would fail both.
+// A read misses its objective while another caller waits for its result. Stopping the read would fail both
+// callers.
 #[test]
-fn a_read_that_others_wait_for_is_not_stopped_when_its_own_time_is_over() {
+fn a_read_that_others_wait_for_is_not_stopped_when_it_misses_its_objective() {
     for has_waiters in [false, true] {
         let mut config = settings();
         config.cache_ttl = Span::millis(600);
--- a/crates/admission/tests/rules/idle_connections.rs
+++ b/crates/admission/tests/rules/idle_connections.rs
@@ -1,10 +1,11 @@
-//! How long idle connections are kept.
+//! Rules for the timeout of idle connections.
 
 use crate::common::{Host, request, settings};
 use crate::id;
 use gaugestand_admission::*;
 
-/// The last idle timeout announced while `callers` send ten requests a second, each read `read_delay` ms late.
+/// The last announced idle timeout while `callers` together send ten requests a second, each read
+/// `read_delay` ms late.
 fn idle_timeout(callers: u32, read_delay: u64) -> Option<Span> {
     let mut config = settings();
     config.callers = callers;
@@ -24,11 +25,22 @@
     announced
 }
 
-// A thousand callers each leave a connection open. The full table shuts others out; closing it while reading lags
-// brings a flood of handshakes.
+// A thousand callers each leave a connection open. A full connection table shuts out other callers; closing
+// connections while requests are read late causes many handshakes.
 #[test]
-fn connections_seldom_used_again_are_closed_early_but_kept_while_reading_lags() {
-    assert!(idle_timeout(1000, 0).is_some_and(|t| t < Span::millis(3000)), "most will not be used again");
-    assert_eq!(idle_timeout(1000, 200), Some(Span::millis(30000)), "reading lags");
-    assert_eq!(idle_timeout(4, 0), Some(Span::millis(30000)), "a few callers come back");
+fn seldom_reused_connections_are_closed_early_unless_requests_are_read_late() {
+    assert!(
+        idle_timeout(1000, 0).is_some_and(|t| t < Span::millis(3000)),
+        "connections that are seldom reused must be closed early"
+    );
+    assert_eq!(
+        idle_timeout(1000, 200),
+        Some(Span::millis(30000)),
+        "connections must be kept while requests are read late"
+    );
+    assert_eq!(
+        idle_timeout(4, 0),
+        Some(Span::millis(30000)),
+        "connections of a few active callers must be kept"
+    );
 }
--- a/crates/admission/tests/rules/main.rs
+++ b/crates/admission/tests/rules/main.rs
@@ -1,5 +1,5 @@
-//! The rules of the controller, one by one, and each failure found, through the public interface. A module here for
-//! each module of the controller that decides.
+//! The rules of the controller, one by one, and every failure found so far, tested through the public
+//! interface. There is one module here for each module of the controller that decides.
 #![allow(missing_docs)]
 
 #[path = "../common/mod.rs"]
@@ -27,13 +27,13 @@
     RequestId(n)
 }
 
-/// Whether these actions reject the request of this number.
+/// Whether these actions reject the request with this id.
 pub fn is_rejected(actions: &[Action], n: u128) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id, .. } if *id == RequestId(n)))
 }
 
-/// A dependency that has become slow, with many runs that stand at calls.
-pub fn choked_dependency(calls_of_class_2: bool) -> Host {
+/// A host whose dependency has become slow, with many runs that wait at calls.
+pub fn saturated_dependency(calls_of_class_2: bool) -> Host {
     let mut config = settings();
     config.downstream = Downstream::Shared;
     config.outbound_call_limit = 1.0;
--- a/crates/admission/tests/rules/memory.rs
+++ b/crates/admission/tests/rules/memory.rs
@@ -1,12 +1,12 @@
-//! What is given up when memory is short.
+//! Rules for what is rejected or not remembered when memory is short.
 
 use crate::common::{Host, request, settings};
 use crate::id;
 use gaugestand_admission::*;
 
-// Arrivals come faster than runs end. If all were queued, the worker would be killed for want of memory.
+// Requests arrive faster than runs end. If all were queued, the worker would be killed for lack of memory.
 #[test]
-fn memory_is_never_overrun_by_arrivals_or_runs() {
+fn arrivals_and_runs_never_exceed_the_memory() {
     let mut config = settings();
     config.memory_kb = 1000.0;
     let mut host = Host::new(config);
@@ -21,11 +21,12 @@
                 _ => 0.0,
             })
             .sum();
-        assert!(kb <= 1000.0, "{kb} kB after {n}");
+        assert!(kb <= 1000.0, "{kb} kB in use at n = {n}");
     }
 }
 
-// A run takes several times the memory of a queued request. Started without room for it, the worker would be killed.
+// A run takes several times the memory of a queued request. If it started without enough memory, the worker
+// would be killed.
 #[test]
 fn a_run_that_would_overfill_the_memory_waits() {
     let mut config = settings();
@@ -33,12 +34,12 @@
     let mut host = Host::new(config);
     host.arrive(request(1, 0));
     host.arrive(request(2, 0));
-    assert_eq!(host.running(), 1, "a run takes 160 of 300 kB");
+    assert_eq!(host.running(), 1, "only one run fits, as a run takes 160 of 300 kB");
     let actions = host.step(vec![Event::RunEnded(id(1), Outcome::Ok)]);
     assert!(actions.contains(&Action::Run(id(2))));
 }
 
-// A run hangs and its callers repeat. The repeats are not in the queue, and each takes memory.
+// A run hangs and its callers repeat the request. The repeats are not in the queue, but each takes memory.
 #[test]
 fn repeats_that_wait_for_a_hung_run_do_not_fill_the_memory() {
     for class in [0, 1] {
@@ -53,14 +54,14 @@
         for n in 2..=100 {
             host.arrive(Request { id: id(n), original: Some(id(1)), ..first.clone() });
             let waiting = host.ids(|request| request.answers == 0 && !request.is_on_cores).len();
-            assert!(waiting as f64 * 20.0 + 160.0 <= 1000.0, "{waiting} wait");
+            assert!(waiting as f64 * 20.0 + 160.0 <= 1000.0, "{waiting} waiting requests exceed the memory");
             host.advance(5);
         }
     }
 }
 
-// Keyed requests come faster than their long window ends. Remembered all, they fill the memory; run unremembered, a
-// repeat would run again.
+// Keyed requests arrive faster than their long window ends. Remembering all of them would fill the memory; if
+// one ran without being remembered, a repeat would run again.
 #[test]
 fn keyed_requests_with_a_long_window_neither_fill_the_memory_nor_run_unremembered() {
     let mut config = settings();
@@ -76,7 +77,7 @@
         for id in host.ids(|request| request.is_on_cores) {
             events.push(Event::RunEnded(id, if n % 2 == 0 { Outcome::Ok } else { Outcome::Error }));
         }
-        // A burst of three, one of them a retry in the same batch.
+        // A burst of three requests; one of them is a retry in the same batch.
         for k in 0..3 {
             let mut arrival = request(10 * n + k, 1);
             arrival.original = (k == 2).then(|| id(10 * n));
@@ -92,10 +93,10 @@
                 Action::Run(id) => {
                     runs += 1;
                     let entry = remembered.iter().find(|entry| entry.0 == id);
-                    let (_, until) = entry.expect("nothing runs that is not remembered");
+                    let (_, until) = entry.expect("a keyed request that runs is remembered");
                     assert!(
                         *until >= host.seen[&id].arrived_at + Span::millis(32_000),
-                        "for its whole window"
+                        "a request must be remembered for its whole window"
                     );
                 }
                 _ => {}
@@ -104,7 +105,7 @@
         let waiting = host.ids(|request| request.answers == 0 && !request.is_on_cores).len();
         let entries = remembered.iter().filter(|entry| entry.1 > host.now).count();
         let kb = waiting as f64 * 20.0 + host.running() as f64 * 320.0 + entries as f64 * 10.0;
-        assert!(kb <= 1000.0, "{kb} kB after {n}");
+        assert!(kb <= 1000.0, "{kb} kB in use at n = {n}");
     }
     assert!(runs > 10, "{runs} runs");
 }
--- a/crates/admission/tests/rules/outbound_calls.rs
+++ b/crates/admission/tests/rules/outbound_calls.rs
@@ -1,15 +1,16 @@
-//! Calls to the dependency.
+//! Rules for outbound calls to the dependency.
 
 use crate::common::{Host, request, settings};
-use crate::{choked_dependency, id, is_rejected};
+use crate::{id, is_rejected, saturated_dependency};
 use gaugestand_admission::*;
 
-/// The length of the host's steps, in seconds.
+/// Length of the host's steps, in seconds.
 const TICK_S: f64 = 0.005;
 
-// A call with an effect fails. Unless its outcome proves that it never ran, a retry may repeat the effect.
+// A call with an effect fails. Unless its outcome proves that the call never ran, a retry could repeat the
+// effect.
 #[test]
-fn an_effectful_call_is_repeated_only_after_proof_that_it_never_ran() {
+fn a_call_with_an_effect_is_retried_only_if_it_never_ran() {
     for (outcome, is_retried) in [
         (Outcome::Overloaded, true),
         (Outcome::Unreachable, true),
@@ -21,13 +22,14 @@
         host.arrive(request(1, 2));
         host.step(vec![Event::CallRequested(id(1))]);
         let mut actions = host.step(vec![Event::CallEnded(id(1), outcome, Span::millis(10))]);
-        // The repeat follows a pause.
+        // The retry follows after a pause.
         actions.extend(host.advance(50));
         assert_eq!(actions.iter().any(|a| matches!(a, Action::Call(..))), is_retried, "{outcome:?}");
     }
 }
 
-// A dependency survives less than one call of this worker at a time. Calls must still be made, with pauses.
+// A dependency survives less than one concurrent call of this worker. Calls must still be made, with pauses
+// between them.
 #[test]
 fn calls_stay_under_a_limit_below_one() {
     let mut config = settings();
@@ -47,22 +49,26 @@
         host.advance(50);
         elapsed_ms += 50;
     }
-    assert!(in_flight_ms > 0, "some calls are made");
-    assert!((in_flight_ms as f64 / elapsed_ms as f64) < 0.4, "{in_flight_ms} of {elapsed_ms} ms");
+    assert!(in_flight_ms > 0, "no call was made");
+    assert!(
+        (in_flight_ms as f64 / elapsed_ms as f64) < 0.4,
+        "a call was in flight for {in_flight_ms} of {elapsed_ms} ms"
+    );
 }
 
-// Many runs wait for calls. One more would run, wait for its turn, and be late with its work done for nothing.
+// Many runs wait for calls. One more run would wait for its call until it is too late, and its work would be
+// lost.
 #[test]
-fn what_could_not_make_its_call_in_time_is_rejected_before_it_runs() {
-    let mut host = choked_dependency(true);
+fn a_request_that_cannot_make_its_call_in_time_is_rejected_before_it_runs() {
+    let mut host = saturated_dependency(true);
     assert!(is_rejected(&host.arrive(request(9, 0)), 9));
     assert_eq!(host.seen[&id(9)].runs, 0);
 }
 
-// A caller goes while its call is in flight. The dependency may still work on it, so that a call made at once would be
-// one too many.
+// A caller is gone while its call is in flight. The dependency may still work on that call, so that another
+// call made at once would exceed the limit.
 #[test]
-fn a_call_abandoned_with_its_request_still_counts_against_the_dependency() {
+fn a_call_abandoned_with_its_request_still_counts_as_outstanding() {
     let mut config = settings();
     config.downstream = Downstream::Shared;
     config.outbound_call_limit = 1.0;
@@ -72,12 +78,15 @@
     host.arrive(request(2, 0));
     assert!(calls(&host.step(vec![Event::CallRequested(id(1))])));
     host.step(vec![Event::CallerGone(id(1)), Event::RunEnded(id(1), Outcome::Cancelled)]);
-    assert!(!calls(&host.step(vec![Event::CallRequested(id(2))])), "the first may still be in its hands");
+    assert!(
+        !calls(&host.step(vec![Event::CallRequested(id(2))])),
+        "the dependency may still work on the first call"
+    );
     assert!(calls(&host.advance(250)));
 }
 
-/// The highest mean of calls in hand over any window, as a part of what the dependency survives, when calls
-/// are quick for a while and then each hangs until it is given up, and a while longer; and the number of calls.
+/// Calls are fast at first, then each hangs until it is abandoned, and for a while longer. Returns the
+/// highest mean of outstanding calls over any window, as a share of the limit, and the number of calls.
 fn highest_call_load(limit: f64) -> (f64, usize) {
     let mut config = settings();
     config.downstream = Downstream::Shared;
@@ -88,11 +97,11 @@
     let abandoned_for = config.abandoned_call_duration;
     let mut host = Host::new(config);
     host.gauges = Gauges { cpu_busy: Some(0.1), runnable: Some(0.0), ..Gauges::default() };
-    // With the time at which each began and that at which it is given up.
+    // Calls in flight: the time at which each began and the time at which it is abandoned.
     let mut in_flight: Vec<(RequestId, Time, Time)> = vec![];
-    // When the dependency is done with each abandoned call.
+    // Time at which the dependency has finished each abandoned call.
     let mut abandoned: Vec<Time> = vec![];
-    let mut in_hand = std::collections::VecDeque::new();
+    let mut outstanding = std::collections::VecDeque::new();
     let mut highest = 0.0f64;
     let mut calls = 0;
     for n in 1..=6000u128 {
@@ -125,11 +134,11 @@
             }
         }
         abandoned.retain(|over_at| *over_at > now);
-        in_hand.push_back(in_flight.len() + abandoned.len());
-        if in_hand.len() as f64 * TICK_S > window.secs() {
-            in_hand.pop_front();
+        outstanding.push_back(in_flight.len() + abandoned.len());
+        if outstanding.len() as f64 * TICK_S > window.secs() {
+            outstanding.pop_front();
         }
-        let mean = in_hand.iter().sum::<usize>() as f64 * TICK_S / window.secs();
+        let mean = outstanding.iter().sum::<usize>() as f64 * TICK_S / window.secs();
         highest = highest.max(mean / limit);
         if n % 500 == 0 {
             host.seen.retain(|_, request| request.answers == 0);
@@ -138,19 +147,20 @@
     (highest, calls)
 }
 
-// Calls are quick, then every one hangs. Made at the rate of before, they would overrun the dependency.
+// Calls are fast, then every one hangs. Calls made at the former rate would overload the dependency.
 #[test]
 fn the_dependency_never_gets_more_than_its_limit_even_when_every_call_hangs() {
     for limit in [0.15, 0.3, 0.6, 1.0, 3.0] {
         let (highest, calls) = highest_call_load(limit);
-        assert!(highest < 1.0, "{highest} of a limit of {limit}");
+        assert!(highest < 1.0, "a mean of {highest} of the limit {limit}");
         assert!(calls > 20, "{calls} calls at a limit of {limit}");
     }
 }
 
-// Calls may come in bursts, but their mean is bound. A wait reckoned by the burst would admit what comes too late.
+// Calls may come in bursts, but their mean is limited. A wait computed from the burst would admit requests
+// that end too late.
 #[test]
-fn the_wait_for_a_call_counts_with_the_mean_that_is_allowed_not_the_maximum_at_once() {
+fn the_expected_wait_for_a_call_follows_from_the_allowed_mean_not_from_the_peak() {
     let mut config = settings();
     config.downstream = Downstream::Shared;
     config.outbound_call_limit = 0.5;
@@ -165,7 +175,8 @@
         host.step(vec![Event::CallRequested(id(n)), Event::CallEnded(id(n), Outcome::Ok, Span::millis(500))]);
         host.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
     }
-    // Three wait; at a quarter of a call in hand, of half a second each, a fourth waits for over six seconds.
+    // Three requests wait. With a mean of a quarter of an outstanding call, of half a second each, a fourth
+    // waits for over six seconds.
     for n in 11..=14 {
         host.arrive(request(n, 0));
         host.step(vec![Event::CallRequested(id(n))]);
@@ -173,8 +184,8 @@
     assert!(is_rejected(&host.arrive(request(15, 0)), 15));
 }
 
-// Without the pause a dependency that answers at once is called again on every answer: one crash of it made thousands
-// of calls in seconds.
+// Without the pause, a dependency that fails calls at once is called again on every reply: one crash of it
+// caused thousands of calls within seconds.
 #[test]
 fn a_failed_call_is_retried_after_a_pause_that_grows() {
     let mut host = Host::new(Settings { downstream: Downstream::Tier, ..settings() });
@@ -182,21 +193,21 @@
     let mut made = 0;
     let called = |actions: Vec<Action>| actions.iter().any(|a| matches!(a, Action::Call(RequestId(1), _)));
     let mut is_called = called(host.step(vec![Event::CallRequested(RequestId(1))]));
-    assert!(is_called, "the first call is made at once");
+    assert!(is_called, "the first call must be made at once");
     for _ in 0..100 {
         if std::mem::take(&mut is_called) {
             made += 1;
             let unreachable = Event::CallEnded(RequestId(1), Outcome::Unreachable, Span(0));
-            assert!(!called(host.step(vec![unreachable])), "made again at once");
+            assert!(!called(host.step(vec![unreachable])), "a failed call was retried without a pause");
         }
         is_called = called(host.advance(5));
     }
     assert!((4..=10).contains(&made), "{made} calls in half an objective");
 }
 
-// A reply never comes. A call that could have been made again gave all its time to wait for it.
+// A reply never comes. A call that could have been retried used up all of its time waiting for the reply.
 #[test]
-fn a_call_that_may_be_retried_times_out_after_a_few_mean_replies_and_twice_as_late_the_next_time() {
+fn a_call_that_may_be_retried_times_out_after_a_few_mean_reply_times_and_later_on_its_retry() {
     let mut host = Host::new(Settings { downstream: Downstream::Tier, ..settings() });
     let timeout = |host: &mut Host, event| {
         let now = host.now;
@@ -204,29 +215,39 @@
             Action::Call(_, deadline) => Some(*deadline - now),
             _ => None,
         };
-        host.step(vec![event]).iter().find_map(until_deadline).expect("a call is made")
+        host.step(vec![event]).iter().find_map(until_deadline).expect("a call was made")
     };
     let latency_objective = Span::millis(1000);
-    let few_replies = Span::millis(80);
+    let retryable_timeout = Span::millis(80);
     host.arrive(request(1, 0));
-    assert_eq!(timeout(&mut host, Event::CallRequested(id(1))), latency_objective, "nothing is known yet");
+    assert_eq!(
+        timeout(&mut host, Event::CallRequested(id(1))),
+        latency_objective,
+        "without a reply, the timeout is the objective"
+    );
     host.step(vec![
         Event::CallEnded(id(1), Outcome::Ok, Span::millis(10)),
         Event::RunEnded(id(1), Outcome::Ok),
     ]);
     host.arrive(request(2, 0));
-    assert_eq!(timeout(&mut host, Event::CallRequested(id(2))), few_replies);
+    assert_eq!(timeout(&mut host, Event::CallRequested(id(2))), retryable_timeout);
     host.step(vec![Event::CallEnded(id(2), Outcome::TimedOut, Span::millis(10))]);
     let retry_deadline = host.advance(40).into_iter().find_map(|action| match action {
         Action::Call(_, deadline) => Some(deadline),
         _ => None,
     });
-    assert!(retry_deadline.expect("made again") - host.now > few_replies, "{retry_deadline:?}");
+    assert!(
+        retry_deadline.expect("the call was retried") - host.now > retryable_timeout,
+        "{retry_deadline:?}"
+    );
     host.arrive(request(3, 1));
-    assert!(timeout(&mut host, Event::CallRequested(id(3))) > few_replies, "a keyed one is made once");
+    assert!(
+        timeout(&mut host, Event::CallRequested(id(3))) > retryable_timeout,
+        "a call of a keyed request, which is not retried, has a longer timeout"
+    );
 }
 
-/// A dependency whose calls took 0.6 s of late, and a run that stands at one in flight.
+/// A host whose dependency took 0.6 s for recent calls, with a run that waits at a call in flight.
 fn slow_dependency() -> Host {
     let mut config = settings();
     config.downstream = Downstream::Tier;
@@ -239,27 +260,35 @@
     host
 }
 
-// While the dependency was short of capacity, runs were begun for nothing: the time of their calls did not count.
+// While the dependency was short of capacity, runs were started that could not end in time: the duration of
+// their calls was not taken into account.
 #[test]
-fn what_could_not_have_its_reply_in_time_is_rejected_before_it_runs() {
+fn a_request_that_cannot_have_its_reply_in_time_is_rejected_before_it_runs() {
     let mut host = slow_dependency();
     let late = |n| Request { read_delay: Span::millis(350), ..request(n, 1) };
-    assert!(host.arrive(request(2, 1)).contains(&Action::Run(id(2))), "all of its objective is left");
+    assert!(
+        host.arrive(request(2, 1)).contains(&Action::Run(id(2))),
+        "a request with its whole objective left must start"
+    );
     assert!(is_rejected(&host.arrive(late(3)), 3));
-    // With no call in flight one is tried: it shows when they are quick again.
+    // With no call in flight, one call is tried: it shows when calls are fast again.
     host.step(vec![Event::CallEnded(id(1), Outcome::Ok, Span::millis(600))]);
     assert!(host.arrive(late(4)).contains(&Action::Run(id(4))));
 }
 
-// A call was made however little time was left, and given up at the objective: work in the dependency for nobody.
+// A call was made however little time was left, and abandoned at the objective: useless work for the
+// dependency.
 #[test]
-fn a_call_that_cannot_be_back_in_time_is_not_made() {
+fn a_call_whose_reply_would_come_too_late_is_not_made() {
     let mut host = slow_dependency();
     let calls = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Call(..)));
     host.arrive(request(2, 0));
     host.arrive(request(3, 0));
     host.advance(600);
-    assert!(calls(&host.step(vec![Event::CallRequested(id(2))])), "some calls are quicker than the mean");
+    assert!(
+        calls(&host.step(vec![Event::CallRequested(id(2))])),
+        "a call must be made if more than half a mean reply time is left"
+    );
     host.advance(150);
     let actions = host.step(vec![Event::CallRequested(id(3))]);
     assert!(!calls(&actions) && host.seen[&id(3)].answers == 1, "{actions:?}");
--- a/crates/admission/tests/rules/queue.rs
+++ b/crates/admission/tests/rules/queue.rs
@@ -1,10 +1,10 @@
-//! Order, expiry and shedding of the admission queue.
+//! Rules for the order of the admission queue, expiry and load shedding.
 
 use crate::common::{Host, request, settings};
 use crate::{id, is_rejected};
 use gaugestand_admission::*;
 
-// Runs hang and the queue stands still. What waits in it must not wait past its deadline unheard.
+// Runs hang and the queue does not move. Requests in it must be answered by their deadline.
 #[test]
 fn a_queued_request_is_rejected_when_it_can_no_longer_be_answered_in_time() {
     let mut host = Host::new(settings());
@@ -17,7 +17,8 @@
     assert!(host.seen[&id(6)].is_rejected);
 }
 
-// The cores are busy and no run ends. What would wait in vain hears at once, with when to come back.
+// The cores are busy and no run ends. Requests that would wait in vain are rejected at once, with advice on
+// when to retry.
 #[test]
 fn arrivals_over_the_limit_are_rejected_at_once_while_the_cores_are_busy() {
     let mut host = Host::with_busy_cores(settings(), Some(4.0));
@@ -34,7 +35,8 @@
     assert!(actions.iter().all(advised));
 }
 
-// The queue is full of requests of low priority. One of high priority must not be shed for having come later.
+// The queue is full of requests of low priority. One of high priority must not be shed because it arrived
+// later.
 #[test]
 fn an_arrival_of_high_priority_takes_the_place_of_a_queued_one_of_low_priority() {
     let mut config = settings();
@@ -47,7 +49,8 @@
     assert!(!is_rejected(&actions, 99) && actions.iter().any(|a| matches!(a, Action::Reject { .. })));
 }
 
-// Two cores start few requests in a given time. A queue in proportion would have no place for ordinary scatter.
+// Two cores start few requests in a given time. A proportional queue would be too short for the ordinary
+// variation of arrivals.
 #[test]
 fn a_few_requests_may_wait_on_two_busy_cores() {
     let mut host = Host::with_busy_cores(settings(), Some(2.0));
@@ -58,7 +61,8 @@
     assert!(!actions.iter().any(|a| matches!(a, Action::Reject { .. })));
 }
 
-// Less time is left than a mean run takes. Started, it would take the cores from one that can be in time.
+// Less time is left than a mean run takes. If the request started, it would take the cores from one that can
+// be in time.
 #[test]
 fn a_run_that_would_most_likely_end_late_is_not_started() {
     let mut host = Host::new(settings());
@@ -70,15 +74,19 @@
     host.arrive(request(97, 0));
     let mut arrival = request(98, 0);
     arrival.read_delay = Span::millis(760);
-    assert!(is_rejected(&host.arrive(arrival.clone()), 98), "less than a mean run is left");
+    assert!(
+        is_rejected(&host.arrive(arrival.clone()), 98),
+        "a request with less time left than a mean run takes must be rejected"
+    );
     arrival.id = id(99);
     arrival.read_delay = Span::millis(200);
     assert!(host.arrive(arrival).contains(&Action::Run(id(99))));
 }
 
-// The queue has places but moves so slowly that its last one would start too late. It should hear now, not then.
+// The queue has capacity but moves so slowly that the last request would start too late. It should be
+// rejected on arrival.
 #[test]
-fn the_last_in_the_queue_is_rejected_at_once_where_its_wait_would_miss_its_objective() {
+fn the_last_request_in_the_queue_is_rejected_at_once_if_its_wait_would_miss_its_objective() {
     let mut host = Host::new(settings());
     host.gauges = Gauges { cpu_busy: Some(1.0), runnable: Some(2.0), ..Gauges::default() };
     host.step(vec![]);
@@ -87,12 +95,14 @@
         host.advance(600);
         host.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
     }
-    // Two run, for 0.6 s; of four in the queue the last would start after more than its objective of a second.
+    // Two requests run, for 0.6 s each; of four in the queue, the last would start later than its objective
+    // of a second.
     let rejected: Vec<bool> = (21..=26).map(|n| is_rejected(&host.arrive(request(n, 0)), n)).collect();
     assert_eq!(rejected, [false, false, false, false, true, true]);
 }
 
-// A late answer still counts something. On busy cores, a request kept for it would take the place of one in time.
+// A late answer still counts something. With busy cores, a request kept for it would displace one that can be
+// in time.
 #[test]
 fn late_weight_keeps_a_request_queued_only_while_cores_are_free() {
     for (busy, stays) in [(0.2, true), (1.0, false)] {
@@ -109,11 +119,12 @@
         host.arrive(request(3, 0));
         host.advance(5);
         let actions = host.advance(1100);
-        assert_eq!(!is_rejected(&actions, 3), stays, "at {busy} busy");
+        assert_eq!(!is_rejected(&actions, 3), stays, "with {busy} of the cores busy");
     }
 }
 
-/// A worker where one answer serves other reads of the same key, with both cores taken and four queued.
+/// A host where one answer serves other reads of the same key, with both cores in use and four requests
+/// queued.
 fn busy_with_reads() -> (Host, Request) {
     let mut config = settings();
     config.cache_ttl = Span::millis(600);
@@ -129,10 +140,10 @@
     (host, popular)
 }
 
-// Many callers read the same key. One run would serve them all; it must not be shed for one that serves a single
-// caller.
+// Many callers read the same key. One run would serve all of them; it must not be shed in favour of a run
+// that serves a single caller.
 #[test]
-fn a_read_that_many_request_takes_the_place_of_one_that_few_do() {
+fn a_read_that_many_callers_request_displaces_one_that_few_request() {
     let (mut host, mut popular) = busy_with_reads();
     assert!(is_rejected(&host.arrive(popular.clone()), 50));
     popular.id = id(51);
--- a/crates/admission/tests/rules/settings.rs
+++ b/crates/admission/tests/rules/settings.rs
@@ -1,12 +1,13 @@
-//! Settings and input at the edge of sense.
+//! Rules for settings and input at the limits of their range.
 
 use crate::common::{Host, request, settings};
 use crate::id;
 use gaugestand_admission::*;
 
-// A gauge reads nonsense and events name requests that are long over. Neither may stop the worker or make it act.
+// A gauge has an invalid value, and events name requests that are long over. Neither may stop the worker or
+// cause an action.
 #[test]
-fn nonsense_gauges_and_unknown_ids_are_survived() {
+fn invalid_gauges_and_unknown_ids_are_ignored() {
     let mut host = Host::new(settings());
     host.gauges =
         Gauges { cpu_busy: Some(f64::NAN), runnable: Some(-5.0), mem_used: None, sockets: Some(1e300) };
@@ -23,16 +24,17 @@
     assert!(actions.is_empty());
 }
 
-// A site has one core, a thousand callers or no quota. A division or a bound at the edge must not shut everyone out.
+// A site has one core, a thousand callers or no quota. A division or a bound at the limit must not shut out
+// all callers.
 #[test]
-fn extreme_settings_serve_what_there_is_capacity_for() {
+fn requests_within_capacity_are_served_under_extreme_settings() {
     type Extreme = (&'static str, fn(&mut Settings));
     let extremes: [Extreme; 6] = [
         ("a thousand callers", |config| config.callers = 1000),
         ("no caller known", |config| config.callers = 0),
         ("one core", |config| config.cores = 1),
         ("a cluster of one", |config| config.cluster_size = 1),
-        ("a tenth of a call", |config| {
+        ("an outbound call limit of 0.1", |config| {
             config.downstream = Downstream::Shared;
             config.outbound_call_limit = 0.1;
         }),
@@ -46,24 +48,24 @@
         for n in 1..=30 {
             assert!(
                 host.arrive(request(n, 0)).contains(&Action::Run(id(n))),
-                "{name}: {n} is started at once"
+                "{name}: request {n} must start at once"
             );
             host.advance(100);
             host.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
         }
         host.arrive(request(99, 0));
         let actions = host.step(vec![Event::CallRequested(id(99))]);
-        assert!(actions.iter().any(|a| matches!(a, Action::Call(..))), "{name}: a first call is made");
+        assert!(actions.iter().any(|a| matches!(a, Action::Call(..))), "{name}: a first call must be made");
     }
 }
 
-// An operator sets something to zero that is a divisor. The program must say which, before it serves.
+// An operator sets a divisor to zero. The program must name the setting before it serves requests.
 #[test]
-fn settings_that_make_no_sense_are_named() {
+fn the_error_names_the_unusable_setting() {
     let error = |break_settings: fn(&mut Settings)| {
         let mut settings = settings();
         break_settings(&mut settings);
-        Controller::new(settings, 1).expect_err("unsound")
+        Controller::new(settings, 1).expect_err("the settings are unusable")
     };
     let cases: [(SettingsError, &str); 5] = [
         (error(|config| config.cores = 0), "setting cores: must be at least 1"),
