--- a/crates/admission/src/controller/backpressure.rs
+++ b/crates/admission/src/controller/backpressure.rs
@@ -32,7 +32,8 @@
 /// Least Retry-After of a rejection, as a share of the longest one: an immediate retry would find the same
 /// queue.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.05;
-/// Outstanding requests per permitted run that the allowances add up to: one runs, one is in transit.
+/// Sum of all callers' allowances, in requests for each run that the concurrency limit permits: one runs, one
+/// is in transit.
 const OUTSTANDING_PER_RUN: f64 = 2.0;
 /// Margin of an allowance, in standard deviations of a caller's number of outstanding requests.
 const MARGIN_DEVIATIONS: f64 = 2.0;
--- a/crates/admission/src/controller/estimators.rs
+++ b/crates/admission/src/controller/estimators.rs
@@ -24,7 +24,7 @@
 const OBJECTIVE_WEIGHT: f64 = 0.02;
 /// Weight of a control period in Ne, which must follow a change within a few periods.
 const MEAN_RUNNING_WEIGHT: f64 = 0.5;
-/// Weight of a control period in Ti, whose samples scatter more than those of Ne.
+/// Weight of a control period in Ti, whose samples vary more than those of Ne.
 const ARRIVAL_RATE_WEIGHT: f64 = 0.3;
 /// The worker counts as stalled if no run completes for this many mean run times while the cores are full.
 const STALLED_AFTER_RUNS: f64 = 4.0;
--- a/crates/admission/src/controller/final_answer.rs
+++ b/crates/admission/src/controller/final_answer.rs
@@ -35,8 +35,8 @@
         self.release(id, actions);
     }
 
-    /// Reverts the admission of a rejected request that never ran: its quota token is returned, and a repeat
-    /// of it counts as a first attempt.
+    /// Reverts the admission of a rejected request that never ran, and counts the rejection: the request's
+    /// quota token is returned, and a repeat of the request counts as a first attempt.
     fn undo_admission(&mut self, id: RequestId, has_effect: bool, actions: &mut Vec<Action>) {
         blend(&mut self.backpressure.rejected_fraction, 1.0, DECISION_WEIGHT);
         let Some(entry) = self.requests.get(id) else { return };
--- a/crates/admission/tests/rules/outbound_calls.rs
+++ b/crates/admission/tests/rules/outbound_calls.rs
@@ -85,8 +85,9 @@
     assert!(calls(&host.advance(250)));
 }
 
-/// Calls are fast at first, then each hangs until it is abandoned, and for a while longer. Returns the
-/// highest mean of outstanding calls over any window, as a share of the limit, and the number of calls.
+/// Calls are fast at first; then each hangs until it is abandoned, and the dependency works on it for a while
+/// longer. Returns the highest mean of outstanding calls over any window, as a share of the limit, and the
+/// number of calls.
 fn highest_call_load(limit: f64) -> (f64, usize) {
     let mut config = settings();
     config.downstream = Downstream::Shared;
