--- a/crates/cluster/src/log_storage.rs
+++ b/crates/cluster/src/log_storage.rs
@@ -1,7 +1,9 @@
-//! The replicated log in memory: what the raft library reads, and the records that make its changes durable.
+//! The replicated log in memory: the raft library reads it, and each change of it is put into a record that
+//! the caller writes to disk.
 //!
-//! Guarantees: each change of the log is either in a [`LogRecord`] that was filled in the same call, or was read from disk;
-//! compaction keeps the last compacted version, so that there is always a content to act on. It does not write by itself.
+//! Guarantees: every change of the log was either read from disk or is in the [`LogRecord`] that the changing
+//! call filled; compaction keeps the last compacted version, so that there is always a content to act on.
+//! This module does not write to disk.
 
 use crate::Version;
 use crate::membership::{Membership, Role};
@@ -12,63 +14,63 @@
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 use std::collections::VecDeque;
 
-/// Most versions that are kept, for `gaugestand fleet history` and roll-back.
+/// Versions that the log retains at most, for `gaugestand fleet history` and roll-back.
 pub const MAX_RETAINED_VERSIONS: usize = 64;
-/// Most bytes of versions that are kept: bounds the memory and the file of the log.
+/// Bytes of versions that the log retains at most; bounds the memory and the file of the log.
 pub const MAX_RETAINED_BYTES: usize = 4 << 20;
-/// Most entries that are kept, with the empty ones that the library appends at each election.
+/// Entries that the log retains at most, including the empty ones that the library appends at each election.
 const MAX_RETAINED_ENTRIES: usize = 1024;
 
-/// Why a stored log or a snapshot cannot be used.
+/// Why a log on disk or a snapshot of another node cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LogStorageError {
-    /// An entry or the hard state is malformed.
-    #[error("an entry or the vote cannot be read")]
+    /// An entry or the hard state (term, vote and commit index) is malformed.
+    #[error("an entry or the hard state (term, vote and commit index) cannot be decoded")]
     MalformedEntry,
-    /// The base of the log is malformed.
-    #[error("what stands for the forgotten entries cannot be read")]
+    /// The base of the log, which stands for the compacted entries, is malformed.
+    #[error("the base, which replaces compacted entries, cannot be decoded")]
     MalformedBase,
     /// The membership in the base is malformed.
-    #[error("the members cannot be read")]
+    #[error("the membership in the base cannot be decoded")]
     MalformedMembership,
     /// A snapshot of another node is malformed.
-    #[error("a snapshot cannot be read")]
+    #[error("a snapshot of another node cannot be decoded")]
     MalformedSnapshot,
-    /// The entries are not consecutive.
-    #[error("an entry is missing")]
+    /// The entries after the base are not consecutive.
+    #[error("an entry is missing: the indices are not consecutive")]
     MissingEntry,
-    /// The log ends before its commit index.
-    #[error("what was committed is missing")]
+    /// The commit index is after the last entry, or before the base.
+    #[error("committed entries are missing: the commit index is outside the log")]
     MissingCommitted,
 }
 
-/// The log and the hard state of the library, as they are or will be on disk.
+/// The raft library's log and hard state, including changes that are not on disk yet.
 #[derive(Debug)]
 pub struct LogStorage {
     hard_state: HardState,
     /// The membership of version 0.
     initial_membership: Membership,
-    /// Stands for all entries before `entries`.
+    /// Replaces all compacted entries, which are those before `entries`.
     base: LogBase,
     entries: VecDeque<Entry>,
 }
 
-/// The version that an entry holds, if it holds one.
+/// Decodes the version in an entry; `None` if the entry has none, like the empty entry after an election.
 pub fn version_entry(entry: &Entry) -> Option<VersionEntry> {
     let bytes = match entry.get_entry_type() {
         EntryType::EntryNormal => entry.get_data(),
-        // The data of a membership change is the library's; the version is in its context.
+        // The data of a membership change belongs to the library; the version is in the entry's context.
         EntryType::EntryConfChange | EntryType::EntryConfChangeV2 => entry.get_context(),
     };
     if bytes.is_empty() { None } else { VersionEntry::decode(bytes).ok() }
 }
 
-/// The library's number of a node: it does not allow 0.
+/// Converts a node number to the raft library's number, which may not be 0.
 pub fn raft_id(id: crate::NodeId) -> u64 {
     u64::from(id) + 1
 }
 
-/// The library's form of a membership.
+/// Converts a membership to the raft library's type.
 fn conf_state(membership: &Membership) -> ConfState {
     let ids = |role: Role| {
         let members = membership.members().iter().filter(move |member| member.role == role);
@@ -78,7 +80,7 @@
 }
 
 fn encode(message: &impl protobuf::Message) -> Vec<u8> {
-    // Encoding fails only for a missing required field; the library's messages have none.
+    // Encoding fails only if a required field is missing, and the library's messages have no required fields.
     message.write_to_bytes().unwrap_or_default()
 }
 
@@ -88,7 +90,7 @@
     Ok(message)
 }
 
-/// What an entry adds to the bounds of the log.
+/// Size of one or several entries, as limited by [`MAX_RETAINED_BYTES`] and [`MAX_RETAINED_VERSIONS`].
 #[derive(Clone, Copy, Default)]
 struct EntrySize {
     bytes: usize,
@@ -111,19 +113,23 @@
 }
 
 impl LogStorage {
-    /// The log that was found on disk, of a cluster that began with this membership.
+    /// Opens the log that was read from disk, of a cluster whose membership of version 0 is
+    /// `initial_membership`.
     ///
     /// # Errors
     /// A record of the log is malformed, entries are not consecutive, or committed entries are missing
     /// ([`LogStorageError::MissingCommitted`]). The node may have lost what it acknowledged and must not use
     /// this log.
-    pub fn open(found: &RecoveredLog, initial_membership: Membership) -> Result<Self, LogStorageError> {
-        let hard_state = found.hard_state.as_deref().map_or(Ok(HardState::default()), decode)?;
-        let base = found.snapshot.as_deref().map_or(Ok(LogBase::default()), LogBase::decode);
+    pub fn open(
+        recovered_log: &RecoveredLog,
+        initial_membership: Membership,
+    ) -> Result<Self, LogStorageError> {
+        let hard_state = recovered_log.hard_state.as_deref().map_or(Ok(HardState::default()), decode)?;
+        let base = recovered_log.snapshot.as_deref().map_or(Ok(LogBase::default()), LogBase::decode);
         let base = base.map_err(|_| LogStorageError::MalformedBase)?;
         let mut storage = LogStorage { hard_state, initial_membership, base, entries: VecDeque::new() };
         storage.decode_membership()?;
-        for (index, entry) in &found.entries {
+        for (index, entry) in &recovered_log.entries {
             let entry: Entry = decode(entry)?;
             if entry.index != *index || entry.index != storage.last_entry_index() + 1 {
                 return Err(LogStorageError::MissingEntry);
@@ -144,9 +150,9 @@
         serde_json::from_slice(&self.base.membership).map_err(|_| LogStorageError::MalformedMembership)
     }
 
-    /// The membership under the version that the base stands for.
+    /// The membership under the last compacted version.
     pub fn base_membership(&self) -> Membership {
-        // It was decoded once before it was accepted.
+        // Decoding cannot fail here: the base is accepted only after its membership was decoded.
         self.decode_membership().unwrap_or_else(|_| self.initial_membership.clone())
     }
 
@@ -161,17 +167,17 @@
         newest.or(self.base_version().map(|entry| entry.version)).unwrap_or(0)
     }
 
-    /// The last compacted version.
+    /// The last compacted version; `None` if no version was compacted.
     pub fn base_version(&self) -> Option<&VersionEntry> {
         self.base.last.as_ref().filter(|entry| entry.version > 0)
     }
 
-    /// The index of the last compacted entry.
+    /// Index of the last compacted entry; 0 if none was compacted.
     pub fn base_index(&self) -> u64 {
         self.base.index
     }
 
-    /// Appends entries; they replace those at their indices and all after them.
+    /// Appends entries. They replace existing entries from the first one's index on.
     pub fn append(&mut self, entries: Vec<Entry>, record: &mut LogRecord) {
         let Some(first) = entries.first().map(|entry| entry.index) else { return };
         if first <= self.last_entry_index() {
@@ -184,17 +190,17 @@
         }
     }
 
-    /// Takes over the library's hard state: term, vote and commit index.
+    /// Sets the library's hard state: term, vote and commit index.
     pub fn set_hard_state(&mut self, hard_state: &HardState, record: &mut LogRecord) {
         self.hard_state = hard_state.clone();
         record.hard_state = Some(encode(hard_state));
     }
 
-    /// Replaces the log by a snapshot; a malformed one changes nothing.
+    /// Replaces the log by a snapshot of another node.
     ///
     /// # Errors
     /// [`LogStorageError::MalformedSnapshot`] or [`LogStorageError::MalformedMembership`] if the sender's
-    /// snapshot cannot be decoded; the log and `record` are as before.
+    /// snapshot cannot be decoded; the log and `record` are unchanged.
     pub fn restore(&mut self, snapshot: &Snapshot, record: &mut LogRecord) -> Result<(), LogStorageError> {
         let base = LogBase::decode(snapshot.get_data()).map_err(|_| LogStorageError::MalformedSnapshot)?;
         let replaced = std::mem::replace(&mut self.base, base.clone());
@@ -210,7 +216,7 @@
         Ok(())
     }
 
-    /// Compacts applied entries while the log is over its bounds.
+    /// Compacts applied entries, oldest first, while the log exceeds a retention limit.
     pub fn compact(&mut self, applied_index: u64, record: &mut LogRecord) {
         let mut size = self.entries.iter().map(EntrySize::of).fold(EntrySize::default(), EntrySize::plus);
         let mut compacted_to = None;
@@ -232,7 +238,7 @@
         }
     }
 
-    /// Lets the base stand for this entry as well.
+    /// Extends the base by this entry, the first one after it.
     fn extend_base(&mut self, entry: &Entry) {
         self.base.index = entry.index;
         self.base.term = entry.term;
--- a/crates/cluster/src/wire/codec.rs
+++ b/crates/cluster/src/wire/codec.rs
@@ -1,61 +1,67 @@
-//! Encoding of messages, and the checks on those that come in.
+//! Encodes messages to other nodes, and decodes and checks received ones.
 
-use super::PROTOCOL_VERSION;
 use super::messages::{Envelope, Hello, Payload};
+use super::{MAX_MESSAGE_BYTES, PROTOCOL_VERSION};
 use crate::NodeId;
 use prost::Message as _;
 
-/// Characters of another cluster's name that an error keeps: the name comes from outside and goes to the log.
+/// Length in characters to which an error truncates another cluster's name, which comes from outside and is
+/// logged.
 const MAX_REPORTED_NAME_CHARS: usize = 64;
 
-/// Why a message was not accepted.
+/// Why a received message was rejected. The node logs the text and closes the link.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// It is not a message, or longer than [`MAX_MESSAGE_BYTES`](super::MAX_MESSAGE_BYTES).
-    #[error("what it says cannot be read")]
+    /// The bytes are not a message, or are longer than [`MAX_MESSAGE_BYTES`].
+    #[error("malformed message, or longer than {max} bytes", max = MAX_MESSAGE_BYTES)]
     Malformed,
-    /// It has another protocol version.
-    #[error("it speaks form {0}, this program {supported}; run one program on all nodes", supported = PROTOCOL_VERSION)]
+    /// The message has another protocol version, which the field holds.
+    #[error(
+        "message of protocol version {0}, expected {supported}; run the same program version on all nodes",
+        supported = PROTOCOL_VERSION
+    )]
     ProtocolVersion(u32),
-    /// It is of another cluster.
-    #[error("it is of the fleet {0:?}")]
+    /// The message belongs to another cluster. The field is the start of that cluster's name.
+    #[error("message of another fleet, {0:?}")]
     OtherCluster(String),
-    /// The sender has other members, another lease duration, another drift bound or other lists configured.
+    /// The sender is configured with other members, another lease duration, another drift bound or other
+    /// lists.
     #[error(
-        "it was told other members, another contradict_ms or other lists; give all nodes the same fleet(...)"
+        "sender is configured with other members, another contradict_ms or drift_ppm, or other lists; \
+         give all nodes the same fleet(...)"
     )]
     ConfigMismatch,
-    /// The sender has the number of no member, or this node's own.
-    #[error("it says that it is node {0}, which is none of the others")]
+    /// The sender's number, which the field holds, is this node's own or that of no member.
+    #[error("message from node {0}, which is not another member of this fleet")]
     UnknownSender(u32),
     /// The sender was removed from the cluster.
-    #[error("it says that it is node {node}, which was removed")]
+    #[error("message from node {node}, which was removed from the fleet")]
     RemovedSender {
-        /// The sender.
+        /// Number of the removed node.
         node: NodeId,
-        /// Its incarnation, to which the removal is reported.
+        /// Incarnation of the removed node, to which the removal is reported.
         incarnation: u64,
     },
-    /// It is for an earlier incarnation of this node, or out of order on its link.
-    #[error("it speaks to an earlier life of this node")]
+    /// The message is for an earlier incarnation of this node, or out of order on its link.
+    #[error("message for an earlier incarnation of this node, or out of order on its link")]
     Stale,
 }
 
 /// Encodes this node's messages and decodes those of others.
 #[derive(Clone, Debug)]
 pub struct FrameCodec {
-    /// The cluster's name.
+    /// Name of the cluster, the same on all nodes.
     pub cluster: String,
     /// Fingerprint of the configuration that all nodes have to share.
     pub config_fingerprint: u64,
-    /// This node.
+    /// Number of this node.
     pub node_id: NodeId,
-    /// This incarnation of it; not 0.
+    /// Number of this incarnation of the node; not 0.
     pub incarnation: u64,
 }
 
 impl FrameCodec {
-    /// A message for a reader of this incarnation.
+    /// Encodes a message to a node whose [`Hello`] had this `incarnation`; 0 for a hello.
     pub fn encode(&self, payload: Payload, incarnation: u64) -> Vec<u8> {
         let envelope = Envelope {
             protocol_version: PROTOCOL_VERSION,
@@ -68,18 +74,19 @@
         envelope.encode_to_vec()
     }
 
-    /// The first message on a link.
+    /// Encodes the first message on a link. `program` is the program's version, for diagnosis only.
     pub fn hello(&self, program: &str) -> Vec<u8> {
         let hello = Hello { incarnation: self.incarnation, program: program.to_string() };
         self.encode(Payload::Hello(hello), 0)
     }
 
-    /// Reads a message. A hello may come from any node of the cluster, all else only for this incarnation.
+    /// Decodes a message and returns its sender and payload. A hello is accepted from any other node of the
+    /// cluster, any other message only if it is addressed to this incarnation.
     ///
     /// # Errors
-    /// The bytes are not a message of this protocol version, or it comes from another cluster, a node with
-    /// another configuration, or an unknown sender. [`FrameError::Stale`] is for an earlier incarnation of
-    /// this node. The message must not be acted on.
+    /// The bytes are not a message of this protocol version, or the message comes from another cluster, a
+    /// node with another configuration, or an unknown sender. [`FrameError::Stale`] says that it is addressed
+    /// to an earlier incarnation of this node. A rejected message must not be acted on.
     pub fn decode(&self, bytes: &[u8]) -> Result<(NodeId, Payload), FrameError> {
         let envelope = Envelope::decode(bytes).map_err(|_| FrameError::Malformed)?;
         if envelope.protocol_version != PROTOCOL_VERSION {
