--- a/crates/cluster/src/consensus/error.rs
+++ b/crates/cluster/src/consensus/error.rs
@@ -1,4 +1,4 @@
-//! Why the consensus cannot start, and why proposals are rejected.
+//! Errors: why a node cannot take part in the consensus, and why proposals are rejected.
 
 use crate::Version;
 use crate::log_storage::LogStorageError;
@@ -11,12 +11,13 @@
     /// The log on disk cannot be used.
     #[error(transparent)]
     Storage(#[from] LogStorageError),
-    /// The raft library rejects the state.
+    /// The raft library rejected its configuration or the stored state.
     #[error(transparent)]
     Raft(#[from] raft::Error),
 }
 
-/// Why a node could not act on a proposed content, in words for the operator; other nodes send it as text.
+/// Why a node could not act on a proposed content, as text for the operator. Nodes send this text to the
+/// leader that requested the validation.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct Unacceptable(pub String);
@@ -24,33 +25,37 @@
 /// Why a proposal was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalError {
-    /// A node could not act on it.
+    /// A node could not act on the proposed content.
     #[error("unsound: {node}: {reason}")]
     Invalid {
-        /// The node's name.
+        /// Name of the node that rejected the content.
         node: String,
-        /// Why.
+        /// Why that node could not act on the content.
         reason: Unacceptable,
     },
-    /// This is the last committed version, and another one was expected.
+    /// The proposal expected another version to be the last committed one. The field is the last committed
+    /// version.
     #[error("out of date: version {0} is the last one")]
     VersionConflict(Version),
-    /// There is no leader, or it cannot reach a majority.
+    /// No leader is known and reachable, or the leader cannot reach a majority of the voters.
     #[error("no majority: too few nodes can be heard; see 'gaugestand fleet status'")]
     NoMajority,
-    /// Another proposal is pending, or the last committed version is not active yet.
+    /// The leader cannot accept a proposal at the moment: another one is pending, the last version in its log
+    /// is not active yet, or the leader is draining or handing leadership over. Also if too many forwarded
+    /// proposals wait for a result.
     #[error("another version is in work or not in effect yet; try again in a moment")]
     Busy,
-    /// The content has this many bytes, more than [`MAX_CONTENT_BYTES`].
+    /// The content is longer than [`MAX_CONTENT_BYTES`]. The field is its length in bytes.
     #[error("too long: {0} bytes, {max} at most", max = MAX_CONTENT_BYTES)]
     TooLong(usize),
-    /// The membership may not be changed like that.
+    /// The requested membership change is not possible or not safe at present.
     #[error(transparent)]
     Membership(#[from] MembershipError),
-    /// There was no answer: it may be committed yet.
+    /// The result is not known, after a timeout or a change of the leader: the proposal may still be
+    /// committed.
     #[error("no answer: it may be agreed yet; see 'gaugestand fleet status'")]
     Unknown,
-    /// The leader rejected a forwarded proposal, for this reason.
+    /// The leader rejected a forwarded proposal. The field is the leader's error text.
     #[error("{0}")]
     Remote(String),
 }
--- a/crates/cluster/src/consensus/event.rs
+++ b/crates/cluster/src/consensus/event.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of the state machine.
+//! Inputs and outputs of the consensus state machine of a node.
 
 use crate::membership::MembershipChange;
 use crate::wire::Payload;
@@ -8,100 +8,103 @@
 
 use super::{ProposalError, Unacceptable};
 
-/// What happens to a node.
+/// An input of the state machine, reported by the caller.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A message of another node.
+    /// A message from another node has arrived.
     Received {
-        /// The sender, as the link knows it.
+        /// The sending node, as identified by the link that the message arrived on.
         from: NodeId,
-        /// The message.
+        /// Payload of the message.
         payload: Payload,
     },
-    /// The link to a node is up.
+    /// The link to this node is up: messages can be sent to it.
     LinkUp(NodeId),
-    /// The link to a node is down.
+    /// The link to this node is down.
     LinkDown(NodeId),
-    /// The record of this sequence number is durable.
+    /// The record of the [`Command::Persist`] with this sequence number is durable.
     Persisted(u64),
-    /// An operator proposes a content for the next version.
+    /// An operator at this node proposes a content for the next version.
     Propose {
-        /// The caller's number of the proposal, repeated in its [`Command::Answer`].
+        /// The caller's number of the proposal, repeated in the [`Command::Answer`] to it.
         ticket: u64,
-        /// The content.
+        /// The proposed content, in JSON, at most [`MAX_CONTENT_BYTES`](crate::wire::MAX_CONTENT_BYTES).
         content: Vec<u8>,
-        /// Propose only if this is the last committed version.
+        /// Reject the proposal unless this is the last committed version; `None` to skip the check.
         expected_version: Option<Version>,
-        /// Accept a content that starves a keyed class.
+        /// Accept a content that drops or starves a keyed class with load, or makes it unkeyed.
         force: bool,
     },
-    /// An operator requests a change of the membership.
+    /// An operator at this node requests a change of the membership.
     ChangeMembership {
-        /// The caller's number of the proposal, repeated in its [`Command::Answer`].
+        /// The caller's number of the proposal, repeated in the [`Command::Answer`] to it.
         ticket: u64,
-        /// The change.
+        /// The requested change.
         change: MembershipChange,
     },
-    /// Result of a [`Command::Validate`].
+    /// This node has executed a [`Command::Validate`].
     Validated {
-        /// Which validation.
+        /// Identifies the validation, as in the command.
         validation: ValidationId,
-        /// Whether this node could act on the content.
+        /// `Ok` if this node could act on the content, otherwise why it could not.
         result: Result<(), Unacceptable>,
     },
-    /// This node is about to leave service: another one has to lead.
+    /// This node is about to leave service, so that another node has to become leader.
     Draining,
-    /// Time has passed.
+    /// A timer has expired, see [`Consensus::next_timer`](super::Consensus::next_timer). May be reported at
+    /// any time.
     Timer,
 }
 
-/// Names a validation among those of all nodes.
+/// Identifies a validation among those of all leaders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ValidationId {
-    /// The leader that requested it.
+    /// The leader that requested the validation.
     pub requested_by: NodeId,
-    /// Its number there.
+    /// Number of the validation, assigned by that leader.
     pub id: u64,
 }
 
-/// What a node has to do, in this order.
+/// An output of the state machine. The caller has to execute commands in the order in which they were
+/// appended.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Send a message, if the node can be reached; it may be lost.
+    /// Send a message if the receiver can be reached. The message may be lost.
     Send {
-        /// The receiver.
+        /// The receiving node.
         to: NodeId,
-        /// The message.
+        /// Payload of the message.
         payload: Payload,
     },
-    /// Make a record durable, in the order of the sequence numbers, then report [`Event::Persisted`].
+    /// Write a record durably, in the order of the sequence numbers, then report [`Event::Persisted`].
     Persist {
-        /// Its sequence number.
+        /// Sequence number of the record, ascending within one incarnation.
         sequence: u64,
-        /// What to write.
+        /// The record to write.
         record: LogRecord,
     },
     /// Check whether this node could act on a content, then report [`Event::Validated`].
     Validate {
-        /// Names the validation.
+        /// Identifies the validation, to be repeated in [`Event::Validated`].
         validation: ValidationId,
-        /// The content.
+        /// The content to check, in JSON.
         content: Rc<[u8]>,
-        /// Accept a content that starves a keyed class.
+        /// Accept a content that drops or starves a keyed class with load, or makes it unkeyed.
         force: bool,
     },
-    /// A version is committed. [`Consensus::active_version`](super::Consensus::active_version) says whether it is active.
+    /// A version is committed. [`Consensus::active_version`](super::Consensus::active_version) says whether
+    /// it is also active.
     Committed {
-        /// Its number.
+        /// Number of the committed version.
         version: Version,
-        /// Its content.
+        /// Content of the committed version, in JSON.
         content: Rc<[u8]>,
     },
-    /// The result of an operator's proposal.
+    /// The result of a proposal that an operator made at this node.
     Answer {
-        /// The caller's number of the proposal.
+        /// The caller's number of the proposal, as in [`Event::Propose`] or [`Event::ChangeMembership`].
         ticket: u64,
-        /// The version that it was committed as.
+        /// The version that the proposal was committed as, or why it was rejected.
         result: Result<Version, ProposalError>,
     },
 }
--- a/crates/cluster/src/consensus/leases.rs
+++ b/crates/cluster/src/consensus/leases.rs
@@ -1,4 +1,5 @@
-//! Leases beside the log: messages and log events for the [`lease`] state machine, and its commands to the other nodes.
+//! Connects the [`lease`] state machine with the consensus: passes it messages and log events, and sends its
+//! messages to the other nodes.
 
 use super::{Command, Consensus};
 use crate::NodeId;
--- a/crates/cluster/src/consensus/membership_changes.rs
+++ b/crates/cluster/src/consensus/membership_changes.rs
@@ -1,7 +1,8 @@
-//! Changes of the membership and of the leader.
+//! Changes of the membership, and transfers of leadership.
 //!
-//! A new node joins as a learner and is promoted by the leader once its log has all committed entries, so that a node with
-//! an empty log never counts towards a majority. A leader that has to go hands leadership over first.
+//! A new node joins as a learner. The leader promotes it to a voter once its log has all committed entries,
+//! so that a node with an empty log never counts towards a majority. A leader that is to be removed, or that
+//! drains, first hands leadership over.
 
 use super::proposals::Origin;
 use super::{Command, Consensus};
@@ -11,7 +12,8 @@
 use gaugestand_admission::time::Timestamp;
 use raft::prelude::{ConfChange, ConfChangeType};
 
-/// The library's form of a change; `after` is the membership with it.
+/// Converts a membership change to the raft library's type. `after` is the membership that results from the
+/// change.
 pub(super) fn conf_change(change: &MembershipChange, after: &Membership) -> ConfChange {
     let (change_type, node) = match change {
         MembershipChange::Join { .. } => {
@@ -25,7 +27,7 @@
 }
 
 impl Consensus {
-    /// What a change of the membership is checked against.
+    /// The state of the other nodes that a membership change is checked against.
     pub(super) fn cluster_view(&self) -> ClusterView {
         let committed = self.raft.raft.raft_log.committed;
         let has_all = |id: &NodeId| {
@@ -36,9 +38,11 @@
         ClusterView { reachable: self.reachable(), caught_up }
     }
 
-    /// Proposes to promote a learner that has caught up.
+    /// Proposes to promote a learner that has caught up with the log, if this node leads and can accept a
+    /// proposal.
     pub(super) fn promote_learner(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
-        // Checked first, as it is nearly always so: then nothing of the log has to be read.
+        // Checked first because there is rarely a learner to promote: then nothing has to be read from the
+        // log.
         if self.membership.promotable_learners().next().is_none() {
             return;
         }
@@ -51,12 +55,13 @@
         }
     }
 
-    /// Hands leadership over to a voter that can be reached, if this node leads.
+    /// Asks the raft library to hand leadership over to a voter that can be reached, if this node leads.
     pub(super) fn transfer_leadership(&mut self) {
         if !self.is_leader() {
             return;
         }
-        // Only to a voter: the library ignores a transfer to a learner, and this node would lead on.
+        // Only a voter can succeed: the library ignores a transfer to a learner, and this node would remain
+        // the leader.
         let successor = self.membership.voters().find(|voter| self.linked.contains(voter));
         if let Some(successor) = successor {
             self.raft.transfer_leader(raft_id(successor));
--- a/crates/cluster/src/consensus/messages.rs
+++ b/crates/cluster/src/consensus/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other nodes.
+//! Handles messages from other nodes.
 
 use super::proposals::{Origin, Proposal};
 use super::{Command, Consensus, ProposalError, Unacceptable, ValidationId};
@@ -20,7 +20,7 @@
         commands: &mut Vec<Command>,
     ) {
         match payload {
-            // The links handle these.
+            // The caller's links handle these messages.
             Payload::Hello(_) | Payload::Removed(_) => {}
             Payload::Raft(bytes) => self.on_raft_message(from, &bytes),
             Payload::LeaseRequest(request) => {
@@ -52,9 +52,9 @@
 
     fn on_raft_message(&mut self, from: NodeId, bytes: &[u8]) {
         let mut message = Message::default();
-        // A message with another node's number would vote in that node's name.
+        // A raft message that names another node as its sender is dropped: it would vote in that node's name.
         if message.merge_from_bytes(bytes).is_ok() && message.from == raft_id(from) {
-            // The library rejects what it cannot use, and is as before.
+            // The library leaves its state unchanged when it rejects a message, so the error is ignored.
             let _ = self.raft.step(message);
         }
     }
@@ -70,7 +70,8 @@
             [] => None,
             bytes => match serde_json::from_slice(bytes) {
                 Ok(change) => Some(change),
-                // Of a newer build. Without an answer its sender reports that the result is unknown.
+                // Malformed, or a change that only newer builds know. The proposal is not answered, so the
+                // forwarding node reports that the result is unknown.
                 Err(_) => return,
             },
         };
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -1,15 +1,18 @@
-//! The replicated log of versions, proposals for it, and the leases beside it: one state machine for each node.
+//! State machine of one node for the replicated log of versions, for proposals of new versions, and for
+//! leases.
 //!
-//! Guarantees: no two contents are committed under one version number; what is committed stays committed whichever nodes
-//! stop, as long as the disks of a majority keep what they reported as durable; no message that depends on a write leaves
-//! before the write is durable; the same events at the same times give the same commands. It does not guarantee that a
-//! proposal without an answer is not committed later: [`ProposalError::Unknown`] says so.
+//! Guarantees: no two contents are committed under one version number; a committed version stays committed
+//! whichever nodes stop, as long as the disks of a majority retain the records that they reported as durable;
+//! no message that depends on a write is sent before the write is durable; the same events at the same times
+//! give the same commands. The state machine does not guarantee that a proposal without an answer is not
+//! committed later, which [`ProposalError::Unknown`] reports.
 //!
-//! - `raft_log` drives the `raft` library: what it wants sent, written and applied.
-//! - `proposals` takes proposals from their arrival to their answer.
+//! - `raft_log` drives the `raft` library: sends its messages, writes its records and applies committed
+//!   entries.
+//! - `proposals` handles proposals from their arrival to their answer.
 //! - `membership_changes` promotes learners and hands over leadership.
-//! - `messages` dispatches messages of other nodes.
-//! - `leases` passes events and commands of the [`lease`] rules.
+//! - `messages` dispatches messages from other nodes.
+//! - `leases` passes events to the [`lease`] rules and executes their commands.
 
 mod error;
 mod event;
@@ -36,60 +39,66 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// The library's unit of time: short against the election timeout, long against an iteration of the event loop.
+/// Duration of one tick of the raft library: short compared with the election timeout, long compared with an
+/// iteration of the event loop.
 const RAFT_TICK: Micros = Micros::millis(50);
-/// Ticks from a heartbeat of the leader to the next one: four may be lost before an election.
+/// Ticks between two heartbeats of the leader. With this and [`ELECTION_TICKS`], four heartbeats may be lost
+/// before an election.
 const HEARTBEAT_TICKS: usize = 2;
-/// Ticks without a heartbeat after which the node of the lowest number calls an election.
+/// Ticks without a heartbeat after which the node with number 0 calls an election.
 const ELECTION_TICKS: usize = 10;
-/// Ticks that each further node waits longer. Staggered by node number, elections do not collide, and no random draw is
-/// needed: the same events give the same leader.
+/// Further ticks that a node waits for each node number below its own. As the timeouts are staggered by node
+/// number, elections do not collide and no random number is needed: the same events give the same leader.
 const ELECTION_STAGGER_TICKS: usize = 3;
-/// Node numbers after which the stagger begins anew, so that it stays bounded as numbers grow.
+/// Node numbers after which the stagger starts again from zero, so that the election timeout stays bounded as
+/// node numbers grow.
 const ELECTION_STAGGER_NODES: NodeId = 32;
-/// Append messages without an acknowledgement for each node: bounds what waits on a slow link.
+/// Append messages to one node that may be unacknowledged at a time; bounds the data that waits on a slow
+/// link.
 const MAX_INFLIGHT_APPENDS: usize = 4;
-/// Bytes of entries that are not committed: as much as may be in flight.
+/// Bytes of uncommitted entries that the leader's log may hold: as many as may be in flight to one node.
 const MAX_UNCOMMITTED_BYTES: u64 = MAX_INFLIGHT_APPENDS as u64 * MAX_CONTENT_BYTES as u64;
-/// Bits of a request id that count within one incarnation; the incarnation is above them, so that ids never come again.
+/// Low bits of a request id, which count the requests of one incarnation. The bits above hold the
+/// incarnation, so that no id is ever used twice.
 const REQUEST_ID_BITS: u32 = 32;
 
-/// Who a node is, and what all nodes of its cluster have configured alike.
+/// Identity of a node, and the configuration that all nodes of its cluster share.
 #[derive(Clone, Debug)]
 pub struct ConsensusConfig {
-    /// This node.
+    /// Number of this node.
     pub node_id: NodeId,
-    /// The membership that the cluster began with, this node in it or not.
+    /// The membership of version 0, the same on all nodes. This node need not be in it.
     pub initial_membership: Membership,
-    /// Duration of leases, and the drift bound.
+    /// Lease times, the same on all nodes.
     pub lease: LeaseConfig,
-    /// This incarnation: above all earlier ones of the node, and not 0.
+    /// Number of this incarnation of the node: not 0, and above those of all earlier incarnations.
     pub incarnation: u64,
 }
 
-/// A node's part in the consensus.
+/// Consensus state machine of one node: takes [`Event`]s and returns [`Command`]s.
 pub struct Consensus {
     config: ConsensusConfig,
     /// The membership under the last committed version.
     membership: Membership,
     raft: RawNode<LogStorage>,
     activation: Activation,
-    /// Contents of the committed versions that are kept.
+    /// Contents of the committed versions that the log retains.
     committed: BTreeMap<Version, Rc<[u8]>>,
-    /// Index of the last log entry that was applied.
+    /// Index of the last log entry that was applied to this state.
     applied_index: u64,
-    /// Nodes to which the link is up.
+    /// Other nodes to which the link is up.
     linked: BTreeSet<NodeId>,
-    /// Records that are not durable yet, in order, with what waits for each.
+    /// Records that are not known to be durable together with all earlier ones, in order, each with what has
+    /// to wait for it.
     pending_writes: VecDeque<PendingWrite>,
-    /// Sequence number of the last record.
+    /// Last sequence number that was assigned to a record.
     last_sequence: u64,
     last_validation_id: u64,
-    /// The proposal that this node works on, if it leads.
+    /// The proposal that this node is processing as the leader.
     pending_proposal: Option<PendingProposal>,
-    /// Deadlines of proposals that were forwarded, by ticket.
+    /// Proposals that were forwarded to the leader: the deadline for the result, by ticket.
     forwarded: BTreeMap<u64, Timestamp>,
-    /// The leader that they were forwarded to.
+    /// The leader that the proposals in `forwarded` were sent to.
     forwarded_to: Option<NodeId>,
     last_tick: Option<Timestamp>,
     draining: bool,
@@ -102,19 +111,20 @@
     }
 }
 
-/// The node of a number of the library.
+/// Converts the raft library's number of a node to a [`NodeId`]; `None` for 0, which means no node.
 fn node_id(raft_id: u64) -> Option<NodeId> {
     NodeId::try_from(raft_id.checked_sub(1)?).ok()
 }
 
-/// Settings of the library for this node.
+/// The raft library's configuration for this node.
 fn raft_config(node_id: NodeId, applied_index: u64) -> raft::Config {
     let stagger = ELECTION_STAGGER_TICKS * usize::from(node_id % ELECTION_STAGGER_NODES);
     let election_timeout = ELECTION_TICKS + stagger;
     raft::Config {
         id: raft_id(node_id),
         election_tick: ELECTION_TICKS,
-        // The library draws from this range: with one value in it there is nothing to draw.
+        // The library draws the timeout at random from this range. The range holds one value, so the timeout
+        // is fixed.
         min_election_tick: election_timeout,
         max_election_tick: election_timeout + 1,
         heartbeat_tick: HEARTBEAT_TICKS,
@@ -122,7 +132,8 @@
         max_size_per_msg: MAX_CONTENT_BYTES as u64,
         max_inflight_msgs: MAX_INFLIGHT_APPENDS,
         max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
-        // A leader without a majority steps down, and a node that was cut off does not depose a leader that is heard.
+        // A leader that cannot reach a majority steps down, and a node that was cut off cannot depose a
+        // leader that others still reach.
         check_quorum: true,
         pre_vote: true,
         ..raft::Config::default()
@@ -130,19 +141,20 @@
 }
 
 impl Consensus {
-    /// A node that has just started. `found` is its log on disk, of this node and this cluster.
+    /// State machine of a node that has just started. `recovered_log` is what this node read from its own log
+    /// on disk, in the same cluster.
     ///
     /// # Errors
     /// [`ConsensusError::Storage`] if the log on disk is malformed or incomplete, and
-    /// [`ConsensusError::Raft`] if the raft library rejects its state. The node must not vote without its
-    /// log, so it cannot take part.
+    /// [`ConsensusError::Raft`] if the raft library rejects its configuration or state. The node must not
+    /// vote without its log, so it cannot take part in the consensus.
     pub fn new(
         now: Timestamp,
         config: ConsensusConfig,
-        found: &RecoveredLog,
+        recovered_log: &RecoveredLog,
         commands: &mut Vec<Command>,
     ) -> Result<Self, ConsensusError> {
-        let storage = LogStorage::open(found, config.initial_membership.clone())?;
+        let storage = LogStorage::open(recovered_log, config.initial_membership.clone())?;
         let log_tail = storage.last_version();
         let base_version = storage.base_version().cloned();
         let membership = storage.base_membership();
@@ -167,18 +179,20 @@
             membership,
             config,
         };
-        // What was compacted was committed; the library reports the commits of all entries after it.
+        // A compacted version was committed before. The library reports the commits of all later entries
+        // itself.
         if let Some(version) = base_version {
             consensus.commit(now, version, commands);
         }
         Ok(consensus)
     }
 
-    /// What this node may act on. `now` has to be read just before each decision.
+    /// The version that this node may act on at `now`, which the caller has to read just before each
+    /// decision.
     pub fn active_version(&self, now: Timestamp) -> ActiveVersion {
         let is_member = self.membership.get(self.config.node_id).is_some();
         match self.activation.active_version(now) {
-            // A node that has not joined, or was removed, takes no part in what the members act on.
+            // A node that has not joined yet or was removed must not act on a version under a lease.
             ActiveVersion::Leased(version) if !is_member => ActiveVersion::Unleased(version),
             active => active,
         }
@@ -189,22 +203,22 @@
         &self.membership
     }
 
-    /// The last lease of this node, expired or not.
+    /// The last lease that a quorum granted to this node since its start, expired or not.
     pub fn lease(&self) -> Option<Lease> {
         self.activation.lease()
     }
 
-    /// The leader, as far as this node knows.
+    /// The current leader, as far as this node knows; `None` if it knows of none.
     pub fn leader(&self) -> Option<NodeId> {
         node_id(self.raft.raft.leader_id)
     }
 
-    /// Committed versions that are kept, oldest first.
+    /// The committed versions that the log retains with their contents, in ascending order.
     pub fn committed_versions(&self) -> impl Iterator<Item = (Version, &Rc<[u8]>)> {
         self.committed.iter().map(|(version, content)| (*version, content))
     }
 
-    /// The content of a committed version, if it is kept.
+    /// The content of a committed version; `None` if the version is not committed or no longer retained.
     pub fn content(&self, version: Version) -> Option<Rc<[u8]>> {
         self.committed.get(&version).cloned()
     }
@@ -214,28 +228,29 @@
         self.committed.last_key_value().map_or(0, |(version, _)| *version)
     }
 
-    /// The last version that was activated, whether or not there is a lease of it.
+    /// The last version that this node has activated, with or without a valid lease; 0 if there is none since
+    /// its start.
     pub fn activated(&self) -> Version {
         self.activation.activated()
     }
 
-    /// How many nodes can be reached, this one among them.
+    /// Number of nodes that can be reached, including this one.
     pub fn reachable_count(&self) -> usize {
         self.linked.len() + 1
     }
 
-    /// The raft term.
+    /// The current raft term, for status reports.
     pub fn term(&self) -> u64 {
         self.raft.raft.term
     }
 
-    /// When [`Event::Timer`] is due next.
+    /// When the caller has to report [`Event::Timer`] next.
     pub fn next_timer(&self, now: Timestamp) -> Timestamp {
         let tick = self.last_tick.map_or(now, |last| last.plus(RAFT_TICK));
         self.activation.next_timer().map_or(tick, |timer| timer.min(tick))
     }
 
-    /// Takes in an event; appends what has to be done to `commands`.
+    /// Processes an event and appends what the caller has to do to `commands`.
     pub fn on_event(&mut self, now: Timestamp, event: Event, commands: &mut Vec<Command>) {
         match event {
             Event::Received { from, payload } => self.on_message(now, from, payload, commands),
@@ -265,7 +280,8 @@
     }
 
     fn on_timer(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
-        // After a pause this is one tick, not as many as it lasted: the other nodes were not silent meanwhile.
+        // A pause of this process counts as one tick, however long it lasted: the other nodes may have sent
+        // heartbeats during the pause that are not read yet.
         if self.last_tick.is_none_or(|last| now.since(last) >= RAFT_TICK) {
             self.last_tick = Some(now);
             self.raft.tick();
@@ -288,7 +304,7 @@
         self.pending_proposal.is_none() && self.raft.store().last_version() == self.activated()
     }
 
-    /// Nodes that can be reached, this one among them.
+    /// The nodes that can be reached, including this one.
     fn reachable(&self) -> BTreeSet<NodeId> {
         self.linked.iter().copied().chain([self.config.node_id]).collect()
     }
--- a/crates/cluster/src/consensus/proposals.rs
+++ b/crates/cluster/src/consensus/proposals.rs
@@ -1,9 +1,11 @@
-//! Proposals, from their arrival to their answer.
+//! Handles proposals from their arrival to their answer.
 //!
-//! Who may propose: an operator at any node; a node that does not lead forwards once, to the leader. The leader takes one
-//! proposal at a time, and only while its last version is active. A content is validated by all nodes that can be reached,
-//! and appended once they accept it, or once a majority does and [`VALIDATION_TIMEOUT`] has passed. A change of the
-//! membership keeps the last content, so that there is nothing to validate.
+//! An operator may propose at any node. A node that is not the leader forwards the proposal to the leader,
+//! and a forwarded proposal is not forwarded again. The leader processes one proposal at a time, and accepts
+//! one only while the last version in its log is active. A content is validated by all nodes that can be
+//! reached. It is appended to the log once all of them accept it, or once a majority does and
+//! [`VALIDATION_TIMEOUT`] has passed. A membership change keeps the last committed content, so there is
+//! nothing to validate.
 
 use super::membership_changes::conf_change;
 use super::{Command, Consensus, ProposalError, Unacceptable, ValidationId};
@@ -18,28 +20,28 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// The content of a version that only changes the membership, if there was none before it.
+/// Content of a version that only changes the membership, if no version was committed before it.
 const EMPTY_CONTENT: &[u8] = br#"{"settings":null,"lists":{}}"#;
-/// How long nodes have to validate a content: reading it takes milliseconds, and an operator waits.
+/// Time for nodes to validate a content: reading it takes milliseconds, and an operator waits for the result.
 const VALIDATION_TIMEOUT: Micros = Micros::millis(1_000);
-/// How long a forwarded or an appended proposal waits for its result. With the validation it stays below the time that
-/// `gaugestand fleet` waits for an answer.
+/// Time for a forwarded or an appended proposal to get its result. Together with the validation this is less
+/// than the time that `gaugestand fleet` waits for an answer.
 const RESULT_TIMEOUT: Micros = Micros::millis(2_500);
-/// Most forwarded proposals that wait for a result: each is an operator's open call.
+/// Forwarded proposals that may wait for a result at a time; each is an open call of an operator.
 const MAX_FORWARDED: usize = 16;
 
-/// Who a proposal came from, and gets its result.
+/// The origin of a proposal, which also receives its result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// An operator at this node.
+    /// An operator at this node; `ticket` is the caller's number of the proposal.
     Local { ticket: u64 },
-    /// An operator at another node, which forwarded it.
+    /// An operator at the node `from`, which forwarded the proposal; `ticket` is that node's number of it.
     Forwarded { from: NodeId, ticket: u64 },
-    /// The leader itself: it promotes a learner.
+    /// This node itself, as the leader that promotes a learner. Nobody receives the result.
     Leader,
 }
 
-/// A proposal as it arrives.
+/// A proposal as it was received, either of a content or, with `change`, of a membership change.
 #[derive(Debug)]
 pub(super) struct Proposal {
     pub content: Vec<u8>,
@@ -54,24 +56,24 @@
     }
 }
 
-/// A change of the membership, with the membership after it.
+/// A membership change, and the membership that results from it.
 #[derive(Debug)]
 struct PlannedChange {
     change: MembershipChange,
     membership: Membership,
 }
 
-/// The proposal that the leader works on.
+/// The proposal that the leader is processing.
 #[derive(Debug)]
 pub(super) struct PendingProposal {
     origin: Origin,
     content: Rc<[u8]>,
     planned_change: Option<PlannedChange>,
     validation_id: u64,
-    /// Nodes that were asked to validate it.
+    /// Nodes that the leader asked to validate the content, including itself.
     validators: BTreeSet<NodeId>,
     accepted_by: BTreeSet<NodeId>,
-    /// The version that it was appended as.
+    /// The version that the proposal was appended to the log as; `None` while it is validated.
     pub(super) appended_as: Option<Version>,
     deadline: Timestamp,
 }
@@ -97,11 +99,12 @@
         }
     }
 
-    /// Forwards an operator's proposal to the leader.
+    /// Forwards an operator's proposal to the leader, or rejects it if no leader can be reached.
     fn forward(&mut self, now: Timestamp, origin: Origin, proposal: Proposal, commands: &mut Vec<Command>) {
         let leader = self.leader().filter(|leader| self.linked.contains(leader));
         let (Origin::Local { ticket }, Some(leader)) = (origin, leader) else {
-            // A forwarded one is not forwarded again: two nodes that each take the other for the leader would never end.
+            // A forwarded proposal is not forwarded again: two nodes that each take the other for the leader
+            // would send it back and forth without end.
             return self.answer(origin, Err(ProposalError::NoMajority), commands);
         };
         if self.forwarded.len() >= MAX_FORWARDED {
@@ -120,7 +123,8 @@
         commands.push(Command::Send { to: leader, payload: Payload::ForwardedProposal(forwarded) });
     }
 
-    /// Whether the leader takes a proposal now; with the change of the membership that it makes.
+    /// Checks whether the leader can accept a proposal now. Returns the membership change that the proposal
+    /// makes, if any.
     fn admit(&mut self, proposal: &Proposal) -> Result<Option<PlannedChange>, ProposalError> {
         let last = self.last_committed();
         if proposal.expected_version.is_some_and(|expected| expected != last) {
@@ -136,7 +140,8 @@
         let Some(change) = proposal.change.clone() else { return Ok(None) };
         let membership = self.membership.after(&change, &view)?;
         if matches!(change, MembershipChange::Remove { id, .. } if id == self.config.node_id) {
-            // A leader hands leadership over before it is removed; the operator tries again.
+            // A leader hands leadership over before it is removed. The operator has to repeat the call, which
+            // then reaches the new leader.
             self.transfer_leadership();
             return Err(ProposalError::Busy);
         }
@@ -186,7 +191,7 @@
         commands.push(Command::Validate { validation, content, force });
     }
 
-    /// A node has validated a content: this node for any leader, or another node for this one.
+    /// Handles the result of a validation: by this node for any leader, or by another node for this leader.
     pub(super) fn on_validated(
         &mut self,
         now: Timestamp,
@@ -219,7 +224,8 @@
         }
     }
 
-    /// Whether a majority, and all nodes that were asked and can still be reached, accept the pending proposal.
+    /// Whether the pending proposal is accepted by a majority of the voters, and by all nodes that were asked
+    /// and can still be reached.
     fn is_validated(&self) -> bool {
         let Some(pending) = &self.pending_proposal else { return false };
         let is_reachable = |node: &&NodeId| **node == self.config.node_id || self.linked.contains(*node);
@@ -227,7 +233,7 @@
             && self.membership.is_majority(&pending.accepted_by)
     }
 
-    /// Appends the pending proposal to the log, as the next version.
+    /// Appends the pending proposal to the log as the next version.
     fn append(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         let version = self.raft.store().last_version() + 1;
         let Some(pending) = self.pending_proposal.as_mut() else { return };
@@ -250,7 +256,7 @@
         }
     }
 
-    /// Answers forwarded proposals the result of which did not come in time.
+    /// Answers forwarded proposals with an unknown result if their deadline has passed.
     pub(super) fn expire_forwarded(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         let expired = self.forwarded.iter().filter(|(_, deadline)| **deadline <= now);
         let expired: Vec<u64> = expired.map(|(ticket, _)| *ticket).collect();
@@ -267,7 +273,8 @@
         if pending.appended_as.is_some() {
             self.finish_proposal(Err(ProposalError::Unknown), commands);
         } else if self.membership.is_majority(&pending.accepted_by) {
-            // A node that did not answer is hardly reachable; it validates the version again before it activates it.
+            // Nodes that did not answer are skipped: they are probably unreachable, and each validates the
+            // version again before it activates it.
             self.append(now, commands);
         } else {
             self.finish_proposal(Err(ProposalError::NoMajority), commands);
--- a/crates/cluster/src/consensus/raft_log.rs
+++ b/crates/cluster/src/consensus/raft_log.rs
@@ -1,7 +1,8 @@
-//! Driver of the raft library: what it wants sent, written and applied.
+//! Drives the raft library: sends its messages, writes its records and applies committed entries.
 //!
-//! Messages that depend on a write are held back until the write is durable, and so is the log's tail in the view of the
-//! lease rules: a node that forgot it in a crash could otherwise have promised what it does not keep.
+//! Messages that depend on a write are held back until the write is durable. The lease rules also learn of a
+//! new end of the log only then: otherwise a node that lost the write in a crash could break what it had
+//! granted or acknowledged before.
 
 use super::{Command, Consensus, ProposalError, node_id};
 use crate::Version;
@@ -15,22 +16,22 @@
 use raft::prelude::{ConfChange, Entry, EntryType, Message, Snapshot};
 use std::rc::Rc;
 
-/// What waits until a record is durable.
+/// A record that may not be durable yet, and what has to wait for it.
 #[derive(Debug)]
 pub(super) struct PendingWrite {
     /// Sequence number of the record.
     sequence: u64,
-    /// The library's number of the state that the record belongs to.
+    /// The library's number of the `Ready` that the record belongs to.
     ready_number: u64,
-    /// Messages that may leave only afterwards.
+    /// Messages that may be sent only after the record is durable.
     messages: Vec<Message>,
-    /// The last version in the log with this record.
+    /// The last version in the log after this record.
     log_tail: Version,
     is_durable: bool,
 }
 
 impl Consensus {
-    /// Takes over all that the library has ready; called after each event.
+    /// Processes everything that the library has ready. Has to be called after each event.
     pub(super) fn process_ready(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         while self.raft.has_ready() {
             self.process_one_ready(now, commands);
@@ -56,7 +57,7 @@
         self.raft.advance_append_async(ready);
         self.apply_entries(now, committed, commands);
         self.raft.mut_store().compact(self.applied_index, &mut record);
-        self.forget_compacted_versions();
+        self.drop_compacted_versions();
         self.queue_write(ready_number, messages, record, commands);
         self.release_durable(now, commands);
     }
@@ -103,7 +104,8 @@
         self.release_durable(now, commands);
     }
 
-    /// Reports writes that are durable, with all before them, and sends what waited for them.
+    /// Reports to the library the writes that are durable together with all earlier ones, and sends the
+    /// messages that waited for them.
     fn release_durable(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         while let Some(write) = self.pending_writes.pop_front_if(|write| write.is_durable) {
             self.raft.on_persist_ready(write.ready_number);
@@ -126,7 +128,8 @@
             self.applied_index = entry.index;
             if entry.get_entry_type() == EntryType::EntryConfChange {
                 let mut change = ConfChange::default();
-                // Each node applies the same entries, so that one that the library rejects changes nothing on any node.
+                // Every node applies the same entries, so a change that the library rejects is ignored on
+                // every node alike.
                 if change.merge_from_bytes(entry.get_data()).is_ok() {
                     let _ = self.raft.apply_conf_change(&change);
                 }
@@ -138,7 +141,8 @@
         self.raft.advance_apply_to(self.applied_index);
     }
 
-    /// A version is committed: reports it and starts its activation.
+    /// Records that a version is committed: reports it to the caller, starts its activation, and answers the
+    /// proposal that it came from.
     pub(super) fn commit(&mut self, now: Timestamp, entry: VersionEntry, commands: &mut Vec<Command>) {
         let version = entry.version;
         let content = Rc::<[u8]>::from(entry.content);
@@ -155,19 +159,21 @@
         }
     }
 
-    /// Whether a content may be activated beside its predecessor. Without the predecessor's content it may not.
+    /// Whether this version may be activated while other nodes still act on its predecessor; false if the
+    /// predecessor's content is not known.
     fn is_compatible_successor(&self, version: Version, content: &[u8]) -> bool {
         let predecessor = version.checked_sub(1).and_then(|before| self.committed.get(&before));
         predecessor.is_some_and(|predecessor| diff::is_immediate(predecessor, content))
     }
 
-    /// Drops versions that the log has compacted, except the last of them.
-    fn forget_compacted_versions(&mut self) {
+    /// Drops the contents of versions that the log has compacted, except for the last compacted one.
+    fn drop_compacted_versions(&mut self) {
         let first = self.raft.store().base_version().map_or(0, |entry| entry.version);
         self.committed = self.committed.split_off(&first);
     }
 
-    /// After a change of the leader nobody knows whether a pending proposal will be committed.
+    /// Answers proposals with an unknown result after a change of the leader: they may or may not be
+    /// committed.
     fn fail_proposals_of_old_leader(&mut self, commands: &mut Vec<Command>) {
         let changed = |leader| self.forwarded_to.is_some_and(|to| to != leader);
         if self.leader().is_some_and(changed) {
@@ -182,7 +188,7 @@
 }
 
 impl Command {
-    /// The answer to a proposal that may or may not be committed yet.
+    /// The answer to a proposal that may or may not be committed later.
     pub(super) fn unknown_result(ticket: u64) -> Self {
         Command::Answer { ticket, result: Err(ProposalError::Unknown) }
     }
--- a/crates/cluster/src/diff.rs
+++ b/crates/cluster/src/diff.rs
@@ -1,30 +1,31 @@
-//! How two versions differ, and whether nodes may act on both at a time.
+//! Compares two versions, and decides whether nodes may act on both at the same time.
 //!
-//! Each setting and each kind of list has a rule in a table. A setting without a rule counts as conflicting: one that a
-//! later build adds is safe until somebody has decided on its rule.
+//! Each setting has a rule in a table, and each kind of list has a rule in code. A setting without a rule is
+//! treated as conflicting, so that a setting that a later build adds is safe before a rule for it is decided.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What it means that one node acts on the older and another one on the newer of two versions.
+/// What it means for clients if, of two versions, one node acts on the older and another node on the newer
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Compatibility {
-    /// No promise to a client depends on the difference.
+    /// No promise to a client depends on the difference: nodes may act on either version.
     #[serde(rename = "Harmless")]
     Compatible,
-    /// The older version rejects what the newer one allows.
+    /// The older version is stricter: it rejects what the newer one allows.
     OlderStricter,
-    /// The newer version rejects what the older one allows.
+    /// The newer version is stricter: it rejects what the older one allows.
     NewerStricter,
-    /// Each allows, or does, what the other one must not.
+    /// Each version allows, or does, something that the other version must not.
     #[serde(rename = "Contradicting")]
     Conflicting,
 }
 
 impl Compatibility {
-    /// Both differences together: stricter in both directions is a conflict.
+    /// Combines two differences: if each version is stricter in one of them, the versions conflict.
     pub fn and(self, other: Compatibility) -> Compatibility {
         match (self, other) {
             (one, same) if one == same => one,
@@ -34,71 +35,72 @@
         }
     }
 
-    /// Whether the newer version may be activated before all leases of the older one have expired: then what a node
-    /// without the newer version allows, the newer one allows as well.
+    /// Whether the newer version may be activated before all leases of the older one have expired. It may if
+    /// the newer version allows everything that a node on the older version still allows.
     pub fn is_immediate(self) -> bool {
         matches!(self, Compatibility::Compatible | Compatibility::OlderStricter)
     }
 }
 
-/// A list of a version.
+/// A list in a version. Its form determines how requests and versions are checked against it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum NamedList {
-    /// Subjects the requests of which are rejected.
+    /// Subjects whose requests are rejected.
     #[serde(rename = "barred")]
     Blocked(BTreeSet<String>),
-    /// Most open requests by gateway, for each node; a gateway that is not named has no limit.
+    /// Limit on the open requests of a gateway on each node, by the gateway's number in decimal. A gateway
+    /// without an entry has no limit.
     #[serde(rename = "shares")]
     GatewayLimits(BTreeMap<String, f64>),
-    /// What belongs to whom, such as a node's zone: one value each.
+    /// Assignments of one value to each name, such as a node's zone.
     #[serde(rename = "places")]
     Assignments(BTreeMap<String, String>),
 }
 
-/// The content of a version.
+/// The content of a version: the settings and lists that the nodes agree on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Content {
-    /// The settings, in the form of a node's configuration file.
+    /// The settings, in the format of a node's configuration file.
     pub settings: Value,
-    /// Lists by name.
+    /// The lists, by name.
     pub lists: BTreeMap<String, NamedList>,
 }
 
-/// One difference.
+/// One difference between two versions. Commands print it in JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Difference {
-    /// A setting's path, with classes by name, or `lists.NAME`.
+    /// Path of the setting, with its class by name, or `lists.NAME` for a list.
     #[serde(rename = "at")]
     pub path: String,
-    /// What it means.
+    /// What the difference means for nodes on either version.
     #[serde(rename = "kind")]
     pub compatibility: Compatibility,
 }
 
-/// What a change of a setting means.
+/// How a changed setting affects the compatibility of two versions.
 #[derive(Clone, Copy, Debug)]
 enum SettingRule {
-    /// Nodes may differ in it.
+    /// Nodes may act on different values.
     Independent,
-    /// The higher value is the stricter one.
+    /// The higher number is stricter; other values conflict.
     MoreIsStricter,
-    /// The lower value is the stricter one.
+    /// The lower number is stricter; other values conflict.
     LessIsStricter,
-    /// Nodes may not differ in it.
+    /// Different values conflict.
     Shared,
 }
 
-/// Stands for any one segment of a path.
+/// Segment of a pattern that matches any one segment of a path.
 const ANY_SEGMENT: &str = "*";
 
-/// Rules by path; the first that matches counts.
+/// Rules by path pattern. The first pattern that matches a path determines its rule.
 const SETTING_RULES: &[(&str, SettingRule)] = &[
-    // A node that forgets a key sooner may run it again.
+    // A node that forgets a key earlier may run its request a second time.
     ("classes.*.dedup-window", SettingRule::MoreIsStricter),
-    // What a second run would do has no order.
+    // The effects of a second run have no order of strictness.
     ("classes.*.effect", SettingRule::Shared),
-    // Each attempt is answered by the node that read it, within that node's limits.
+    // Each attempt is answered by the node that read it, within the limits of that node.
     ("classes.*.hard-limit", SettingRule::Independent),
     ("classes.*.goal-time", SettingRule::Independent),
     ("classes.*.aim-stretch", SettingRule::Independent),
@@ -113,7 +115,7 @@
     ("worth-by", SettingRule::Independent),
     ("realms.*.quota-per-s", SettingRule::LessIsStricter),
     ("realms.*.share", SettingRule::Independent),
-    // Of each node's own machine and store: cores, memory.
+    // Properties of each node's own machine and store, such as cores and memory.
     ("extra.*", SettingRule::Independent),
 ];
 
@@ -129,7 +131,8 @@
     }
 }
 
-/// Collects settings by path. Items with a name get it as their segment, so that the order of a list does not matter.
+/// Collects the settings in `value` by path. Items of a list that have a name get the name as their path
+/// segment, so that the order of the list does not matter.
 fn flatten(path: &str, value: &Value, settings: &mut BTreeMap<String, Value>) {
     let child = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
     let name_of = |item: &Value| item.get("name").and_then(Value::as_str).map(|name| name.replace('.', "_"));
@@ -148,7 +151,8 @@
     }
 }
 
-/// The meaning of a difference by how strict the newer version is, compared with the older one.
+/// Compatibility of a difference. `newer` is the strictness of the newer version compared with the older one;
+/// `None` if they cannot be compared.
 fn by_strictness(newer: Option<Ordering>) -> Compatibility {
     match newer {
         Some(Ordering::Greater) => Compatibility::NewerStricter,
@@ -159,7 +163,7 @@
 }
 
 fn compare_setting(path: &str, old: Option<&Value>, new: Option<&Value>) -> Compatibility {
-    // A class that one version lacks is rejected under it.
+    // A version rejects requests of a class that it does not define.
     if path.starts_with("classes.") && old.is_none() {
         return Compatibility::OlderStricter;
     }
@@ -202,7 +206,7 @@
     each.fold(Compatibility::Compatible, Compatibility::and)
 }
 
-/// All differences, ordered by path: settings, then lists.
+/// Returns all differences between two contents, first the settings and then the lists, each ordered by path.
 pub fn differences(old: &Content, new: &Content) -> Vec<Difference> {
     let mut found = setting_differences(&old.settings, &new.settings);
     let names: BTreeSet<&String> = old.lists.keys().chain(new.lists.keys()).collect();
@@ -230,14 +234,15 @@
     changed.map(difference).collect()
 }
 
-/// What all differences mean together.
+/// Compatibility of two versions with all these differences.
 pub fn overall(differences: &[Difference]) -> Compatibility {
     differences.iter().fold(Compatibility::Compatible, |all, difference| all.and(difference.compatibility))
 }
 
-/// Whether a version with the content `new` may be activated while other nodes still act on its predecessor `old`.
-/// Such steps may follow one another: each rule compares by an order, so that two steps in one direction make one. A content
-/// that cannot be read is never compatible.
+/// Whether a version with the content `new` may be activated while other nodes still act on its predecessor
+/// `old`. The relation is transitive, so that a chain of such versions may follow one another: each rule
+/// compares by an order, and two steps in the same direction make one step in that direction. A malformed
+/// content is never compatible.
 pub fn is_immediate(old: &[u8], new: &[u8]) -> bool {
     let Ok(old) = serde_json::from_slice::<Content>(old) else { return false };
     let Ok(new) = serde_json::from_slice::<Content>(new) else { return false };
--- a/crates/cluster/src/lease/activation.rs
+++ b/crates/cluster/src/lease/activation.rs
@@ -1,4 +1,4 @@
-//! The state machine of one node: activation of committed versions, requests and grants of leases.
+//! State machine of one node that activates committed versions and requests and grants leases.
 
 use super::config::LeaseConfig;
 use super::defect::Defect;
@@ -7,75 +7,79 @@
 use gaugestand_admission::time::Timestamp;
 use std::collections::BTreeSet;
 
-/// What happens to a node.
+/// An input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The last version in the node's log, durable; lower than before if the log was truncated.
+    /// The durable end of the node's log has changed: its last version, which is lower than before if the log
+    /// was truncated.
     LogTail(Version),
-    /// A version of the node's log is committed.
+    /// The node has learned that a version of its log is committed.
     Committed {
-        /// Which version.
+        /// The committed version.
         version: Version,
-        /// Its predecessor is known and compatible: nodes may act on both at a time.
+        /// Whether the predecessor is known and compatible with this version, so that nodes may act on both
+        /// at the same time.
         immediate: bool,
-        /// Who votes under it; only a version that is not `immediate` may change this, by one node at most.
+        /// Voters of this version. Only a version that is not `immediate` may change the voters, by one node
+        /// at most.
         voters: VoterSet,
     },
-    /// Another node requests a lease.
+    /// Another node has requested a lease from this node.
     LeaseRequested {
-        /// The requester.
+        /// The requesting node.
         from: NodeId,
-        /// The version that it wants to act on.
+        /// The version that the requesting node wants to act on.
         version: Version,
-        /// The requester's number of the request.
+        /// Request id that the requesting node assigned.
         request_id: u64,
     },
-    /// Another node grants a request of this node.
+    /// Another node has granted a lease request of this node.
     LeaseGranted {
-        /// Who grants it.
+        /// The granting node.
         from: NodeId,
-        /// Which request.
+        /// Request id of the granted request, as in [`Command::RequestLease`].
         request_id: u64,
     },
-    /// Time has passed.
+    /// A timer has expired, see [`Activation::next_timer`]. May be reported at any time.
     Timer,
 }
 
-/// What a node has to send.
+/// A message that the caller has to send for the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Command {
     /// Request a lease from all other nodes.
     RequestLease {
-        /// Of which version.
+        /// The version to act on under the lease.
         version: Version,
-        /// Number of the request.
+        /// Request id, unique among all incarnations of this node.
         request_id: u64,
     },
-    /// Grant a lease to another node.
+    /// Grant the lease request of another node.
     GrantLease {
-        /// The requester.
+        /// The requesting node.
         to: NodeId,
-        /// The requester's number of the request.
+        /// Request id that the requesting node assigned.
         request_id: u64,
     },
 }
 
-/// What a node may act on.
+/// The version that a node may act on, and whether it holds a lease for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ActiveVersion {
-    /// This version, under a lease; 0 if a quorum knows of none.
+    /// The node may act on this version under a lease; 0 if the logs of a quorum held no version.
     Leased(Version),
-    /// The last version that was activated, without a lease: another node may act on a newer one, so only what no later
-    /// version could contradict is allowed. 0 if none was activated since the start.
+    /// The node holds no valid lease for this version, the last one that it activated; 0 if it has activated
+    /// none since its start. Another node may act on a newer version, so only what no later version could
+    /// contradict is allowed.
     Unleased(Version),
 }
 
 /// A lease that a quorum granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
-    /// The version that it was requested for.
+    /// The version that the lease was requested for.
     pub version: Version,
-    /// When it ends, by this node's monotonic clock.
+    /// When the lease expires, by this node's monotonic clock.
     pub expires_at: Timestamp,
 }
 
@@ -83,19 +87,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingVersion {
     version: Version,
-    /// Not before then, nor before the pending versions ahead of it.
+    /// Earliest time of the activation, by this node's monotonic clock. Pending versions are activated in
+    /// order, so earlier ones may delay it.
     activates_at: Timestamp,
     immediate: bool,
 }
 
-/// The voters from a version on.
+/// A change of the voters: `voters` vote from `version` on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct VoterChange {
     version: Version,
     voters: VoterSet,
 }
 
-/// The last lease request, and who has granted it.
+/// The last lease request of this node, and the nodes that have granted it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct LeaseRequest {
     id: u64,
@@ -104,20 +109,22 @@
     granted_by: BTreeSet<NodeId>,
 }
 
-/// Which version a node may act on. Nothing of it survives a restart: a lease from before a restart does not count.
+/// Decides which version a node may act on. The state is not persisted: a lease from before a restart is not
+/// valid.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Activation {
     config: LeaseConfig,
     node_id: NodeId,
-    /// The last version in the log, committed or not.
+    /// The last durable version in the log, committed or not.
     log_tail: Version,
-    /// The last version that was activated.
+    /// The last version that was activated; 0 if there is none since the start.
     activated: Version,
-    /// The lowest version a lease of which counts for `activated`: those after it are compatible with it.
+    /// The lowest version whose leases are valid for `activated`: all versions after it, up to `activated`,
+    /// are compatible with it.
     oldest_valid_lease: Version,
-    /// Committed versions that wait for their activation, in order.
+    /// Committed versions that wait for their activation, in ascending order.
     pending: Vec<PendingVersion>,
-    /// Voters by the version from which on they vote, in order, as far back as a lease request may need.
+    /// Changes of the voters in ascending order of versions, from the one that is in effect for `activated`.
     voter_changes: Vec<VoterChange>,
     request: Option<LeaseRequest>,
     last_request_id: u64,
@@ -125,8 +132,9 @@
 }
 
 impl Activation {
-    /// A node that has just started, with `log_tail` as the last version in its log. `last_request_id` has to be above the
-    /// request ids of all its earlier incarnations, so that their late grants do not count.
+    /// State machine of a node that has just started. `log_tail` is the last version in the node's log.
+    /// `last_request_id` has to be above the request ids of all earlier incarnations of the node, so that
+    /// late grants of their requests are ignored.
     pub fn new(config: LeaseConfig, node_id: NodeId, log_tail: Version, last_request_id: u64) -> Self {
         Activation {
             config,
@@ -142,7 +150,7 @@
         }
     }
 
-    /// What the node may act on at this moment. `now` has to be read just before each decision.
+    /// The version that the node may act on at `now`, which the caller has to read just before each decision.
     pub fn active_version(&self, now: Timestamp) -> ActiveVersion {
         let is_valid = |lease: &Lease| {
             now < lease.expires_at && (self.oldest_valid_lease..=self.activated).contains(&lease.version)
@@ -153,26 +161,28 @@
         }
     }
 
-    /// The last lease, expired or not.
+    /// The last lease that a quorum granted since the start, expired or not.
     pub fn lease(&self) -> Option<Lease> {
         self.lease
     }
 
-    /// The last version that was activated, whether or not there is a lease of it.
+    /// The last version that was activated, with or without a valid lease; 0 if there is none since the
+    /// start.
     pub fn activated(&self) -> Version {
         self.activated
     }
 
-    /// When [`Event::Timer`] is due next.
+    /// When the caller has to report [`Event::Timer`] next; `None` if no timer is pending.
     pub fn next_timer(&self) -> Option<Timestamp> {
         let activation = self.pending.first().map(|pending| pending.activates_at);
-        // While the log holds a later version nothing is renewed: a timer for that would be due in the past, for ever.
+        // While the log holds a later version no lease is renewed: a timer for a renewal would stay due, and
+        // the caller would report it without end.
         let request = self.request.as_ref().filter(|_| self.may_lease(self.activated));
         let renewal = request.map(|request| request.requested_at.plus(self.config.renewal_interval()));
         [activation, renewal].into_iter().flatten().min()
     }
 
-    /// Takes in an event; appends what is to be sent to `commands`.
+    /// Processes an event and appends the messages that have to be sent to `commands`.
     pub fn on_event(&mut self, now: Timestamp, event: Event, commands: &mut Vec<Command>) {
         match event {
             Event::LogTail(version) => self.log_tail = version,
@@ -193,7 +203,8 @@
             Event::Timer => {}
         }
         self.activate_due(now);
-        // Before the first version a lease is needed as well: a node with a new disk cannot know that there is none.
+        // A lease is also needed while there is no version: a node with a new disk cannot know whether the
+        // cluster has committed one.
         if self.is_renewal_due(now) && self.may_lease(self.activated) {
             self.request_lease(now, commands);
         }
@@ -204,7 +215,8 @@
         if !is_new {
             return;
         }
-        // After a restart or in a burst several versions wait, each for its own delay; the last activated one counts.
+        // Several versions may be pending, after a restart or when commits follow each other quickly. Each
+        // has its own delay, and the last one that is activated is in effect.
         let activates_at = if immediate { now } else { now.plus(self.config.activation_delay()) };
         self.pending.push(PendingVersion { version, activates_at, immediate });
         if self.voter_changes.last().is_none_or(|change| change.voters != voters) {
@@ -215,7 +227,7 @@
         }
     }
 
-    /// Whether a lease of this version may be requested or granted: the log holds no later one.
+    /// Whether this node may request or grant a lease of this version: its log holds no later one.
     fn may_lease(&self, version: Version) -> bool {
         self.log_tail <= version || self.config.has_defect(Defect::GrantsOutdatedLease)
     }
@@ -233,7 +245,8 @@
                 self.oldest_valid_lease = next.version;
             }
         }
-        // Leases are requested for the activated version only: of the voters before it nothing is needed.
+        // Leases are requested only for the activated version, so voters of earlier versions are no longer
+        // needed.
         let effective = self.voter_changes.iter().filter(|change| change.version <= self.activated).count();
         self.voter_changes.drain(..effective.saturating_sub(1));
     }
@@ -250,7 +263,7 @@
         self.update_lease(now);
     }
 
-    /// Whether a quorum of the voters of the requested version has granted it.
+    /// Whether a majority of the voters of the requested version has granted the request.
     fn has_quorum(&self, request: &LeaseRequest) -> bool {
         if self.config.has_defect(Defect::NoQuorum) {
             return true;
@@ -262,12 +275,13 @@
         effective.is_some_and(|change| change.voters.is_majority(&request.granted_by))
     }
 
-    /// A request that a quorum has granted becomes a lease, or extends the lease of the same version.
+    /// Turns the last request into a lease once a quorum has granted it, or extends the lease of the same
+    /// version.
     fn update_lease(&mut self, now: Timestamp) {
         let Some(request) = self.request.as_ref().filter(|request| self.has_quorum(request)) else { return };
         let from_grant = self.config.has_defect(Defect::LeaseFromGrant);
-        // From the request on: a grant says that no later version was in that log when the request was answered, which
-        // may be any time after it was sent.
+        // The lease starts at the request. A grant only says that the granting node's log held no later
+        // version when that node answered, which may have been at any time after the request.
         let starts_at = if from_grant { now } else { request.requested_at };
         let granted_until = starts_at.plus(self.config.duration());
         let extended = self.lease.filter(|lease| lease.version == request.version);
--- a/crates/cluster/src/lease/config.rs
+++ b/crates/cluster/src/lease/config.rs
@@ -1,29 +1,32 @@
-//! Duration of leases and the delay that a committed version waits for them.
+//! Duration of leases, and the delay between the commit of a version and its activation, which outlasts all
+//! leases of earlier versions.
 
 use super::defect::Defect;
 use crate::voters::VoterSet;
 use gaugestand_admission::time::Micros;
 
-/// Unit of the drift bound: parts per million.
+/// Divisor of the drift bound, which is given in parts per million.
 const PARTS_PER_MILLION: u64 = 1_000_000;
-/// A node renews its lease this many times within one duration, so that some requests may be lost before it expires.
+/// Lease requests of a node within one lease duration. More than one, so that some requests may be lost
+/// before the lease expires.
 const RENEWALS_PER_LEASE: u64 = 4;
-/// Drift from one tenth on is refused: the bound would then say that a clock is broken, and the delay would grow without
-/// use.
+/// Inverse of the drift bound from which on the configuration is rejected: one tenth. A drift of a tenth or
+/// more means that a clock is broken, and would only lengthen the activation delay.
 const MAX_DRIFT_FRACTION: u64 = 10;
 
-/// Why lease times are refused. The texts complete the node's message about `fleet(...)`.
+/// Why a lease configuration is rejected. The node inserts the texts into its start-up error about
+/// `fleet(...)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseConfigError {
-    /// The duration is too short to be renewed, or there are no voters.
+    /// There are no voters, or the duration in microseconds is shorter than the number of renewals within it.
     #[error("Nothing")]
-    Empty,
-    /// The drift bound is a tenth or more.
+    NoVotersOrTooShort,
+    /// The drift bound is one tenth (100,000 parts per million) or more.
     #[error("Drift")]
     Drift,
 }
 
-/// Lease times and the first voters: the same on all nodes of a cluster.
+/// Lease times and the voters of version 0. All nodes of a cluster must have the same configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
     duration: Micros,
@@ -34,20 +37,21 @@
 }
 
 impl LeaseConfig {
-    /// Leases of this duration, for a cluster that begins with `voters` nodes, the clocks of which drift apart by at most
-    /// `drift_ppm` parts per million.
+    /// Configuration for a cluster that begins with `voters` nodes. Leases last `duration`, and the clocks of
+    /// any two nodes drift apart by at most `drift_ppm` parts per million.
     ///
     /// # Errors
-    /// [`LeaseConfigError::Empty`] if there are no voters or the duration is too short to be renewed within
-    /// it, and [`LeaseConfigError::Drift`] if the drift bound is a tenth or more.
+    /// [`LeaseConfigError::NoVotersOrTooShort`] if there are no voters or the duration is too short to be
+    /// renewed within it, and [`LeaseConfigError::Drift`] if the drift bound is a tenth or more.
     pub fn new(voters: usize, duration: Micros, drift_ppm: u64) -> Result<Self, LeaseConfigError> {
         if voters == 0 || duration.0 < RENEWALS_PER_LEASE {
-            return Err(LeaseConfigError::Empty);
+            return Err(LeaseConfigError::NoVotersOrTooShort);
         }
         if drift_ppm * MAX_DRIFT_FRACTION >= PARTS_PER_MILLION {
             return Err(LeaseConfigError::Drift);
         }
-        // The slowest clock measures the lease, the fastest one the delay: twice the drift, rounded up, and one unit more.
+        // In the worst case the slowest clock measures the lease and the fastest clock the delay. The margin
+        // is twice the drift bound, rounded up, plus one microsecond.
         let margin = duration.0.saturating_mul(2 * drift_ppm).div_ceil(PARTS_PER_MILLION) + 1;
         Ok(LeaseConfig {
             duration,
@@ -58,7 +62,7 @@
         })
     }
 
-    /// The same with a defect, for tests of the checkers.
+    /// Returns this configuration with an injected defect, for tests of the checkers.
     #[cfg(feature = "injected-defects")]
     pub fn with_defect(self, defect: Defect) -> Self {
         let activation_delay = match defect {
@@ -69,27 +73,28 @@
         LeaseConfig { activation_delay, defect: Some(defect), ..self }
     }
 
-    /// How long a lease lasts from its request, by the requester's clock.
+    /// Duration of a lease from its request, by the requester's clock.
     pub fn duration(&self) -> Micros {
         self.duration
     }
 
-    /// From when a node learns that a version is committed to when it may act on it.
+    /// Delay from when a node learns that a conflicting version is committed until the node activates it, by
+    /// that node's clock.
     pub fn activation_delay(&self) -> Micros {
         self.activation_delay
     }
 
-    /// From a request of a lease to the next one.
+    /// Interval between two lease requests of a node, by that node's clock.
     pub fn renewal_interval(&self) -> Micros {
         Micros(self.duration.0 / RENEWALS_PER_LEASE)
     }
 
-    /// The voters of version 0.
+    /// Voters of version 0, before any membership change is committed.
     pub fn initial_voters(&self) -> VoterSet {
         self.initial_voters
     }
 
-    /// Whether this defect was injected; never in a build without the feature.
+    /// Whether this defect was injected; always false in a build without the feature `injected-defects`.
     pub(super) fn has_defect(&self, defect: Defect) -> bool {
         #[cfg(feature = "injected-defects")]
         let injected = self.defect;
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -1,8 +1,10 @@
-//! Who belongs to the cluster, version by version (`docs/design/members.md`).
+//! The nodes that belong to the cluster, version by version. The design is described in
+//! `docs/design/members.md`.
 //!
-//! Guarantees: two memberships in a row differ by one voter at most, so that majorities of both have a node in common; a
-//! node number is assigned once, also after its node was removed; there is always a voter, and never more than
-//! [`MAX_VOTERS`]. It does not know which nodes can be reached: whoever requests a change passes that in.
+//! Guarantees: two consecutive memberships differ by one voter at most, so that majorities of both have a
+//! node in common; a node number is assigned only once, even after its node was removed; there is always at
+//! least one voter, and never more than [`MAX_VOTERS`]. This module does not know which nodes can be reached:
+//! the caller that requests a change passes in a [`ClusterView`].
 
 use crate::NodeId;
 use crate::voters::VoterSet;
@@ -10,59 +12,60 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Most nodes that vote: seven outlast the loss of three; more voters make each commit and each lease slower.
+/// Most voters in a cluster. Seven voters tolerate the loss of three; more would make each commit and each
+/// lease slower.
 pub const MAX_VOTERS: usize = 7;
-/// Most nodes, voters and learners: each keeps a link with each other one.
+/// Most nodes in a cluster, voters and learners. Each node keeps a link to each other node.
 pub const MAX_MEMBERS: usize = 10;
-/// Longest name of a node, in bytes: it is printed in status lines and passed in one-line admin commands.
+/// Longest node name, in bytes. Names are printed in status lines and passed in one-line admin commands.
 pub const MAX_NAME_BYTES: usize = 64;
-/// What no name may contain: the separators of admin commands and of `NAME=ADDRESS`.
+/// Characters that a node name may not contain: the separators of admin commands and of `NAME=ADDRESS`.
 const NAME_SEPARATORS: [char; 4] = [' ', '\t', '\n', '='];
 
-/// The part of a node in the consensus.
+/// Role of a node in the consensus.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// It votes, and grants leases.
+    /// The node votes: it counts towards majorities, and its grants count for leases.
     Voter,
-    /// It receives the log, and acts on versions by leases of the voters.
+    /// The node receives the log and acts on versions under leases that voters grant, but does not vote.
     Learner,
 }
 
 /// A node of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its number, never reused.
+    /// Number of the node, never reused in this cluster.
     #[serde(rename = "number")]
     pub id: NodeId,
-    /// Its name, as its configuration has it.
+    /// Name of the node, as in that node's configuration; unique in the cluster.
     pub name: String,
-    /// Where it listens for the other nodes.
+    /// Address at which the node listens for the other nodes.
     pub address: SocketAddr,
-    /// Whether it votes.
+    /// Whether the node votes.
     pub role: Role,
 }
 
-/// A change of the membership.
+/// A change of the membership. Operators request joins and removals, the leader promotions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MembershipChange {
-    /// A new node joins, as a learner.
+    /// Add a new node, as a learner.
     Join {
-        /// Its name.
+        /// Name of the new node, 1 to [`MAX_NAME_BYTES`] bytes.
         name: String,
-        /// Where it listens for the other nodes.
+        /// Address at which the new node listens for the other nodes.
         address: SocketAddr,
     },
-    /// A learner the log of which has caught up becomes a voter.
+    /// Make a learner a voter. The leader proposes this once the learner's log has caught up.
     Promote(NodeId),
-    /// A node is removed.
+    /// Remove a node.
     #[serde(rename = "leave")]
     Remove {
-        /// Which node.
+        /// Number of the node to remove.
         #[serde(rename = "number")]
         id: NodeId,
-        /// Also if too few of the remaining voters can be reached to form a majority.
+        /// Remove the node even if the remaining voters that can be reached are no majority.
         force: bool,
     },
 }
@@ -70,45 +73,45 @@
 /// Why a change of the membership was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipError {
-    /// The name is empty, too long, or contains a separator.
+    /// The new node's name is empty, too long, or contains a separator.
     #[error("a name has 1 to {max} bytes, and no blank or '=' in it", max = MAX_NAME_BYTES)]
     InvalidName,
-    /// The member of this name has the new node's name or address.
+    /// A member has the name or the address of the new node. The field is that member's name.
     #[error("node {0} has that name or address")]
     Duplicate(String),
-    /// There are [`MAX_MEMBERS`] nodes, or all numbers were assigned.
+    /// The cluster has [`MAX_MEMBERS`] nodes, or all node numbers were assigned.
     #[error("there are {max} nodes, or no number is left", max = MAX_MEMBERS)]
     Full,
-    /// There are [`MAX_VOTERS`] voters.
+    /// The cluster would have more than [`MAX_VOTERS`] voters.
     #[error("{max} nodes vote already; it stays a learner", max = MAX_VOTERS)]
     TooManyVoters,
-    /// No node has this number, or it is a voter already.
+    /// The node to remove is not a member, or the node to promote is not a learner.
     #[error("there is no such node as {0} to do that with")]
     UnknownNode(NodeId),
-    /// The log of this learner lacks committed entries.
+    /// The log of the learner to promote lacks committed entries. The field is the learner's number.
     #[error("node {0} has not caught up with the log yet")]
     NotCaughtUp(NodeId),
-    /// It is the last voter.
+    /// The change would leave the cluster without a voter.
     #[error("it is the last node that votes")]
     LastVoter,
-    /// The remaining voters that can be reached are no majority.
+    /// The removal would leave too few voters that can be reached for a majority.
     #[error(
         "without it {reachable} of {voters} voters can be heard, which is no majority; --force if that is meant"
     )]
     NoMajorityLeft {
-        /// Remaining voters that can be reached.
+        /// Voters after the removal that can be reached.
         reachable: usize,
-        /// Remaining voters.
+        /// Voters after the removal.
         voters: usize,
     },
 }
 
-/// What the leader knows of the other nodes when it checks a change.
+/// State of the other nodes, as the leader knows it, that a membership change is checked against.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterView {
-    /// Nodes that can be reached, the leader among them.
+    /// Nodes that can be reached, including the leader.
     pub reachable: BTreeSet<NodeId>,
-    /// Nodes the log of which has all committed entries.
+    /// Nodes whose logs have all committed entries.
     pub caught_up: BTreeSet<NodeId>,
 }
 
@@ -117,14 +120,15 @@
 pub struct Membership {
     #[serde(rename = "nodes")]
     members: Vec<Member>,
-    /// The number that the next node gets; all lower ones were assigned.
+    /// Number that the next new node gets; all lower numbers were assigned.
     #[serde(rename = "next")]
     next_id: NodeId,
 }
 
 impl Membership {
-    /// The membership of version 0: all nodes of the configuration vote, numbered in its order. Names and order have to be
-    /// the same on all nodes; addresses need not be, as each node may reach the others in its own way.
+    /// The membership of version 0: all configured nodes vote, and are numbered in the order of the
+    /// configuration. Names and order have to be the same on all nodes. Addresses may differ, as each node
+    /// may reach the others in its own way.
     ///
     /// # Errors
     /// [`MembershipError::LastVoter`] if no node is configured, and [`MembershipError::TooManyVoters`] if
@@ -147,44 +151,45 @@
         Ok(Membership { members, next_id })
     }
 
-    /// All nodes, in the order of their numbers.
+    /// All nodes of the cluster, in ascending order of their numbers.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// The node of this number.
+    /// The node with this number; `None` if it is not a member.
     pub fn get(&self, id: NodeId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == id)
     }
 
-    /// Whether the node of this number was a member and has been removed.
+    /// Whether the node with this number was a member and has been removed.
     pub fn was_removed(&self, id: NodeId) -> bool {
         id < self.next_id && self.get(id).is_none()
     }
 
-    /// Numbers of the nodes that vote.
+    /// Numbers of the nodes that vote, in ascending order.
     pub fn voters(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.members.iter().filter(|member| member.role == Role::Voter).map(|member| member.id)
     }
 
-    /// Whether these nodes are a majority of the voters; nodes that do not vote do not count.
+    /// Whether the voters among `nodes` are a majority of all voters; other nodes in `nodes` are ignored.
     pub fn is_majority(&self, nodes: &BTreeSet<NodeId>) -> bool {
         self.voter_set().is_majority(nodes)
     }
 
-    /// The nodes that vote, as leases count them.
+    /// The nodes that vote, as the set that the lease rules use.
     pub fn voter_set(&self) -> VoterSet {
         self.voters().collect()
     }
 
-    /// Learners that become voters once their logs have caught up; none while there are [`MAX_VOTERS`].
+    /// Learners that the leader may promote once their logs have caught up; none while there are
+    /// [`MAX_VOTERS`] voters.
     pub fn promotable_learners(&self) -> impl Iterator<Item = NodeId> + '_ {
         let has_room = self.voters().count() < MAX_VOTERS;
         let learners = self.members.iter().filter(move |member| has_room && member.role == Role::Learner);
         learners.map(|member| member.id)
     }
 
-    /// The membership after a change.
+    /// The membership that results from a change. `self` is not modified.
     ///
     /// # Errors
     /// The change is not possible or not safe at present, for example [`MembershipError::NotCaughtUp`] for a
--- a/crates/cluster/src/validation.rs
+++ b/crates/cluster/src/validation.rs
@@ -1,99 +1,102 @@
-//! Whether a node could act on a proposed version, given its memory for keys and its present load.
+//! Checks whether a node could act on a proposed version, given its memory for idempotency keys and its
+//! present load.
 //!
-//! It looks at well-formed settings only; malformed ones are rejected by whoever reads them.
+//! The checks assume well-formed settings: the code that parses the settings rejects malformed ones.
 
-/// A class of requests, as a version's settings have it.
+/// The settings of a request class in a version, as far as validation depends on them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its requests carry idempotency keys: none may run twice.
+    /// Whether requests of the class carry idempotency keys, so that none may run twice.
     pub keyed: bool,
-    /// How long a key is remembered, in seconds.
+    /// How long the node remembers an idempotency key of the class, in seconds.
     pub dedup_window_s: f64,
-    /// Priority of its requests in the admission queue; the higher one goes first.
+    /// Priority of the class in the admission queue; requests of a class with a higher weight go first.
     pub priority_weight: f64,
 }
 
-/// Memory that this node has for idempotency keys.
+/// Memory that this node has configured for idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KeyMemory {
-    /// All of it, in KB.
+    /// Total memory for keys, in KB.
     pub available_kb: f64,
-    /// What one key takes, in KB.
+    /// Memory that one key needs, in KB.
     pub entry_kb: f64,
 }
 
 /// The present load of a class on this node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassLoad {
-    /// The class.
+    /// Name of the class.
     pub name: String,
-    /// Requests per second.
+    /// Requests of the class per second, as measured on this node.
     pub rate: f64,
 }
 
-/// Why a node could not act on a version.
+/// Why a node could not act on a version. The texts go to the operator, through the leader.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ValidationError {
-    /// The keys of the new windows do not fit into memory: a key that is forgotten early could run twice.
+    /// The keys of the new deduplication windows do not fit into memory: a key that is forgotten too early
+    /// could run twice.
     #[error(
         "keys of {needed_kb} KB at its present load, where it has {available_kb} KB: shorten a dedup-window"
     )]
     KeyMemory {
-        /// Needed at the present load, in whole KB.
+        /// Memory needed at the present load, in KB, rounded up to whole KB.
         needed_kb: f64,
-        /// Available, in whole KB.
+        /// Memory available, in KB, rounded down to whole KB.
         available_kb: f64,
     },
     /// A keyed class with load is missing from the new version.
     #[error("class {class} is dropped while {rate:.1} requests a second ask for it")]
     ClassDropped {
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// Its load, in requests per second.
+        /// Load of the class, in requests per second.
         rate: f64,
     },
     /// A keyed class with load is not keyed in the new version.
     #[error("class {class} would be run twice: it is keyed now, at {rate:.1} requests a second")]
     KeyingDropped {
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// Its load, in requests per second.
+        /// Load of the class, in requests per second.
         rate: f64,
     },
-    /// A keyed class would come after one with more load in the admission queue, and did not before.
+    /// In the admission queue, a keyed class would come after a class with more load, which it does not under
+    /// the old settings.
     #[error(
         "class {class} would come behind {ahead}, of which {ahead_rate:.1} requests a second come: it starves"
     )]
     Starved {
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// The class that would go first.
+        /// Name of the class that would go first.
         ahead: String,
-        /// The load of that one, in requests per second.
+        /// Load of the class that would go first, in requests per second.
         ahead_rate: f64,
     },
 }
 
 impl ValidationError {
-    /// Whether an operator may force the version all the same.
+    /// Whether an operator may force the version in spite of this error; false only for missing key memory.
     pub fn can_be_forced(&self) -> bool {
         !matches!(self, ValidationError::KeyMemory { .. })
     }
 }
 
-fn find<'a>(classes: &'a [ClassSettings], name: &str) -> Option<&'a ClassSettings> {
+fn find_class<'a>(classes: &'a [ClassSettings], name: &str) -> Option<&'a ClassSettings> {
     classes.iter().find(|class| class.name == name)
 }
 
-/// Checks the change from the classes `old` to `new` under this load. Returns the first problem, those that cannot be
-/// forced first.
+/// Checks the change from the classes `old` to the classes `new` under the node's present load. Returns the
+/// first problem, and a problem that cannot be forced before others.
 ///
 /// # Errors
 /// The node cannot act on the new classes under its load, such as [`ValidationError::KeyMemory`] if keys
 /// would be forgotten too early. [`ValidationError::can_be_forced`] says whether an operator may force the
-/// change all the same.
+/// change nevertheless.
 pub fn validate(
     old: &[ClassSettings],
     new: &[ClassSettings],
@@ -101,10 +104,12 @@
     memory: KeyMemory,
 ) -> Result<(), ValidationError> {
     check_key_memory(new, load, memory)?;
-    load.iter().filter(|class| class.rate > 0.0).try_for_each(|class| check_service(old, new, load, class))
+    load.iter()
+        .filter(|class| class.rate > 0.0)
+        .try_for_each(|class| check_keyed_class(old, new, load, class))
 }
 
-/// Keys of all windows have to fit into memory at the present load.
+/// Checks that the keys of all deduplication windows fit into memory at the present load.
 fn check_key_memory(
     classes: &[ClassSettings],
     load: &[ClassLoad],
@@ -125,25 +130,27 @@
     Ok(())
 }
 
-/// A keyed class with load has to stay, stay keyed, and not fall behind a class with more load.
-fn check_service(
+/// Checks that a keyed class with load remains, remains keyed, and does not fall behind a class with more
+/// load.
+fn check_keyed_class(
     old: &[ClassSettings],
     new: &[ClassSettings],
     load: &[ClassLoad],
     checked: &ClassLoad,
 ) -> Result<(), ValidationError> {
-    let Some(before) = find(old, &checked.name).filter(|class| class.keyed) else { return Ok(()) };
+    let Some(before) = find_class(old, &checked.name).filter(|class| class.keyed) else { return Ok(()) };
     let class = checked.name.clone();
     let rate = checked.rate;
-    let Some(after) = find(new, &checked.name) else {
+    let Some(after) = find_class(new, &checked.name) else {
         return Err(ValidationError::ClassDropped { class, rate });
     };
     if !after.keyed {
         return Err(ValidationError::KeyingDropped { class, rate });
     }
-    // The queue serves higher weights first: what comes after a class that fills the cores does not run.
+    // The queue serves higher weights first, so a class does not run if it comes after a class whose load
+    // fills the cores.
     let goes_first = |classes: &[ClassSettings], other: &str, than: &ClassSettings| {
-        find(classes, other).is_some_and(|other| other.priority_weight > than.priority_weight)
+        find_class(classes, other).is_some_and(|other| other.priority_weight > than.priority_weight)
     };
     let busier = load.iter().filter(|other| other.name != checked.name && other.rate > rate);
     let mut overtaking =
--- a/crates/cluster/src/version_gate.rs
+++ b/crates/cluster/src/version_gate.rs
@@ -1,45 +1,48 @@
-//! What a request gets under the active version: the lists of the version, and the rule for a node without a lease.
+//! Decides on a request before admission control, by the lists of the active version and by whether the node
+//! holds a lease.
 
 use crate::diff::{Content, NamedList};
 use crate::lease::ActiveVersion;
 
-/// Which kinds of lists versions may hold. The same on all nodes, so that a node without a lease knows what a newer version
-/// could contain.
+/// Kinds of lists that versions may contain. They are configured, and the same on all nodes of a cluster, so
+/// that a node without a lease knows which lists a newer version could contain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EnabledLists {
-    /// Lists of blocked subjects.
+    /// Whether versions may contain lists of blocked subjects.
     pub blocked: bool,
-    /// Limits of open requests by gateway.
+    /// Whether versions may contain limits on the open requests of each gateway.
     pub gateway_limits: bool,
 }
 
-/// What the gate needs to know of a request.
+/// The properties of a request that [`check`] decides by.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// It carries an idempotency key: it may not run twice.
+    /// Whether the request carries an idempotency key, so that it may not run twice.
     pub keyed: bool,
-    /// What it is about, as lists name it.
+    /// The subject of the request, in the form in which lists name subjects; `None` if it has none.
     pub subject: Option<&'a str>,
-    /// The gateway that sent it.
+    /// Number of the gateway that sent the request; lists name it in decimal.
     pub gateway: u64,
-    /// Requests of that gateway that this node has open.
+    /// Number of open requests of that gateway on this node.
     pub open: usize,
 }
 
-/// What a request gets.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateDecision {
-    /// It goes on to admission control.
+    /// The request goes on to admission control.
     Pass,
-    /// Its subject is blocked on all nodes.
+    /// The request is rejected: its subject is blocked, on all nodes.
     Blocked,
-    /// Its gateway has reached its limit on this node; another node may take it.
+    /// The request is rejected: its gateway has reached its limit of open requests on this node. Another node
+    /// may accept the request.
     OverGatewayLimit,
-    /// This node holds no lease: a newer version, active on other nodes, may forbid the request.
+    /// The request is rejected: this node holds no lease, and a newer version that is active on other nodes
+    /// may forbid the request.
     NoLease,
 }
 
-/// Decides on a request. `content` is that of the active version; none if there is none.
+/// Decides on a request. `content` is the content of the active version; `None` if there is no such version.
 pub fn check(
     active: ActiveVersion,
     content: Option<&Content>,
@@ -48,13 +51,14 @@
 ) -> GateDecision {
     match active {
         ActiveVersion::Leased(_) => check_lists(content, request),
-        // Also what the older version blocks: a newer one may allow it, so another node may take it.
+        // Without a lease, a subject that the activated version blocks also gets `NoLease`: a newer version
+        // may allow it, so another node may accept the request.
         ActiveVersion::Unleased(_) if request.keyed || is_listed(enabled, request) => GateDecision::NoLease,
         ActiveVersion::Unleased(_) => GateDecision::Pass,
     }
 }
 
-/// Whether some version could name this request in a list.
+/// Whether a version could contain a list that applies to this request.
 fn is_listed(enabled: EnabledLists, request: Request<'_>) -> bool {
     enabled.gateway_limits || enabled.blocked && request.subject.is_some()
 }
@@ -78,7 +82,8 @@
     GateDecision::Pass
 }
 
-/// The name of a list of a kind that is not enabled on this node, if the content has one.
+/// Returns the name of a list in `content` whose kind is not enabled on this node; `None` if there is no such
+/// list.
 pub fn disabled_list(content: &Content, enabled: EnabledLists) -> Option<&str> {
     let is_enabled = |list: &NamedList| match list {
         NamedList::Blocked(_) => enabled.blocked,
--- a/crates/cluster/src/voters.rs
+++ b/crates/cluster/src/voters.rs
@@ -3,17 +3,18 @@
 use crate::NodeId;
 use std::collections::BTreeSet;
 
-/// Bits of one word of the set.
+/// Number of node numbers that one word of the set covers, one bit each.
 const WORD_BITS: u8 = 64;
-/// Words that hold a bit for each possible [`NodeId`].
+/// Number of words in the set: together they have a bit for each possible [`NodeId`].
 const WORDS: usize = 4;
 
-/// The nodes that vote under a version: a quorum of them commits its successor and grants leases of it.
+/// The nodes that vote under a version. A majority of them commits the next version, and grants leases of
+/// this one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct VoterSet([u64; WORDS]);
 
 impl VoterSet {
-    /// The nodes numbered from 0 up to, not including, `count`.
+    /// The set of the nodes with the numbers from 0 up to, but not including, `count`.
     pub fn first(count: usize) -> Self {
         (0..count).filter_map(|node| NodeId::try_from(node).ok()).collect()
     }
@@ -28,12 +29,12 @@
         self.0[word] & bit != 0
     }
 
-    /// How many nodes vote.
+    /// Number of nodes that vote.
     pub fn count(&self) -> usize {
         self.0.iter().map(|word| word.count_ones() as usize).sum()
     }
 
-    /// Whether these nodes are a majority of the voters; nodes that do not vote do not count.
+    /// Whether the voters among `nodes` are a majority of all voters; other nodes in `nodes` are ignored.
     pub fn is_majority(&self, nodes: &BTreeSet<NodeId>) -> bool {
         nodes.iter().filter(|node| self.contains(**node)).count() > self.count() / 2
     }
--- a/crates/cluster/src/wire/mod.rs
+++ b/crates/cluster/src/wire/mod.rs
@@ -1,8 +1,9 @@
-//! What nodes of a cluster send each other, and what the replicated log stores: protobuf, bounded.
+//! Messages between the nodes of a cluster and entries of the replicated log, both in protobuf with bounded
+//! lengths.
 //!
-//! Guarantee: a message that [`FrameCodec::decode`] returns is of this cluster, this protocol version, this configuration
-//! and this incarnation of the reader; anything else is one [`FrameError`], and changes nothing. It does not authenticate
-//! the sender: that is up to the link.
+//! Guarantee: a message that [`FrameCodec::decode`] returns belongs to this cluster, protocol version and
+//! configuration, and is addressed to this incarnation of the reader. Anything else is rejected with a
+//! [`FrameError`] and changes no state. The codec does not authenticate the sender, which is up to the link.
 
 mod codec;
 mod messages;
@@ -13,10 +14,10 @@
     ValidationResult, VersionEntry,
 };
 
-/// The version of the protocol; nodes of different versions do not talk to each other.
+/// Version of the protocol between nodes. Nodes reject messages of any other version.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// Longest content of a version, in bytes: settings and lists of one cluster, with room to spare, and short enough that one
-/// message does not hold up heartbeats on its link.
+/// Longest content of a version, in bytes. This is ample for the settings and lists of one cluster, and short
+/// enough that one message does not hold up the heartbeats on its link.
 pub const MAX_CONTENT_BYTES: usize = 256 * 1024;
-/// Longest message, in bytes: one content, and room for the membership and the envelope around it.
+/// Longest message between nodes, in bytes: one content, plus the membership and the envelope around it.
 pub const MAX_MESSAGE_BYTES: usize = MAX_CONTENT_BYTES + 64 * 1024;
--- a/crates/cluster/tests/common/mod.rs
+++ b/crates/cluster/tests/common/mod.rs
@@ -1,10 +1,11 @@
-//! What the seeded simulations of clusters share: a schedule of actions, and network partitions.
+//! Shared by the seeded simulations of clusters: a schedule of actions, and network partitions.
 
 use std::collections::BTreeMap;
 
-/// Actions by time, in microseconds; those of one moment in the order in which they were scheduled.
+/// Scheduled actions, ordered by simulated time in microseconds. Actions for the same time are performed in
+/// the order in which they were scheduled.
 pub struct Schedule<A> {
-    /// How many have been scheduled.
+    /// Number of actions that have been scheduled so far.
     pub scheduled: u64,
     actions: BTreeMap<(u64, u64), A>,
 }
@@ -19,7 +20,7 @@
         self.actions.insert((time, self.scheduled), action);
     }
 
-    /// The next action, if it comes before `end`.
+    /// Removes and returns the next action and its time, if that is before `end`.
     pub fn next(&mut self, end: u64) -> Option<(u64, A)> {
         let next = self.actions.first_entry().filter(|entry| entry.key().0 < end)?;
         let ((time, _), action) = next.remove_entry();
@@ -32,7 +33,8 @@
     }
 }
 
-/// Until when the messages to or from each node are lost.
+/// Network partitions: for each node, the simulated time in microseconds until which messages to it and
+/// messages from it are lost.
 pub struct Partitions {
     inbound_dropped_until: Vec<u64>,
     outbound_dropped_until: Vec<u64>,
@@ -43,7 +45,7 @@
         Partitions { inbound_dropped_until: vec![0; nodes], outbound_dropped_until: vec![0; nodes] }
     }
 
-    /// Cuts a random node off for up to four seconds, in one direction or in both.
+    /// Cuts a random node off from all others for up to four seconds, in one direction or in both.
     pub fn partition(&mut self, now: u64, rng: &mut fastrand::Rng) {
         let node = rng.usize(..self.inbound_dropped_until.len());
         let until = now + rng.u64(..4_000_000);
@@ -56,8 +58,8 @@
         }
     }
 
-    /// Whether a message that is sent now is lost.
-    pub fn loses(&self, now: u64, from: u8, to: u8) -> bool {
+    /// Whether a message from `from` to `to` that is sent at `now` is lost.
+    pub fn drops_message(&self, now: u64, from: u8, to: u8) -> bool {
         now < self.outbound_dropped_until[usize::from(from)]
             || now < self.inbound_dropped_until[usize::from(to)]
     }
--- a/crates/cluster/tests/consensus.rs
+++ b/crates/cluster/tests/consensus.rs
@@ -1,5 +1,6 @@
-//! Whole clusters in a seeded simulation: logs on disks that lose what was not synced, late and lost messages, partitions,
-//! pauses, drifting clocks, proposals at any node. The checks use only what operators and clients could see, by one clock.
+//! Runs whole clusters in a seeded simulation. Disks lose what was not synced, messages are late or lost,
+//! nodes are killed, paused and partitioned, clocks drift, and operators propose at any node. The checks use
+//! only what operators and clients could observe, by one clock.
 
 mod common;
 
@@ -15,11 +16,12 @@
 use std::collections::BTreeMap;
 
 const LEASE: Micros = Micros::millis(600);
-/// Parts per million: far more than clocks drift, so that a missing margin shows.
+/// Parts per million; far more than real clocks drift, so that a missing margin shows.
 const DRIFT_PPM: u64 = 20_000;
-/// Microseconds of faults and proposals; afterwards nothing fails for as long.
-const FAULTS_UNTIL: u64 = 15_000_000;
-/// Tickets from here on are of membership changes, those below of contents.
+/// End of the period of faults and proposals, in microseconds of simulated time. An equally long period
+/// without faults follows.
+const FAULTS_UNTIL_US: u64 = 15_000_000;
+/// Tickets from this number on are of membership changes; lower ones are of contents.
 const FIRST_MEMBERSHIP_TICKET: u64 = 1_000_000;
 
 enum Action {
@@ -29,7 +31,7 @@
         incarnation: u64,
         event: Event,
     },
-    /// The disk of a node has synced up to this record.
+    /// The disk of a node has synced all records up to this sequence number.
     Sync {
         node: NodeId,
         incarnation: u64,
@@ -42,11 +44,11 @@
     Partition,
 }
 
-/// A disk: what is durable, and records that are not synced yet.
+/// The disk of a node: its durable content, and records that are not synced yet.
 #[derive(Default)]
 struct Disk {
-    state: Option<Vec<u8>>,
-    base: Option<Vec<u8>>,
+    hard_state: Option<Vec<u8>>,
+    snapshot: Option<Vec<u8>>,
     entries: BTreeMap<u64, Vec<u8>>,
     unsynced: Vec<(u64, LogRecord)>,
 }
@@ -60,15 +62,15 @@
         if let Some(to) = record.compact_through {
             self.entries.retain(|index, _| *index > to);
         }
-        self.state = record.hard_state.or(self.state.take());
-        self.base = record.snapshot.or(self.base.take());
+        self.hard_state = record.hard_state.or(self.hard_state.take());
+        self.snapshot = record.snapshot.or(self.snapshot.take());
     }
 
-    fn found(&self) -> RecoveredLog {
+    fn recovered_log(&self) -> RecoveredLog {
         let entries = self.entries.iter().map(|(index, entry)| (*index, entry.clone())).collect();
         RecoveredLog {
-            hard_state: self.state.clone(),
-            snapshot: self.base.clone(),
+            hard_state: self.hard_state.clone(),
+            snapshot: self.snapshot.clone(),
             entries,
             ..RecoveredLog::default()
         }
@@ -80,11 +82,11 @@
     disk: Disk,
     incarnation: u64,
     paused_until: u64,
-    /// Of its clock, in parts per million.
+    /// Rate of the node's clock: its microseconds per second of simulated time.
     clock_rate: u64,
 }
 
-/// What a run shows.
+/// The result of a simulation run.
 #[derive(Debug, PartialEq)]
 struct Outcome {
     violations: Vec<String>,
@@ -100,19 +102,21 @@
     schedule: Schedule<Action>,
     nodes: Vec<Node>,
     partitions: Partitions,
-    /// Records are reported as durable before they are.
+    /// Defect of the disks: records are reported as durable before they are synced.
     reports_unsynced: bool,
     committed: BTreeMap<Version, Vec<u8>>,
     proposals: BTreeMap<u64, Vec<u8>>,
     answers: BTreeMap<u64, Result<Version, ProposalError>>,
-    /// When each version was first acted on, and when the last lease of it ends, by the simulation's clock.
-    first_acted: BTreeMap<Version, u64>,
+    /// Simulated time at which each version was first acted on, and at which the last lease of it ends, in
+    /// microseconds.
+    first_acted_on: BTreeMap<Version, u64>,
     last_lease_end: BTreeMap<Version, u64>,
     violations: Vec<String>,
 }
 
 impl Cluster {
-    /// A cluster that begins with so many nodes; with `changes` three more wait to join, and members come and go.
+    /// A cluster that begins with `initial_nodes` nodes. With `changes`, three more nodes can join, and
+    /// operators request joins and removals.
     fn new(
         seed: u64,
         initial_nodes: usize,
@@ -138,7 +142,7 @@
         let mut cluster = Cluster {
             rng,
             lease,
-            initial_membership: Membership::initial(&configured).expect("a membership"),
+            initial_membership: Membership::initial(&configured).expect("a valid initial membership"),
             now: 1_000_000,
             schedule: Schedule::new(),
             nodes,
@@ -147,7 +151,7 @@
             committed: BTreeMap::new(),
             proposals: BTreeMap::new(),
             answers: BTreeMap::new(),
-            first_acted: BTreeMap::new(),
+            first_acted_on: BTreeMap::new(),
             last_lease_end: BTreeMap::new(),
             violations: Vec::new(),
         };
@@ -155,17 +159,17 @@
             cluster.start(node);
         }
         for _ in 0..24 {
-            let time = cluster.time_of_fault();
+            let time = cluster.random_fault_time();
             cluster.at(time, Action::Propose);
         }
         for _ in 0..if changes { 16 } else { 0 } {
-            let time = cluster.time_of_fault();
+            let time = cluster.random_fault_time();
             cluster.at(time, Action::ChangeMembership);
         }
         for _ in 0..6 {
-            let kill = cluster.time_of_fault();
-            let pause = cluster.time_of_fault();
-            let partition = cluster.time_of_fault();
+            let kill = cluster.random_fault_time();
+            let pause = cluster.random_fault_time();
+            let partition = cluster.random_fault_time();
             cluster.at(kill, Action::Kill);
             cluster.at(pause, Action::Pause);
             cluster.at(partition, Action::Partition);
@@ -173,8 +177,8 @@
         cluster
     }
 
-    fn time_of_fault(&mut self) -> u64 {
-        1_000_000 + self.rng.u64(..FAULTS_UNTIL)
+    fn random_fault_time(&mut self) -> u64 {
+        1_000_000 + self.rng.u64(..FAULTS_UNTIL_US)
     }
 
     fn at(&mut self, time: u64, action: Action) {
@@ -196,11 +200,11 @@
             incarnation: node.incarnation,
         };
         let mut commands = Vec::new();
-        match Consensus::new(now, config, &node.disk.found(), &mut commands) {
+        match Consensus::new(now, config, &node.disk.recovered_log(), &mut commands) {
             Ok(consensus) => node.consensus = Some(consensus),
-            Err(error) => self.violations.push(format!("node {node_id} cannot read its disk: {error}")),
+            Err(error) => self.violations.push(format!("node {node_id} cannot open its log: {error}")),
         }
-        self.carry_out(node_id, commands);
+        self.execute(node_id, commands);
         for other in (0..self.nodes.len() as NodeId).filter(|other| *other != node_id) {
             self.step(node_id, Event::LinkUp(other));
         }
@@ -213,39 +217,40 @@
         if let Some(consensus) = &mut self.nodes[usize::from(node)].consensus {
             consensus.on_event(now, event, &mut commands);
         }
-        self.carry_out(node, commands);
+        self.execute(node, commands);
         self.observe(node);
     }
 
-    fn carry_out(&mut self, node: NodeId, commands: Vec<Command>) {
+    fn execute(&mut self, node: NodeId, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Send { to, payload } => self.send(to, Event::Received { from: node, payload }, node),
                 Command::Persist { sequence, record } => self.persist(node, sequence, record),
                 Command::Validate { validation, content, .. } => {
                     let accepts = !content.ends_with(b"7}}");
-                    let result = if accepts { Ok(()) } else { Err(Unacceptable("it ends with 7".into())) };
+                    let result =
+                        if accepts { Ok(()) } else { Err(Unacceptable("content ends with 7".into())) };
                     let time = self.now + 10;
                     self.deliver(time, node, Event::Validated { validation, result });
                 }
                 Command::Committed { version, content } => self.check_committed(node, version, &content),
                 Command::Answer { ticket, result } => {
                     if self.answers.insert(ticket, result).is_some() {
-                        self.violations.push(format!("two answers to {ticket}"));
+                        self.violations.push(format!("proposal {ticket} was answered twice"));
                     }
                 }
             }
         }
     }
 
-    /// An event for the present incarnation of a node.
+    /// Schedules an event for the current incarnation of a node.
     fn deliver(&mut self, time: u64, to: NodeId, event: Event) {
         let incarnation = self.nodes[usize::from(to)].incarnation;
         self.at(time, Action::Deliver { to, incarnation, event });
     }
 
     fn send(&mut self, to: NodeId, event: Event, from: NodeId) {
-        if self.partitions.loses(self.now, from, to) || self.rng.u8(..25) == 0 {
+        if self.partitions.drops_message(self.now, from, to) || self.rng.u8(..25) == 0 {
             return;
         }
         let max_delay = if self.rng.u8(..40) == 0 { 1_500_000 } else { 6_000 };
@@ -271,17 +276,18 @@
         if **known != *content {
             let was = String::from_utf8_lossy(known);
             let is = String::from_utf8_lossy(content);
-            self.violations.push(format!("two contents under {version}: {was} and {is} at {node}"));
+            self.violations
+                .push(format!("version {version} has two contents: {was}, and {is} at node {node}"));
         }
     }
 
-    /// Notes that a node may act on a version from now to the end of its lease.
+    /// Records that a node may act on its active version from now until the end of its lease.
     fn observe(&mut self, id: NodeId) {
         let node = &self.nodes[usize::from(id)];
         let Some(consensus) = &node.consensus else { return };
         let active = consensus.active_version(self.clock(id));
         if let (ActiveVersion::Leased(version), Some(lease)) = (active, consensus.lease()) {
-            self.first_acted.entry(version).or_insert(self.now);
+            self.first_acted_on.entry(version).or_insert(self.now);
             let end = lease.expires_at.0 * 1_000_000 / node.clock_rate;
             let last_end = self.last_lease_end.entry(version).or_insert(end);
             *last_end = (*last_end).max(end);
@@ -308,7 +314,7 @@
             Action::ChangeMembership => self.change_membership(),
             Action::Kill => {
                 let killed = self.rng.usize(..size);
-                // What was not synced is lost, each record whole.
+                // Unsynced records are lost as a whole; no record is lost in part.
                 self.nodes[killed].disk.unsynced.clear();
                 self.nodes[killed].consensus = None;
                 self.schedule
@@ -331,7 +337,7 @@
             self.step(id, Event::Timer);
         }
         let node = &self.nodes[usize::from(id)];
-        // One chain of timers for each incarnation.
+        // Each incarnation has one chain of timers.
         if node.consensus.is_some() && node.incarnation > 0 {
             self.at(next, Action::Timer(id));
         }
@@ -342,7 +348,7 @@
         if node.incarnation != incarnation {
             return;
         }
-        // In order: a record is durable with all before it.
+        // Records are synced in order: a record is durable only together with all earlier ones.
         while node.disk.unsynced.first().is_some_and(|unsynced| unsynced.0 <= sequence) {
             let (_, record) = node.disk.unsynced.remove(0);
             node.disk.apply(record);
@@ -355,7 +361,7 @@
     fn propose(&mut self) {
         let ticket = self.proposals.len() as u64 + 1;
         let node = self.rng.usize(..self.nodes.len()) as NodeId;
-        // Three in a row block the same: nodes may act on those side by side.
+        // Three consecutive contents block the same subject, so nodes may act on them at the same time.
         let blocked = ticket / 3;
         let content =
             format!(r#"{{"lists":{{"l":{{"barred":["s{blocked}"]}}}},"settings":{{"tick":{ticket}}}}}"#);
@@ -395,7 +401,7 @@
     }
 
     fn run(mut self) -> Outcome {
-        self.run_until(2 * FAULTS_UNTIL);
+        self.run_until(2 * FAULTS_UNTIL_US);
         self.check_leases();
         self.check_answers();
         self.check_convergence();
@@ -409,39 +415,42 @@
         }
     }
 
-    /// No version is acted on before all leases of earlier, conflicting ones have ended.
+    /// Checks that no version was acted on before all leases of earlier, conflicting versions had ended.
     fn check_leases(&mut self) {
         let blocked = |version: &Version| {
             let content = self.committed.get(version);
             let content = content.map(|content| String::from_utf8_lossy(content).into_owned());
             content.and_then(|content| content.split("\"settings\"").next().map(str::to_string))
         };
-        for (newer, first) in &self.first_acted {
+        for (newer, first) in &self.first_acted_on {
             let older = self.last_lease_end.range(..newer);
             let conflicting = older.filter(|(older, _)| blocked(older) != blocked(newer));
             let end = conflicting.map(|(_, end)| *end).max().unwrap_or(0);
             if end > *first {
                 let overlap = end - first;
                 let violation =
-                    format!("version {newer} acted on {overlap} us before the end of an older lease");
+                    format!("version {newer} acted on {overlap} us before a conflicting lease ended");
                 self.violations.push(violation);
             }
         }
     }
 
-    /// A proposal that was accepted has become the version that its answer names.
+    /// Checks that the content of each accepted proposal was committed as the version that the answer named.
     fn check_answers(&mut self) {
         for (ticket, result) in &self.answers {
             if let Ok(version) = result
                 && *ticket < FIRST_MEMBERSHIP_TICKET
                 && self.committed.get(version) != self.proposals.get(ticket)
             {
-                self.violations.push(format!("proposal {ticket} was told that it is version {version}"));
+                self.violations.push(format!(
+                    "proposal {ticket} was answered with version {version}, which has another content"
+                ));
             }
         }
     }
 
-    /// Long after the last fault all members know the same, and act on it.
+    /// Checks that, long after the last fault, all members have the same membership and act on the last
+    /// version, and that other nodes act on none.
     fn check_convergence(&mut self) {
         let last = self.last_committed();
         let nodes = self.nodes.iter().filter_map(|node| node.consensus.as_ref());
@@ -455,10 +464,12 @@
             let same_membership = consensus.is_some_and(|consensus| *consensus.membership() == membership);
             let is_member = membership.get(id).is_some();
             if !is_member && matches!(active, Some(ActiveVersion::Leased(_))) {
-                self.violations.push(format!("node {id} acts {active:?} and is not in the cluster"));
+                self.violations.push(format!("node {id} is not a member, but acts on {active:?}"));
             }
             if is_member && (active != Some(ActiveVersion::Leased(last)) || !same_membership) {
-                let violation = format!("node {id} acts {active:?} at the end, the last version is {last}");
+                let violation = format!(
+                    "node {id}: {active:?}, expected version {last}; same membership: {same_membership}"
+                );
                 self.violations.push(violation);
             }
         }
@@ -470,21 +481,24 @@
 }
 
 fn run(seed: u64, changes: bool, defect: Option<Defect>, reports_unsynced: bool) -> Outcome {
-    // A cluster the members of which come and go begins with one, three or five.
+    // A cluster with membership changes begins with one, three or five nodes, another one with three, five or
+    // seven.
     let sizes = if changes { [1, 3, 5] } else { [3, 5, 7] };
     Cluster::new(seed, sizes[seed as usize % 3], changes, defect, reports_unsynced).run()
 }
 
-/// Runs a cluster without defects, which has to show no violation; returns committed versions and membership changes.
+/// Runs a cluster without defects and asserts that there is no violation. Returns the numbers of committed
+/// versions and of membership changes.
 fn run_without_violation(seed: u64, changes: bool) -> (usize, usize) {
     let outcome = run(seed, changes, None, false);
     let violations = outcome.violations;
-    assert!(violations.is_empty(), "seed {seed}, members change {changes}: {violations:#?}");
+    assert!(violations.is_empty(), "seed {seed}, membership changes {changes}: {violations:#?}");
     (outcome.committed_versions, outcome.membership_changes)
 }
 
-// An operator proposes settings while nodes crash, pause and lose messages. If a committed version could be replaced, or a
-// node acted on an old one while others act on the new one, a client would be promised what another node breaks.
+// Operators propose settings while nodes crash, pause and lose messages. If a committed version could be
+// replaced, or a node acted on an old version while others act on a conflicting new one, one node would break
+// what another node promised a client.
 #[test]
 fn committed_versions_stay_and_nodes_never_act_on_conflicting_versions() {
     let mut committed = 0;
@@ -494,12 +508,12 @@
         committed += versions;
         changed += membership_changes;
     }
-    assert!(changed > 60, "only {changed} changes of members were committed");
-    assert!(committed > 150, "only {committed} versions were committed");
+    assert!(changed > 60, "only {changed} membership changes were committed, expected more than 60");
+    assert!(committed > 150, "only {committed} versions were committed, expected more than 150");
 }
 
 #[test]
-#[ignore = "the same for longer"]
+#[ignore = "takes long: the test above over 2,000 seeds"]
 fn committed_versions_stay_over_many_seeds() {
     for changes in [false, true] {
         let mut committed = 0;
@@ -509,22 +523,24 @@
             committed += versions;
             changed += membership_changes;
         }
-        println!("members change {changes}: {committed} versions, {changed} changes of members");
+        println!(
+            "membership changes {changes}: {committed} versions, {changed} membership changes committed"
+        );
     }
 }
 
-// A disk reports writes that it has not synced, or the lease rules have a defect: if the checks above did not find these,
-// they would prove nothing.
+// Checks that the checks above detect disks that report unsynced writes as durable, and defects of the lease
+// rules.
 #[test]
-fn unsynced_logs_and_lease_defects_are_found() {
+fn checks_detect_unsynced_logs_and_lease_defects() {
     let cases = [(None, true), (Some(Defect::NoActivationDelay), false), (Some(Defect::NoQuorum), false)];
     for (defect, unsynced) in cases {
-        // The library itself panics where a log has lost what it reported.
-        let holds =
+        // The raft library panics if a log has lost records that were reported as durable.
+        let passes =
             |seed| std::panic::catch_unwind(|| run(seed, false, defect, unsynced).violations.is_empty());
-        let found = (0..60).find(|seed| !holds(*seed).unwrap_or(false));
-        println!("{defect:?}, not synced {unsynced}: seed {found:?}");
-        assert!(found.is_some(), "{defect:?}, not synced {unsynced}: not found");
+        let found = (0..60).find(|seed| !passes(*seed).unwrap_or(false));
+        println!("defect {defect:?}, unsynced disks {unsynced}: detected with seed {found:?}");
+        assert!(found.is_some(), "defect {defect:?}, unsynced disks {unsynced}: not detected");
     }
 }
 
@@ -533,13 +549,14 @@
     assert_eq!(run(5, true, None, false), run(5, true, None, false));
 }
 
-// An operator removes the leader. The library ignores a transfer of leadership to a learner, so that a leader that offered
-// it to one again and again could never be removed.
+// An operator removes the leader. The raft library ignores a transfer of leadership to a learner, so a leader
+// that repeatedly chose a learner as its successor could never be removed.
 #[test]
 fn a_leader_hands_leadership_to_a_voter_before_it_is_removed() {
     let mut cluster = Cluster::new(0, 1, true, None, false);
     cluster.schedule.retain(|action| matches!(action, Action::Timer(_)));
-    // It stays a learner, and has the lowest number of all that the first node can reach.
+    // Node 1 stays a learner, as it never catches up. It has the lowest number of all nodes that node 0 can
+    // reach.
     cluster.nodes[1].paused_until = u64::MAX;
     let join = |id: u16| MembershipChange::Join { name: format!("p{id}"), address: address(10_000 + id) };
     let changes = [join(1), join(2), MembershipChange::Remove { id: 0, force: false }];
@@ -552,7 +569,7 @@
             cluster.now = end;
             matches!(cluster.answers.get(&ticket), Some(Ok(_)))
         });
-        assert!(committed, "{change:?}: {:?}", cluster.answers);
+        assert!(committed, "{change:?} was not committed: {:?}", cluster.answers);
     }
     let consensus = cluster.nodes[2].consensus.as_ref();
     let voters = consensus.map(|consensus| consensus.membership().voters().collect::<Vec<_>>());
--- a/crates/cluster/tests/lease.rs
+++ b/crates/cluster/tests/lease.rs
@@ -1,6 +1,7 @@
-//! Lease rules in a seeded simulation: clocks that drift, messages that are late or lost, nodes that are partitioned,
-//! restarted or paused, and versions that are committed meanwhile. The check knows nothing of how a node decides: for each
-//! version it compares, by one clock, when the first node acted on it and when the last lease of an earlier one ended.
+//! Runs the lease rules in a seeded simulation: clocks drift, messages are late or lost, nodes are
+//! partitioned, restarted and paused, and versions are committed meanwhile. The check does not depend on how
+//! a node decides. For each version it compares, by one clock, when the first node acted on it with when the
+//! last lease of an earlier, conflicting version ended.
 
 mod common;
 
@@ -14,17 +15,18 @@
 use std::collections::BTreeMap;
 
 const LEASE: Micros = Micros::millis(1_000);
-/// Parts per million: far more than clocks drift, so that a missing margin shows.
+/// Parts per million; far more than real clocks drift, so that a missing margin shows.
 const DRIFT_PPM: u64 = 20_000;
-/// Microseconds of faults.
-const FAULTS_UNTIL: u64 = 20_000_000;
-/// Versions that a run has contents for: more than it can commit.
+/// End of the period of faults, in microseconds of simulated time.
+const FAULTS_UNTIL_US: u64 = 20_000_000;
+/// Number of versions that a run has contents for; more than a run can commit.
 const VERSIONS: u64 = 64;
 
-/// What is committed under a version.
+/// The content of a version.
 #[derive(Clone, Copy)]
 struct Content {
-    /// Versions of one group are compatible: one to three in a row, with the same voters.
+    /// Versions of the same group are compatible with each other: one or more consecutive versions with the
+    /// same voters.
     group: u64,
     voters: VoterSet,
 }
@@ -33,7 +35,7 @@
 enum Action {
     Timer(NodeId),
     Deliver(NodeId, Event),
-    /// Proposes the next version, or this one again.
+    /// Proposes the next version, or proposes this version again.
     Propose(Option<Version>),
     Restart(NodeId),
     Partition,
@@ -41,27 +43,28 @@
 
 struct Node {
     activation: Activation,
-    /// Of its clock, in parts per million.
+    /// Rate of the node's clock: its microseconds per second of simulated time.
     clock_rate: u64,
-    /// What its clock shows at the start.
+    /// Reading of the node's clock at the start of the simulation, in microseconds.
     clock_offset: u64,
-    /// Its log, which survives restarts: the last version in it, and the last that it knows to be committed.
+    /// The node's log, which survives restarts: the last version in it, and the last version that the node
+    /// knows to be committed.
     log_tail: Version,
     known_committed: Version,
     incarnation: u64,
     paused_until: u64,
 }
 
-/// What a run shows.
+/// The result of a simulation run, or of several runs.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
-    /// Longest time for which two nodes acted on conflicting versions, in microseconds.
+    /// Longest time for which two nodes acted on conflicting versions, in microseconds; 0 if they never did.
     longest_overlap: u64,
-    /// Seed of that run.
+    /// Seed of the run with that overlap.
     seed: u64,
-    /// How often a node was seen to act on a version.
+    /// Number of observations of a node that may act on a version.
     observations: u64,
-    /// How many versions were acted on.
+    /// Number of versions that were acted on.
     versions: u64,
 }
 
@@ -73,15 +76,17 @@
     nodes: Vec<Node>,
     partitions: Partitions,
     committed: Version,
-    /// By version.
+    /// Content of each version, indexed by version.
     contents: Vec<Content>,
-    /// When each version was first acted on, and when the last lease of it ends, by the simulation's clock.
-    first_acted: BTreeMap<Version, u64>,
+    /// Simulated time at which each version was first acted on, and at which the last lease of it ends, in
+    /// microseconds.
+    first_acted_on: BTreeMap<Version, u64>,
     last_lease_end: BTreeMap<Version, u64>,
     observations: u64,
 }
 
-/// Contents for all versions: with `changes` every other one adds or removes a voter, out of this many nodes.
+/// Generates the contents of all versions. With `changes`, a random half of them may add or remove one voter,
+/// out of `nodes` nodes.
 fn contents(rng: &mut fastrand::Rng, voters: usize, nodes: usize, changes: bool) -> Vec<Content> {
     let mut current: Vec<NodeId> = (0..voters as NodeId).collect();
     let mut contents = vec![Content { group: 0, voters: VoterSet::first(voters) }];
@@ -101,7 +106,8 @@
 }
 
 impl Cluster {
-    /// A cluster that begins with so many voters; with `changes` there are three nodes more, and voters come and go.
+    /// A cluster that begins with `voters` voters. With `changes`, there are three more nodes, and voters are
+    /// added and removed.
     fn new(seed: u64, voters: usize, changes: bool, defect: Option<Defect>) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let size = if changes { voters + 3 } else { voters };
@@ -128,7 +134,7 @@
             partitions: Partitions::new(size),
             committed: 0,
             contents,
-            first_acted: BTreeMap::new(),
+            first_acted_on: BTreeMap::new(),
             last_lease_end: BTreeMap::new(),
             observations: 0,
         };
@@ -136,9 +142,9 @@
             cluster.at(0, Action::Timer(id));
         }
         for _ in 0..8 {
-            let propose = cluster.rng.u64(..FAULTS_UNTIL);
-            let partition = cluster.rng.u64(..FAULTS_UNTIL);
-            let restart = cluster.rng.u64(..FAULTS_UNTIL);
+            let propose = cluster.rng.u64(..FAULTS_UNTIL_US);
+            let partition = cluster.rng.u64(..FAULTS_UNTIL_US);
+            let restart = cluster.rng.u64(..FAULTS_UNTIL_US);
             cluster.at(propose, Action::Propose(None));
             cluster.at(partition, Action::Partition);
             let node = cluster.rng.usize(..size) as NodeId;
@@ -156,7 +162,7 @@
         self.contents[version as usize]
     }
 
-    /// The commit of a version, as a node sees it that knew of commits up to `known_committed`.
+    /// The event that reports a commit to a node that knew of commits up to `known_committed`.
     fn commit_event(&self, version: Version, known_committed: Version) -> Event {
         let content = self.content(version);
         let follows = known_committed > 0 && known_committed + 1 == version;
@@ -170,15 +176,15 @@
         Timestamp(node.clock_offset + elapsed as u64)
     }
 
-    /// The simulation's time, rounded down, at which a node's clock shows this.
+    /// Simulated time, rounded down, at which a node's clock shows `shown`.
     fn real_time(&self, id: NodeId, shown: Timestamp) -> u64 {
         let node = &self.nodes[usize::from(id)];
         (u128::from(shown.0 - node.clock_offset) * 1_000_000 / u128::from(node.clock_rate)) as u64
     }
 
-    /// Sends a message, which may be late, very late, or lost.
+    /// Sends a message, which may be late by up to two seconds, or lost.
     fn send(&mut self, from: NodeId, to: NodeId, event: Event) {
-        if self.partitions.loses(self.now, from, to) || self.rng.u8(..20) == 0 {
+        if self.partitions.drops_message(self.now, from, to) || self.rng.u8(..20) == 0 {
             return;
         }
         let max_delay = if self.rng.u8(..30) == 0 { 2_000_000 } else { 8_000 };
@@ -195,7 +201,7 @@
     fn step(&mut self, id: NodeId, event: Event) {
         let index = usize::from(id);
         if self.now < self.nodes[index].paused_until {
-            // It waits in the sockets of the paused node.
+            // The event waits in the sockets of the paused node.
             let time = self.nodes[index].paused_until;
             return self.at(time, Action::Deliver(id, event));
         }
@@ -227,11 +233,14 @@
             }
         }
         let timer = self.nodes[index].activation.next_timer();
-        assert!(timer.is_none_or(|timer| timer > clock), "it would spin: {timer:?} at {clock:?}");
+        assert!(
+            timer.is_none_or(|timer| timer > clock),
+            "timer {timer:?} is already due at {clock:?}, so the event loop would spin"
+        );
         self.observe(id);
     }
 
-    /// The log brings all versions up to this one; a majority that stores it commits it.
+    /// Replicates all versions up to this one to a node's log. Commits the version once a majority stores it.
     fn replicate(&mut self, id: NodeId, version: Version, commands: &mut Vec<Command>) {
         let clock = self.clock(id);
         let node = &mut self.nodes[usize::from(id)];
@@ -239,25 +248,26 @@
         node.activation.on_event(clock, Event::LogTail(node.log_tail), commands);
         let storing = (0..self.nodes.len()).filter(|other| self.nodes[*other].log_tail >= version);
         let storing = storing.map(|other| other as NodeId).collect();
-        // The voters of the version before it commit it, so a node that is ahead of what is committed commits nothing.
+        // A version is committed by the voters of the last committed version, and only if it directly follows
+        // that version.
         let voters = self.content(self.committed).voters;
         if version == self.committed + 1 && voters.is_majority(&storing) {
             self.committed = version;
-            // The node that completes the majority knows at once; the others hear of it.
+            // The node that completes the majority learns of the commit at once, the others by a message.
             let committed = self.commit_event(version, 0);
             self.step(id, committed);
             self.broadcast(id, committed);
         }
     }
 
-    /// Notes that a node may act on a version from now to the end of its lease.
+    /// Records that a node may act on its active version from now until the end of its lease.
     fn observe(&mut self, id: NodeId) {
         let activation = &self.nodes[usize::from(id)].activation;
         let active = activation.active_version(self.clock(id));
         if let (ActiveVersion::Leased(version), Some(lease)) = (active, activation.lease()) {
             let end = self.real_time(id, lease.expires_at);
             self.observations += 1;
-            self.first_acted.entry(version).or_insert(self.now);
+            self.first_acted_on.entry(version).or_insert(self.now);
             let last_end = self.last_lease_end.entry(version).or_insert(end);
             *last_end = (*last_end).max(end);
         }
@@ -287,12 +297,12 @@
         for _ in 0..3 {
             self.broadcast(leader, Event::LogTail(version));
         }
-        // Again until it is committed.
+        // The proposal is repeated until the version is committed.
         let time = self.now + 300_000;
         self.at(time, Action::Propose(Some(version)));
     }
 
-    /// Pauses a node, and restarts half of the paused ones.
+    /// Pauses a node, and restarts it with a probability of one half.
     fn restart(&mut self, id: NodeId) {
         let index = usize::from(id);
         let pause = self.rng.u64(..3_000_000);
@@ -304,13 +314,14 @@
         if restarts {
             node.incarnation += 1;
             node.activation = Activation::new(self.lease, id, node.log_tail, node.incarnation << 32);
-            // It learns anew what is committed, as from then on.
+            // The restarted node learns again that its last known version is committed, without the
+            // predecessor's content, as if it was committed now.
             node.activation.on_event(clock, committed, &mut Vec::new());
         }
     }
 
     fn run(mut self) -> Outcome {
-        while let Some((time, action)) = self.schedule.next(FAULTS_UNTIL + 3_000_000) {
+        while let Some((time, action)) = self.schedule.next(FAULTS_UNTIL_US + 3_000_000) {
             self.now = time;
             self.perform(action);
         }
@@ -321,14 +332,14 @@
             let end = conflicting.map(|(_, end)| *end).max().unwrap_or(0);
             end.saturating_sub(*first)
         };
-        let longest_overlap = self.first_acted.iter().map(overlap).max().unwrap_or(0);
-        let versions = self.first_acted.len() as u64;
+        let longest_overlap = self.first_acted_on.iter().map(overlap).max().unwrap_or(0);
+        let versions = self.first_acted_on.len() as u64;
         Outcome { longest_overlap, seed: 0, observations: self.observations, versions }
     }
 }
 
-/// Runs all seeds; returns the longest overlap and its seed, and the sums of the rest.
-fn worst(seeds: std::ops::Range<u64>, changes: bool, defect: Option<Defect>) -> Outcome {
+/// Runs a cluster for each seed. Returns the longest overlap and its seed, and the sums of the other results.
+fn run_seeds(seeds: std::ops::Range<u64>, changes: bool, defect: Option<Defect>) -> Outcome {
     let mut worst = Outcome::default();
     for seed in seeds {
         let outcome = Cluster::new(seed, [3, 5, 9][seed as usize % 3], changes, defect).run();
@@ -342,31 +353,32 @@
     worst
 }
 
-// A node is paused while it holds a lease, or its clock is slow; meanwhile the others commit a version that blocks a subject.
-// If it still acted on the old version once another node acts on the new one, the subject would be served and blocked.
+// A node is paused while it holds a lease, or its clock is slow, and meanwhile the others commit a version
+// that blocks a subject. If the node still acted on the old version while another node acts on the new one,
+// the subject would be both served and blocked.
 #[test]
 fn no_two_nodes_act_on_conflicting_versions_at_a_time() {
     for changes in [false, true] {
-        let outcome = worst(0..200, changes, None);
-        assert_eq!(outcome.longest_overlap, 0, "voters change {changes}: {outcome:?}");
-        // They did act, on many versions.
+        let outcome = run_seeds(0..200, changes, None);
+        assert_eq!(outcome.longest_overlap, 0, "voter changes {changes}: {outcome:?}");
+        // The check is meaningful only if the nodes acted on many versions.
         assert!(outcome.observations > 100_000 && outcome.versions > 600, "{outcome:?}");
     }
 }
 
 #[test]
-#[ignore = "the same for longer"]
+#[ignore = "takes long: the test above over 6,000 seeds"]
 fn no_two_nodes_act_on_conflicting_versions_at_a_time_over_many_seeds() {
     for changes in [false, true] {
-        let outcome = worst(0..6_000, changes, None);
-        println!("voters change {changes}: {outcome:?}");
+        let outcome = run_seeds(0..6_000, changes, None);
+        println!("voter changes {changes}: {outcome:?}");
         assert_eq!(outcome.longest_overlap, 0, "{outcome:?}");
     }
 }
 
-// If the check above did not find each of these, it would prove nothing.
+// Checks that the check above detects each injected defect.
 #[test]
-fn each_injected_defect_is_found() {
+fn check_detects_each_injected_defect() {
     for defect in [
         Defect::NoDriftMargin,
         Defect::NoActivationDelay,
@@ -376,28 +388,29 @@
         Defect::ActivatesOutOfOrder,
         Defect::InitialMajority,
     ] {
-        // With voters that come and go: a cluster the voters of which never change cannot show the last one.
-        let found = (0..300).find(|seed| worst(*seed..seed + 1, true, Some(defect)).longest_overlap > 0);
-        println!("{defect:?}: seed {found:?}");
-        assert!(found.is_some(), "{defect:?} is not found");
+        // Voters change in these runs, as `InitialMajority` has no effect in a cluster with constant voters.
+        let found = (0..300).find(|seed| run_seeds(*seed..seed + 1, true, Some(defect)).longest_overlap > 0);
+        println!("defect {defect:?}: detected with seed {found:?}");
+        assert!(found.is_some(), "defect {defect:?} is not detected");
     }
 }
 
 #[test]
 fn invalid_lease_times_are_rejected() {
-    assert_eq!(LeaseConfig::new(0, LEASE, 500), Err(LeaseConfigError::Empty));
-    assert_eq!(LeaseConfig::new(3, Micros(3), 500), Err(LeaseConfigError::Empty));
+    assert_eq!(LeaseConfig::new(0, LEASE, 500), Err(LeaseConfigError::NoVotersOrTooShort));
+    assert_eq!(LeaseConfig::new(3, Micros(3), 500), Err(LeaseConfigError::NoVotersOrTooShort));
     assert_eq!(LeaseConfig::new(3, LEASE, 100_000), Err(LeaseConfigError::Drift));
-    // Twice the drift over a lease, rounded up.
+    // The delay is the lease, plus twice the drift over its duration rounded up, plus one microsecond.
     let delay = LeaseConfig::new(3, LEASE, 500).map(|lease| lease.activation_delay());
     assert_eq!(delay, Ok(Micros(1_001_001)));
-    // The node's start-up message names the reason in these words.
-    assert_eq!(LeaseConfigError::Empty.to_string(), "Nothing");
+    // The node inserts these texts into its start-up error.
+    assert_eq!(LeaseConfigError::NoVotersOrTooShort.to_string(), "Nothing");
     assert_eq!(LeaseConfigError::Drift.to_string(), "Drift");
 }
 
-// An operator changes a setting that conflicts with nothing. If it waited for old leases, or if its commit ended the lease of
-// its predecessor, the node would serve nothing keyed until it has a lease of the new version.
+// An operator changes a setting that conflicts with nothing. If the version waited for older leases to
+// expire, or if its commit ended the lease of its predecessor, the node would reject all keyed requests until
+// it has a lease of the new version.
 #[test]
 fn a_compatible_version_is_activated_at_once_under_the_lease_of_its_predecessor() {
     let config = LeaseConfig::new(3, LEASE, DRIFT_PPM).expect("valid lease times");
@@ -415,17 +428,18 @@
     step(&mut activation, 1, Event::LogTail(1));
     step(&mut activation, 1, committed(1, false));
     let active_at = 1 + config.activation_delay().0;
-    let request_id = step(&mut activation, active_at, Event::Timer).expect("a lease request");
+    let request_id = step(&mut activation, active_at, Event::Timer).expect("the node requests a lease");
     step(&mut activation, active_at + 5, Event::LeaseGranted { from: 1, request_id });
     assert_eq!(activation.active_version(Timestamp(active_at + 5)), ActiveVersion::Leased(1));
-    // By the lease of its predecessor, to the end of that lease and no longer.
+    // Version 2 is acted on under the lease of its predecessor, until that lease ends.
     step(&mut activation, active_at + 10, Event::LogTail(2));
     assert_eq!(activation.active_version(Timestamp(active_at + 10)), ActiveVersion::Leased(1));
     step(&mut activation, active_at + 20, committed(2, true));
     let end = active_at + LEASE.0;
     assert_eq!(activation.active_version(Timestamp(end - 1)), ActiveVersion::Leased(2));
     assert_eq!(activation.active_version(Timestamp(end)), ActiveVersion::Unleased(2));
-    // A conflicting version waits, and so does a compatible one after it; then no older lease counts.
+    // A conflicting version waits, and so does a compatible version after it. Once they are activated, leases
+    // of earlier versions are no longer valid.
     step(&mut activation, active_at + 30, Event::LogTail(4));
     step(&mut activation, active_at + 30, committed(3, false));
     step(&mut activation, active_at + 40, committed(4, true));
