--- a/crates/cluster/tests/diff.rs
+++ b/crates/cluster/tests/diff.rs
@@ -26,7 +26,7 @@
         ("nothing", |_| (), Compatible),
         (
             "order of classes",
-            |v| v["settings"]["classes"].as_array_mut().expect("a list").reverse(),
+            |v| v["settings"]["classes"].as_array_mut().expect("classes are a list").reverse(),
             Compatible,
         ),
         ("worth", |v| v["settings"]["classes"][0]["worth"] = json!(2.0), Compatible),
@@ -42,7 +42,7 @@
         ("effect", |v| v["settings"]["classes"][0]["effect"] = json!("token"), Conflicting),
         (
             "a class removed",
-            |v| drop(v["settings"]["classes"].as_array_mut().expect("a list").pop()),
+            |v| drop(v["settings"]["classes"].as_array_mut().expect("classes are a list").pop()),
             NewerStricter,
         ),
         ("a shorter grace", |v| v["settings"]["rules"]["drain-grace"] = json!(9), NewerStricter),
@@ -69,7 +69,7 @@
         ("a list of another kind", |v| v["lists"]["zones"] = json!({"barred": []}), Conflicting),
         (
             "a list of blocked subjects removed",
-            |v| drop(v["lists"].as_object_mut().expect("lists").remove("subjects")),
+            |v| drop(v["lists"].as_object_mut().expect("lists are an object").remove("subjects")),
             OlderStricter,
         ),
     ];
@@ -117,7 +117,7 @@
         if rng.bool() {
             let effect = ["pure", "token"][rng.usize(..2)];
             let class = json!({"name": "booking", "effect": effect, "dedup-window": window});
-            all["settings"]["classes"].as_array_mut().expect("a list").push(class);
+            all["settings"]["classes"].as_array_mut().expect("classes are a list").push(class);
         }
         match rng.u8(..4) {
             0 => all["lists"]["l"] = json!({"barred": barred}),
--- a/crates/cluster/tests/lease.rs
+++ b/crates/cluster/tests/lease.rs
@@ -25,7 +25,7 @@
 /// The content of a version.
 #[derive(Clone, Copy)]
 struct Content {
-    /// Versions of the same group are compatible with each other: one or more consecutive versions with the
+    /// Versions of the same group are compatible with each other: one to four consecutive versions with the
     /// same voters.
     group: u64,
     voters: VoterSet,
