--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -1,7 +1,9 @@
-//! The configuration: the `BALANCER_*` variables, the JSON file that one of them names, and the operators' script.
+//! The configuration of a node: the `BALANCER_*` environment variables, the JSON file that one of them names,
+//! and the operators' script.
 //!
-//! [`load`] reads all of it and returns a [`Config`] that is sound as a whole, or the first thing that is wrong. The keys of the
-//! JSON file become the code's terms in `raw`, once; `validation` checks them; `reload` says what may change in service.
+//! [`load`] reads all three and returns a valid [`Config`], or the first error that it finds. The module
+//! `raw` translates the keys of the JSON file into the code's terms, `validation` checks the values, and
+//! `reload` defines what may change while the node serves.
 
 mod error;
 mod raw;
@@ -23,58 +25,60 @@
 pub use error::{ConfigError, Problem};
 pub use reload::{reload, validate_change, with_settings};
 
-/// The variable that names the JSON file.
+/// Environment variable with the path of the JSON file; also the name of the file's contents in errors.
 const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
-/// Variables that go before the JSON file's own name and addresses.
+/// Environment variables that override the name and the addresses of the JSON file.
 const NAME_VARIABLE: &str = "BALANCER_NAME";
 const LISTEN_VARIABLE: &str = "BALANCER_LISTEN";
 const ADMIN_VARIABLE: &str = "BALANCER_ADMIN_ADDR";
-/// Fewest descriptors with which anything can be served: the node's own and a few connections.
+/// Minimum number of file descriptors with which a node can serve anything: its own descriptors and a few
+/// connections.
 const MIN_DESCRIPTORS: usize = 32;
 
-/// The configuration of a node, checked.
+/// The configuration of a node, after validation.
 #[derive(Debug)]
 pub struct Config {
-    /// The node's name, one word.
+    /// Name of the node, without whitespace.
     pub name: String,
-    /// Where gateways connect.
+    /// Address at which the node listens for gateways.
     pub listen: SocketAddr,
-    /// Where the kernel listens, which does the work.
+    /// Address of the kernel, which executes the runs.
     pub kernel: SocketAddr,
-    /// Where the node reports to the membership service.
+    /// Address of the membership service to which the node reports; `None` for no reports.
     pub membership: Option<SocketAddr>,
-    /// Where outbound calls go.
+    /// Address of the store, to which outbound calls go; `None` if there is none.
     pub store: Option<SocketAddr>,
-    /// Where operators' calls come in.
+    /// Address at which the node listens for operators' calls (the second address); `None` for no such calls.
     pub admin: Option<SocketAddr>,
-    /// Seeds random choices.
+    /// Seed of the random choices; 0 if the file has none.
     pub seed: u64,
-    /// From SIGTERM to the end of the process.
+    /// Time from SIGTERM until the process ends; above 0.
     pub stop_timeout: Micros,
-    /// Most descriptors that the process may have.
+    /// Maximum number of file descriptors that the process may have; at least `MIN_DESCRIPTORS`.
     pub max_descriptors: usize,
-    /// Most bytes that keys and results may take without an idempotency store: half of the process's memory, where that is
-    /// known.
+    /// Maximum size in bytes of idempotency keys and results that are kept without an idempotency store: half
+    /// of the process's memory, or unlimited if the file does not state the memory.
     pub max_volatile_bytes: usize,
-    /// Names of the classes, by index.
+    /// Names of the classes, by the index of the class in `settings`.
     pub classes: Vec<String>,
-    /// Which of them are keyed.
+    /// Whether a class is keyed, by the index of the class.
     pub keyed: Vec<bool>,
-    /// Names of the kernel's gauges, in their order.
+    /// Names of the kernel's gauges, in the order in which the kernel sends their values.
     pub gauge_names: Vec<String>,
-    /// Whether gateways send with each request how long they wait.
+    /// Whether gateways state with each request how long they wait for the answer.
     pub gateways_send_timeout: bool,
-    /// The engine's settings.
+    /// Settings of the engine.
     pub settings: Settings,
-    /// The JSON file as it was read, to compare a later one with.
+    /// Contents of the JSON file, with which the file is compared on a reload.
     pub file: Value,
-    /// The operators' script, where there is one.
+    /// Path of the operators' script; `None` if there is no script.
     pub script: Option<PathBuf>,
-    /// The operators' own settings, which the script makes.
+    /// Settings that the operators' script makes; the defaults if there is no script.
     pub operators: OperatorSettings,
 }
 
-/// Reads the configuration that the environment names, and the operators' script if there is one: they count as one.
+/// Loads the configuration that the environment names, together with the operators' script if there is one.
+/// Both are valid, or the result is an error.
 ///
 /// # Errors
 /// The environment names no file, a file cannot be read, a key or setting is invalid
@@ -100,7 +104,7 @@
     parse(&text, variable(NAME_VARIABLE), variable(LISTEN_VARIABLE), variable(ADMIN_VARIABLE))
 }
 
-/// Whether the descriptors suffice for what the operators' settings add.
+/// Checks that there are enough descriptors for the features that the operators' settings enable.
 fn check_descriptors(descriptors: usize, operators: &OperatorSettings) -> Result<(), ConfigError> {
     let with_store = MIN_DESCRIPTORS + idempotency_store::SOCKETS;
     if operators.record.is_some() && descriptors < with_store {
@@ -113,7 +117,8 @@
     Ok(())
 }
 
-/// Reads a configuration from its JSON; a name and addresses given beside it go before its own.
+/// Parses and validates the JSON text of a configuration. The name and the addresses in the arguments
+/// override those of the text.
 ///
 /// # Errors
 /// [`ConfigError::Invalid`] if the text is not JSON of the right form or a key is missing or out of range,
--- a/crates/node/src/config/raw.rs
+++ b/crates/node/src/config/raw.rs
@@ -1,8 +1,8 @@
-//! The JSON file as it is read: its keys under the code's names, in its units, unchecked.
+//! The JSON file before validation. The fields have the code's names, and values in the units of the file.
 
 use serde::{Deserialize, Deserializer};
 
-/// Lengths of time beyond this are absurd: a million seconds, in nanoseconds.
+/// Maximum of a duration, in nanoseconds: a million seconds. A longer one is taken for a mistake.
 const MAX_NANOS: f64 = 1e15;
 
 #[derive(Deserialize)]
@@ -28,7 +28,8 @@
     pub(super) memory_mb: Option<f64>,
 }
 
-/// The engine's settings, under the names and in the units (nanoseconds) of the simulator's first message.
+/// The engine's settings. Their keys and their unit of time, nanoseconds, are those of the simulator's first
+/// message.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) struct RawSettings {
@@ -169,7 +170,7 @@
     pub(super) survivable_runs_per_core: f64,
 }
 
-/// A length of time in nanoseconds, as any JSON number: a script may write 1e9.
+/// Reads a duration in nanoseconds from any JSON number, also a floating-point one: a script may write 1e9.
 fn nanos<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
     let nanos = f64::deserialize(from)?;
     if (0.0..=MAX_NANOS).contains(&nanos) {
--- a/crates/node/src/config/reload.rs
+++ b/crates/node/src/config/reload.rs
@@ -1,28 +1,32 @@
-//! What may change while the node serves: a new configuration replaces the present one whole, or not at all.
+//! Changes of the configuration while the node serves. A new configuration replaces the present one as a
+//! whole, or not at all.
 //!
-//! Refused are changes of the name, the address and the descriptors, changes of those of the operators' settings that others
-//! rely on, and a file that lacks a key of the present one.
+//! Not accepted are a change of the node's name, of the address at which it listens or of the number of
+//! descriptors, a change of operators' settings that other processes rely on, and a file that lacks a key of
+//! the present one.
 
 use super::error::invalid;
 use super::{Config, ConfigError, Problem, load, parse};
 use serde_json::Value;
 
-/// Keys of `settings.extra` that go by class, and so come with the classes.
+/// Keys of `settings.extra` with one value per class. They are taken from the settings that the classes come
+/// from.
 const BY_CLASS_KEYS: [&str; 2] = ["class-calls", "class-skip-worth"];
 
-/// Reads the configuration again, as at the start, and checks that it may replace the present one.
+/// Loads the configuration again, as at the start, and checks that it may replace the present one.
 ///
 /// # Errors
 /// The new configuration cannot be loaded, or may not replace the present one (see [`validate_change`]). The
-/// node goes on with the present one.
+/// present configuration stays in effect.
 pub fn reload(old: &Config) -> Result<Config, ConfigError> {
     let new = load(old.script.as_deref())?;
     validate_change(old, &new)?;
     Ok(new)
 }
 
-/// The same configuration under other settings, with the node's own part of them (`extra`: cores, memory, what calls go to)
-/// but for what goes by class. `local` is what the node's file has; null settings mean those.
+/// Returns the configuration with other settings of the engine. The node keeps its own `extra` part (cores,
+/// memory, what calls go to) except for the keys with one value per class. `local` are the settings of the
+/// node's own file, which also apply if `settings` is null.
 ///
 /// # Errors
 /// The settings are invalid in this node's configuration, as in [`parse`]; the caller keeps the present
@@ -46,12 +50,13 @@
     Ok(Config { operators: config.operators.clone(), script: config.script.clone(), ..new })
 }
 
-/// Checks that a configuration may replace another while the node serves. Every key that the present file has must be there:
-/// a file that lacks one was cut short or spoilt.
+/// Checks that the configuration `new` may replace `old` while the node serves. Every key of the present file
+/// must be in the new one: a file that lacks a key was truncated or damaged.
 ///
 /// # Errors
-/// [`ConfigError::Invalid`] if a key is gone or one that is fixed in service has changed, and
-/// [`ConfigError::FixedSetting`] for a setting of the script that only a restart can change.
+/// [`ConfigError::Invalid`] if a key was removed, or if the value of a key that is fixed while the node
+/// serves has changed, and [`ConfigError::FixedSetting`] for a setting of the script that only a restart can
+/// change.
 pub fn validate_change(old: &Config, new: &Config) -> Result<(), ConfigError> {
     if let Some(key) = find_removed_key(&old.file, &new.file, "") {
         return invalid(&key, Problem::Removed);
@@ -69,9 +74,13 @@
     };
     let same_log_form = old.operators.log.form == new.operators.log.form;
     let fixed_settings = [
-        ("record", "another store would not know what this one holds", store(old) == store(new)),
-        ("fleet", "the others would not know", old.operators.fleet == new.operators.fleet),
-        ("log: `form`", "its reader expects one form", same_log_form),
+        ("record", "another store does not hold the entries of the present one", store(old) == store(new)),
+        (
+            "fleet",
+            "the other nodes would not learn of the change",
+            old.operators.fleet == new.operators.fleet,
+        ),
+        ("log: `form`", "readers of the log expect a single format", same_log_form),
     ];
     match fixed_settings.into_iter().find(|(_, _, is_same)| !is_same) {
         Some((setting, reason, _)) => {
@@ -81,24 +90,27 @@
     }
 }
 
-/// A key that was there and is not. A class of a known name has to have all that it had, a new one what all others have.
+/// Returns the path of the first key of `old` that is missing in `new`, or null there but not in `old`. In an
+/// array, whose elements are found by their `name`, an element with a known name must have all keys that it
+/// had, and a new one those that all old elements have.
 fn find_removed_key(old: &Value, new: &Value, path: &str) -> Option<String> {
     let path_to = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
     match (old, new) {
-        (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, was)| match new.get(key) {
+        (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, value)| match new.get(key) {
             None => Some(path_to(key)),
-            Some(Value::Null) if !was.is_null() => Some(path_to(key)),
-            Some(is) => find_removed_key(was, is, &path_to(key)),
+            Some(Value::Null) if !value.is_null() => Some(path_to(key)),
+            Some(new_value) => find_removed_key(value, new_value, &path_to(key)),
         }),
         (Value::Array(old), Value::Array(new)) => {
-            let of_name = |name: &Value| old.iter().find(|c| c.get("name").is_some_and(|n| n == name));
-            let shared = |key: &String| old.iter().all(|c| c.get(key).is_some());
-            new.iter().enumerate().find_map(|(i, is)| {
-                let (path, is) = (path_to(&i.to_string()), is.as_object()?);
-                match (is.get("name").and_then(of_name), old.first()) {
-                    (Some(was), _) => find_removed_key(was, &Value::Object(is.clone()), &path),
+            let with_name =
+                |name: &Value| old.iter().find(|element| element.get("name").is_some_and(|n| n == name));
+            let is_in_all = |key: &String| old.iter().all(|element| element.get(key).is_some());
+            new.iter().enumerate().find_map(|(index, element)| {
+                let (path, element) = (path_to(&index.to_string()), element.as_object()?);
+                match (element.get("name").and_then(with_name), old.first()) {
+                    (Some(same), _) => find_removed_key(same, &Value::Object(element.clone()), &path),
                     (None, Some(Value::Object(first))) => {
-                        let lacks = |key: &&String| shared(key) && !is.contains_key(*key);
+                        let lacks = |key: &&String| is_in_all(key) && !element.contains_key(*key);
                         first.keys().find(lacks).map(|key| format!("{path}.{key}"))
                     }
                     _ => None,
--- a/crates/node/src/config/validation.rs
+++ b/crates/node/src/config/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of the JSON file, and its values in the code's types.
+//! Checks the values of the JSON file, and converts them to the code's types.
 
 use super::error::invalid;
 use super::raw::{RawConfig, RawSettings, RawTenant};
@@ -11,14 +11,16 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Share of the process's memory that keys and their results may take; the rest is for what is open.
+/// Share of the process's memory that idempotency keys and their results may take; the rest is for open
+/// requests.
 const VOLATILE_MEMORY_SHARE: f64 = 0.5;
-/// Counts beyond this are absurd: cores, callers, megabytes.
+/// Maximum of a count, such as cores, callers or megabytes. A higher one is taken for a mistake.
 const MAX_COUNT: f64 = 1e6;
-/// Quantities beyond this are absurd: weights, kilobytes.
+/// Maximum of a quantity, such as a weight or kilobytes. A higher one is taken for a mistake.
 const MAX_QUANTITY: f64 = MAX_COUNT * MAX_COUNT;
 
-/// Checks a configuration as it was read, and puts it into the code's types.
+/// Checks a configuration as it was read, and converts it. The fields `file`, `script` and `operators` are
+/// left empty, for the caller to set.
 pub(super) fn validate(raw: RawConfig) -> Result<Config, ConfigError> {
     let name = raw.name.unwrap_or_default();
     if name.is_empty() || name.contains(char::is_whitespace) {
@@ -76,12 +78,12 @@
     optional_address(key, text)?.map_or_else(|| invalid(key, Problem::Missing), Ok)
 }
 
-/// A quantity that is `min` at least.
+/// Checks that a quantity is from `min` to [`MAX_QUANTITY`].
 fn quantity(key: &str, value: f64, min: f64) -> Result<f64, ConfigError> {
     if (min..=MAX_QUANTITY).contains(&value) { Ok(value) } else { invalid(key, Problem::OutOfRange) }
 }
 
-/// A number of things that is `min` at least.
+/// Checks that a count is from `min` to [`MAX_COUNT`], and rounds it down to an integer.
 fn count(key: &str, value: f64, min: f64) -> Result<u32, ConfigError> {
     if (min..=MAX_COUNT).contains(&value) { Ok(value as u32) } else { invalid(key, Problem::OutOfRange) }
 }
@@ -149,7 +151,8 @@
         signal_retention: Span(extra.signal_retention),
         max_retry_after: raw.caps.sends_retry_after.then_some(Span(raw.caps.max_retry_after)),
         caller_idle: Span(extra.caller_idle),
-        // On this protocol a request that is served with the result of another one's run counts as lost: reads share nothing.
+        // Reads share no results: with this protocol, a request that is answered with the result of another
+        // request's run counts as lost.
         cache_ttl: Span(0),
         deep_health_checks: extra.deep_health_checks,
         list_follows_health: extra.list_follows_health,
--- a/crates/node/src/kernel/mod.rs
+++ b/crates/node/src/kernel/mod.rs
@@ -1,11 +1,14 @@
-//! The link to the kernel: commands that survive a reconnect, and notices that are applied once.
+//! The link to the kernel: resends commands after a reconnect, and delivers each notice once.
 //!
-//! Notices are numbered. After a reconnect the kernel repeats those after the last one read, and repeated ones are passed over.
-//! A command is kept until the kernel has shown that it read it: by ending the run, by asking for its call, or by answering a
-//! question asked after it. After a reconnect, commands that are still kept are sent again, once all repeated notices are in:
-//! what these show to be done is not sent again.
+//! The kernel numbers its notices. After a reconnect it repeats the notices after the last one that the node
+//! read; a notice that was read before is skipped. The node keeps a command until the kernel has shown that
+//! it read the command: by ending the run, by requesting the run's outbound call, or by answering a question
+//! that was sent after the command. After a reconnect, the node first reads all repeated notices, and then
+//! resends the commands that it still keeps: commands that the repeated notices show to be done are not
+//! resent.
 //!
-//! It does not guarantee that a command is carried out: the kernel may have died. It decides nothing.
+//! The link does not guarantee that a command is carried out, as the kernel may have died. It makes no
+//! decision about runs.
 
 mod protocol;
 
@@ -20,57 +23,62 @@
 
 pub use protocol::{BadLine, CommandKind, Line, MAX_LINE_BYTES, Notice, parse_line};
 
-/// Most commands kept for a link that is down. Past this many the oldest are surely of no more use: their requests were due
-/// long ago.
+/// Maximum number of commands kept until the kernel has shown that it read them. Beyond it the oldest command
+/// is dropped: only a link that is down for long lets so many gather, and by then the deadline of the oldest
+/// request has long passed.
 const MAX_UNCONFIRMED: usize = 8192;
 
-/// A command that the kernel has perhaps not read.
+/// A command that the kernel may not have read.
 #[derive(Debug)]
 struct Unconfirmed {
-    /// The answer to the question with this ticket, or a later one, shows that it was read.
+    /// An answer to the question with this ticket, or with a higher one, shows that the kernel read the
+    /// command.
     confirming_ticket: u64,
     id: RequestId,
     text: String,
 }
 
-/// The state of the link to a kernel, for another process to go on with the runs there. Passed on in a hand-over: names and
-/// order of the fields are its bytes.
+/// The state of the link to a kernel, with which the successor continues the runs of that kernel. Serialised
+/// in a hand-over, whose format includes the names and the order of the fields.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KernelSnapshot {
-    /// The kernel's address.
+    /// Address at which the kernel listens.
     #[serde(rename = "to")]
     address: SocketAddr,
     #[serde(rename = "cursor")]
     last_cursor: u64,
     #[serde(rename = "unread")]
     unconfirmed: Vec<(RequestId, String)>,
-    /// The runs that it reports on there.
+    /// Requests whose runs this kernel executes and reports on.
     pub runs: Vec<RequestId>,
 }
 
-/// The link to the kernel.
+/// The link to one kernel, with the commands that the kernel may not have read.
 #[derive(Debug)]
 pub struct Kernel<S: System> {
     link: Link<S>,
     key: usize,
     system: S,
-    /// Links so far, so that what was asked on an earlier one can be asked again.
+    /// Number of times the link came up. Shows that a question was sent on an earlier link and has to be
+    /// repeated.
     link_number: u64,
     /// Number of the last notice read.
     last_cursor: u64,
     unconfirmed: VecDeque<Unconfirmed>,
-    /// Of the last question.
+    /// Ticket of the last question; tickets count up from 1.
     last_ticket: u64,
-    /// Names of the gauges, in the order of the kernel.
+    /// Names of the gauges, in the order in which the kernel sends their values.
     gauge_names: Vec<String>,
-    /// After a reconnect: the question whose answer shows that all repeated notices are in.
+    /// After a reconnect: ticket of the question whose answer shows that all repeated notices have been read.
+    /// `None` once it is answered.
     barrier_ticket: Option<u64>,
-    /// It has reported on the present link that it is up.
+    /// Whether the kernel has reported on the present link that it is up.
     booted: bool,
 }
 
 impl<S: System> Kernel<S> {
-    /// A kernel that is not linked yet.
+    /// Creates a link that is not connected yet, to the kernel at `address`, watched under the poller key
+    /// `key`.
     pub fn new(address: SocketAddr, key: usize, system: &S, gauge_names: &[String]) -> Self {
         Kernel {
             link: Link::new(address, key, system),
@@ -88,7 +96,7 @@
 
     // ---- Hand-over and reload ------------------------------------------------------------------------
 
-    /// The state of the link, with these runs.
+    /// Returns the state of the link for a hand-over; `runs` are the requests that run on this kernel.
     pub fn snapshot(&self, runs: Vec<RequestId>) -> KernelSnapshot {
         let commands = self.unconfirmed.iter();
         KernelSnapshot {
@@ -99,8 +107,9 @@
         }
     }
 
-    /// The kernel of another process, not linked yet: its notices go on after the last one that was read there, and
-    /// commands that were perhaps not read are sent again.
+    /// Creates a link, not connected yet, to the kernel of the predecessor. The kernel's notices continue
+    /// after the last one that the predecessor read, and commands that the kernel may not have read are
+    /// resent.
     pub fn restore(snapshot: &KernelSnapshot, key: usize, system: &S) -> Self {
         let mut kernel = Kernel::new(snapshot.address, key, system, &[]);
         kernel.last_cursor = snapshot.last_cursor;
@@ -110,13 +119,13 @@
         kernel
     }
 
-    /// Breaks the link off; the next [`Kernel::on_timer`] makes a new one.
+    /// Closes the link; the next [`Kernel::on_timer`] connects again.
     pub fn unlink(&mut self) {
         self.relink(self.link.address());
     }
 
-    /// From now on the kernel is at this address; true if that is another one. The numbers of its notices go on, and commands
-    /// that the old link may have swallowed are sent again on the new one.
+    /// Replaces the address of the kernel, and returns whether it has changed. The numbers of the notices
+    /// continue, and commands that may have been lost with the old link are resent on the new one.
     pub fn move_to(&mut self, address: SocketAddr) -> bool {
         if self.link.address() == address {
             return false;
@@ -127,37 +136,39 @@
 
     fn relink(&mut self, address: SocketAddr) {
         self.link = Link::new(address, self.key, &self.system);
-        self.on_link_lost();
+        self.reset_link_state();
     }
 
-    fn on_link_lost(&mut self) {
+    fn reset_link_state(&mut self) {
         self.barrier_ticket = None;
         self.booted = false;
     }
 
     // ---- State ---------------------------------------------------------------------------------------
 
-    /// The number of the present link, or of the last one.
+    /// Number of the present link, or of the last one if the link is down; links count up from 1.
     pub fn link_number(&self) -> u64 {
         self.link_number
     }
 
-    /// Whether it has reported on the present link that it is up.
+    /// Whether the link is up, and the kernel has reported on it that it is up.
     pub fn is_booted(&self) -> bool {
         self.link.is_up() && self.booted
     }
 
-    /// Whether commands are sent at once.
+    /// Whether commands are sent at once: the kernel is up, and all notices that it repeats after a reconnect
+    /// have been read.
     pub fn is_linked(&self) -> bool {
         self.is_booted() && self.barrier_ticket.is_none()
     }
 
-    /// From now on it names its gauges so.
+    /// Sets the names of the gauges, in the order in which the kernel sends their values.
     pub fn set_gauges(&mut self, names: &[String]) {
         self.gauge_names = names.to_vec();
     }
 
-    /// The gauges that the engine knows, from values in the order of the kernel. One that is not finite counts as unknown.
+    /// Selects the gauges that the engine uses from `values`, which are in the order of the kernel. A gauge
+    /// that is not finite counts as unknown.
     pub fn gauges(&self, values: &[f64]) -> Gauges {
         let value_of = |name: &str| {
             let index = self.gauge_names.iter().position(|gauge| gauge == name)?;
@@ -173,41 +184,43 @@
 
     // ---- Commands ------------------------------------------------------------------------------------
 
-    /// Runs a request.
+    /// Commands the kernel to run a request of this class.
     pub fn run(&mut self, id: RequestId, class: &str, body: &[u8]) {
         self.command(id, protocol::run(id, class, body));
     }
 
-    /// Stops a run.
+    /// Commands the kernel to stop the run of a request.
     pub fn preempt(&mut self, id: RequestId) {
         self.command(id, protocol::preempt(id));
     }
 
-    /// Hands a run the reply to its call.
+    /// Passes the reply to an outbound call to the run that made the call, so that the run continues.
     pub fn complete_call(&mut self, id: RequestId, reply: &[u8]) {
         self.command(id, protocol::complete_call(id, reply));
     }
 
-    /// Has a run go on without the call that the notice of this number asked for. Sent twice it does no more than once: the
-    /// kernel distinguishes the calls of one run by that number.
+    /// Commands the kernel to continue a run without the outbound call that the notice with the number
+    /// `cursor` requested. The command is idempotent: the kernel distinguishes the calls of one run by that
+    /// number.
     pub fn skip_call(&mut self, id: RequestId, cursor: u64) {
         self.command(id, protocol::skip_call(id, cursor));
     }
 
-    /// Asks for the gauges.
+    /// Asks the kernel for the values of its gauges.
     pub fn request_gauges(&mut self) {
         self.last_ticket += 1;
         self.send(&protocol::read_gauges(self.last_ticket));
     }
 
-    /// Asks for the work of a deep check; returns its ticket.
+    /// Asks the kernel to do the work of a deep health check; returns the ticket of the question.
     pub fn request_deep_check(&mut self) -> u64 {
         self.last_ticket += 1;
         self.send(&protocol::deep_check(self.last_ticket));
         self.last_ticket
     }
 
-    /// Sends a command now if that can be, and keeps it until it is known to be read.
+    /// Sends a command at once if [`Kernel::is_linked`], and keeps it until the kernel has shown that it read
+    /// the command.
     fn command(&mut self, id: RequestId, text: String) {
         if self.is_linked() {
             self.send(&text);
@@ -227,7 +240,7 @@
 
     // ---- Notices -------------------------------------------------------------------------------------
 
-    /// The poller has something for this link.
+    /// Handles an event of the poller for this link; returns how the state of the link changed, if it did.
     pub fn ready(
         &mut self,
         now: Timestamp,
@@ -239,13 +252,13 @@
         if change == Some(Change::Up) {
             counters.kernel_links += 1;
             self.link_number += 1;
-            self.on_link_lost();
+            self.reset_link_state();
             self.send(&protocol::open(self.last_cursor));
         }
         change
     }
 
-    /// The next notice that was read and is new; repeated ones are passed over.
+    /// Returns the next new notice from the input. Skips repeated notices and lines that are no notices.
     pub fn next(&mut self, counters: &mut Counters) -> Option<Notice> {
         loop {
             let (length, cursor, notice) = match parse_line(self.link.input()) {
@@ -260,7 +273,7 @@
             self.link.consume(length);
             counters.notices_read += 1;
             if let Some(cursor) = cursor {
-                // Guards against applying a notice twice that comes again after a reconnect.
+                // The kernel repeats notices after a reconnect; each must be applied only once.
                 if cursor <= self.last_cursor {
                     counters.notices_repeated += 1;
                     continue;
@@ -276,13 +289,15 @@
         }
     }
 
-    /// Learns from a notice which commands were read.
+    /// Drops the commands that a notice shows to have been read, and resends the others once a reconnect is
+    /// complete.
     fn confirm_commands(&mut self, notice: &Notice, counters: &mut Counters) {
         match notice {
             Notice::Booted { .. } => {
                 self.booted = true;
-                // What was sent on the link before may be unread. All notices come again before the answer to this, and what
-                // they show to be done is not sent again.
+                // The kernel may not have read the commands that were sent on the previous link. It repeats
+                // all notices before it answers this question, and commands that they show to be done are not
+                // resent.
                 self.request_gauges();
                 self.barrier_ticket = Some(self.last_ticket);
             }
@@ -315,7 +330,7 @@
 
     // ---- The link ------------------------------------------------------------------------------------
 
-    /// Keeps the link up.
+    /// Connects if the link is down, and gives up an attempt to connect that takes too long.
     pub fn on_timer(&mut self, now: Timestamp) -> Option<Change> {
         self.link.on_timer(now).or_else(|| self.link.connect(now))
     }
@@ -325,11 +340,11 @@
         self.link.next_wakeup(true)
     }
 
-    /// Writes what can be written.
+    /// Ends an iteration: writes queued bytes, and reports a link that has broken.
     pub fn flush(&mut self, now: Timestamp) -> Option<Change> {
         let change = self.link.flush(now);
         if change.is_some() {
-            self.on_link_lost();
+            self.reset_link_state();
         }
         change
     }
--- a/crates/node/src/kernel/protocol.rs
+++ b/crates/node/src/kernel/protocol.rs
@@ -1,7 +1,8 @@
 //! The kernel's protocol: JSON lines in both directions.
 //!
-//! The one place where its words (`SCHED`, `REAP`, `fate`, ...) become the code's terms. A line that is no notice is an error
-//! of its own and harms no other; a line without an end in bounds means that the framing is lost.
+//! This is the only place where the words of the protocol (`SCHED`, `REAP`, `fate`, ...) become the code's
+//! terms. An invalid line is an error that does not affect other lines. A line that exceeds the maximum
+//! length means that the framing is lost.
 
 use crate::request::{format_request_id, parse_request_id};
 use base64::Engine as _;
@@ -12,68 +13,72 @@
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// Most bytes of a line, with its end. The result of a run has at most 4 KiB, which take under 6 KiB in base64.
+/// Maximum length of a line in bytes, including the line feed. The result of a run has at most 4 KiB, which
+/// take less than 6 KiB in base64.
 pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// A notice of the kernel.
+/// A notice of the kernel: one valid line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// BOOTED: it is up since so long ago.
+    /// BOOTED: the kernel is up.
     Booted {
-        /// It is slow at first.
+        /// Whether the kernel has just started and is slow at first.
         cold: bool,
-        /// How long ago it started.
+        /// Time since the kernel started; 0 if it does not state it.
         age: Micros,
     },
-    /// REAP: a run is over.
+    /// REAP: the run of a request has ended with an outcome.
     RunEnded(RequestId, RunOutcome),
     /// IOREQ: a run waits for an outbound call.
     CallRequested {
-        /// The run's request.
+        /// Request of the run.
         id: RequestId,
-        /// The number of this notice, which distinguishes the calls of one run.
+        /// Number of this notice, which distinguishes the calls of one run.
         cursor: u64,
-        /// The body of the call.
+        /// Body of the call, to be sent to the store.
         body: Vec<u8>,
     },
-    /// INFO: the gauges, in the order of the settings, with the ticket of the question.
+    /// INFO: the ticket of the question that this notice answers, and the values of the gauges in the order
+    /// of the settings.
     Gauges(u64, Vec<f64>),
-    /// POSTED: the work of the deep check with this ticket ended, well or not.
+    /// POSTED: the work of the deep health check with this ticket has ended; `true` if it succeeded.
     DeepCheckEnded(u64, bool),
-    /// EINVAL: a command was not carried out.
+    /// EINVAL: the kernel did not carry out a command. Contains the request that the command was for, if
+    /// known.
     CommandRejected(CommandKind, Option<RequestId>),
-    /// DMESG: a remark for people.
+    /// DMESG: a remark for people, which the node ignores.
     Remark,
 }
 
-/// Which command was not carried out.
+/// Kind of a command that the kernel did not carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandKind {
     /// SCHED: run a request.
     Run,
-    /// NOIO: go on without a call.
+    /// NOIO: continue a run without its outbound call.
     SkipCall,
-    /// Any other.
+    /// Any other command.
     Other,
 }
 
-/// A line that is no notice.
+/// The line is not a valid notice: it is not JSON, its event is unknown, or a field is missing or malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a line of the kernel that is no notice")]
+#[error("line from the kernel is not a valid notice")]
 pub struct BadLine;
 
-/// What the front of a buffer holds.
+/// Result of parsing the start of a buffer as a line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Line {
-    /// No complete line yet.
+    /// The line is not complete yet.
     Incomplete,
-    /// More than a line may have, without its end: the framing is lost.
+    /// The line exceeds [`MAX_LINE_BYTES`]: the framing is lost.
     TooLong,
-    /// A line of that many bytes, its number if it has one, and its notice.
+    /// A complete line: its length in bytes including the line feed, the number of the notice if the line has
+    /// one, and the notice.
     Complete(usize, Option<u64>, Result<Notice, BadLine>),
 }
 
-/// A notice as it comes, under the protocol's names.
+/// A notice as it is read, before its fields are checked. The serialised names are those of the protocol.
 #[derive(Deserialize)]
 struct RawNotice<'a> {
     #[serde(borrow)]
@@ -144,7 +149,7 @@
     }
 }
 
-/// Reads the line at the start of `buffer`.
+/// Parses the line at the start of `buffer`.
 pub fn parse_line(buffer: &[u8]) -> Line {
     let Some(end) = buffer.iter().take(MAX_LINE_BYTES).position(|byte| *byte == b'\n') else {
         return if buffer.len() >= MAX_LINE_BYTES { Line::TooLong } else { Line::Incomplete };
@@ -155,12 +160,13 @@
     }
 }
 
-/// The first line on a link: notices after this one are wanted.
+/// Encodes the first line on a link: the kernel is to send the notices after the one with the number
+/// `last_cursor`.
 pub(super) fn open(last_cursor: u64) -> String {
     format!(r#"{{"event":"OPEN","cursor":{last_cursor}}}"#)
 }
 
-/// Run a request.
+/// Encodes the command to run a request of a class with this body.
 pub(super) fn run(id: RequestId, class: &str, body: &[u8]) -> String {
     let handle = format_request_id(id);
     let entry = serde_json::Value::from(class);
@@ -168,31 +174,33 @@
     format!(r#"{{"event":"SCHED","handle":"{handle}","entry":{entry},"arg":"{arg}"}}"#)
 }
 
-/// Stop a run.
+/// Encodes the command to stop the run of a request.
 pub(super) fn preempt(id: RequestId) -> String {
     let handle = format_request_id(id);
     format!(r#"{{"event":"PREEMPT","handle":"{handle}"}}"#)
 }
 
-/// Hand a run the reply to its call.
+/// Encodes the command that passes the reply to an outbound call to the run that made the call.
 pub(super) fn complete_call(id: RequestId, reply: &[u8]) -> String {
     let handle = format_request_id(id);
     let arg = STANDARD.encode(reply);
     format!(r#"{{"event":"IODONE","handle":"{handle}","arg":"{arg}"}}"#)
 }
 
-/// Have a run go on without the call that the notice of this number asked for.
+/// Encodes the command to continue a run without the outbound call that the notice with the number `cursor`
+/// requested.
 pub(super) fn skip_call(id: RequestId, cursor: u64) -> String {
     let handle = format_request_id(id);
     format!(r#"{{"event":"NOIO","handle":"{handle}","cursor":{cursor}}}"#)
 }
 
-/// Ask for the gauges.
+/// Encodes the question for the values of the gauges; the answer repeats the ticket.
 pub(super) fn read_gauges(ticket: u64) -> String {
     format!(r#"{{"event":"SYSINFO","ticket":"{ticket}"}}"#)
 }
 
-/// Ask for the work of a deep check.
+/// Encodes the question that has the kernel do the work of a deep health check; the answer repeats the
+/// ticket.
 pub(super) fn deep_check(ticket: u64) -> String {
     format!(r#"{{"event":"POST","ticket":"{ticket}"}}"#)
 }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,28 +1,35 @@
-//! A request as its records come in: CGI parameters, then the body.
+//! Assembles one request from the FastCGI records that a gateway sends: CGI parameters first, then the body.
 //!
-//! The one place where the gateways' CGI variables become the engine's terms. Parameters are parsed in place as far as each pair
-//! lies in one record. Everything is bounded; what is missing, malformed or too long fails that request with a 4xx status, at
-//! once where the rest need not be waited for. It decides nothing about a request that is well-formed.
+//! This is the only place where the gateways' CGI variables become the engine's terms. A name-value pair that
+//! lies in one record is parsed in place; only a pair that is split across records is copied. All sizes are
+//! bounded. A parameter that is missing, malformed or too long fails only its own request, with a 4xx status,
+//! and without waiting for the rest of the request where the records read so far already show the error. This
+//! module makes no decision about well-formed requests.
 
 use super::fastcgi;
 use gaugestand_admission::RequestId;
 use gaugestand_admission::time::{Micros, UnixTime};
 use serde::{Deserialize, Serialize};
 
-/// Most bytes of a body: bookings are small, and each body is kept until its run.
+/// Maximum size of a request's body, in bytes. Bookings are small, and the node keeps each body until its
+/// run.
 pub const MAX_BODY_BYTES: usize = 2048;
-/// Most bytes of all parameters. Gateways send a few hundred; the rest of a request beyond this is not read.
+/// Maximum size of all parameters of a request together, in bytes. Gateways send a few hundred bytes; the
+/// rest of a request that exceeds the limit is not read.
 const MAX_PARAMS_BYTES: usize = 16 * 1024;
-/// Most bytes of a name-value pair that lies across records, and has to be copied; longer ones must come in one record.
+/// Maximum number of bytes kept of a name-value pair that is split across records, which has to be copied. A
+/// longer pair must come in one record.
 const MAX_SPLIT_PAIR_BYTES: usize = 4096;
-/// Most bytes of an idempotency key.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 64;
-/// No caller waits, and no request works, for as long as this, in milliseconds: some eleven days.
+/// Work hints and caller timeouts must be below this many milliseconds, about eleven days: no request works,
+/// and no caller waits, that long.
 const MAX_DURATION_MS: f64 = 1e9;
-/// No request takes as much memory as this while it is queued, in kilobytes.
+/// The memory that a request states for its time in the queue must be below this many kilobytes: no request
+/// takes that much.
 const MAX_QUEUED_KB: f64 = 2000.0;
 
-/// The CGI variables that matter here, as gateways name them.
+/// Names of the CGI variables that the node reads, as gateways send them.
 mod cgi {
     pub(super) const METHOD: &[u8] = b"REQUEST_METHOD";
     pub(super) const PATH: &[u8] = b"SCRIPT_NAME";
@@ -39,38 +46,41 @@
     pub(super) const RESOURCE_KEY: &[u8] = b"HTTP_X_ROW";
 }
 
-/// The path of health checks.
+/// Path of a health check.
 const HEALTH_CHECK_PATH: &str = "/status/live";
-/// The part of a health check's query that asks for a deep one.
+/// Element of a health check's query string that requests a deep check.
 const DEEP_CHECK_QUERY: &[u8] = b"engine=1";
-/// What comes before the class in the path of an attempt.
+/// Prefix of the path of an attempt; the name of the class follows it.
 const CLASS_PATH_PREFIX: &str = "/svc/";
 
-/// Why a request fails before the engine decides on it, or as it turns out to contradict an earlier one.
+/// Why the node answers a request with a 4xx status: the request is invalid, or it conflicts with an earlier
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// A parameter is missing or cannot be read; the header that it came from, or what is wrong.
+    /// A parameter is missing or malformed. Contains the HTTP header that the parameter comes from, or a
+    /// description of the malformed part.
     #[error("{0} is missing or malformed")]
     Malformed(&'static str),
-    /// No such path or class.
-    #[error("no such path or class")]
+    /// The path is neither that of health checks nor that of a class of the settings.
+    #[error("the path is neither that of health checks nor that of a known class")]
     NotFound,
-    /// The method is not POST.
+    /// The request is an attempt, and its method is not POST.
     #[error("the method is not POST")]
     MethodNotAllowed,
-    /// The body or a parameter is too long.
-    #[error("the body or the parameters are too long")]
+    /// The body, the parameters together or a split parameter exceed their maximum size.
+    #[error("the body or the parameters exceed their maximum size")]
     TooLong,
-    /// Its idempotency key is that of a request with another body.
-    #[error("the idempotency key is that of a request with another body")]
+    /// The request has the idempotency key of an earlier request, but another body.
+    #[error("the idempotency key belongs to an earlier request with another body")]
     KeyConflict,
-    /// The rest of it does not come.
+    /// The rest of the request did not arrive in time.
     #[error("the rest of the request did not come in time")]
     Incomplete,
 }
 
 impl RequestError {
-    /// The CGI status of the answer. None of them is that of a rejection, which would promise that the request never ran.
+    /// Status line of the answer to a request that failed with this error. It is never the status of a
+    /// rejection (503), which would promise that the request never ran.
     pub fn status(self) -> &'static str {
         match self {
             RequestError::Malformed(_) => "400 Bad Request",
@@ -83,7 +93,8 @@
     }
 }
 
-/// The parameters that have come so far. Serialised with an incomplete request in a hand-over.
+/// The parameters of a request that have been read so far. Serialised with an incomplete request in a
+/// hand-over.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Params {
     #[serde(rename = "method_post")]
@@ -111,98 +122,104 @@
     resource_key: Option<u64>,
 }
 
-/// What a complete request asks for.
+/// A complete and valid request.
 #[derive(Debug, PartialEq)]
 pub enum ParsedRequest {
-    /// Whether this node is in service; `true` if it is to show that work gets done.
+    /// A health check, which asks whether this node is in service. `true` for a deep check, which also asks
+    /// for proof that work gets done.
     HealthCheck(bool),
-    /// An attempt of a request.
+    /// An attempt, with its parameters.
     Attempt(Box<AttemptParams>),
 }
 
 /// The checked parameters of an attempt.
 #[derive(Debug, PartialEq)]
 pub struct AttemptParams {
-    /// Its id.
+    /// Id of the attempt.
     pub id: RequestId,
-    /// Index of its class.
+    /// Index of the attempt's class in the engine's settings.
     pub class: usize,
-    /// When it reached the machine, in Unix time.
+    /// Unix time at which the attempt reached the machine, as the gateway states it.
     pub ingress: UnixTime,
-    /// The number of the gateway it came through.
+    /// Number of the gateway that sent the attempt; 0 if the gateway does not state it.
     pub caller: u64,
-    /// Expected work.
+    /// Expected work on one core; `None` if the gateway states none, or 0.
     pub work_hint: Option<Micros>,
-    /// Memory that it takes while it is queued, in kilobytes.
+    /// Memory that the attempt takes while it is queued, in kilobytes.
     pub queued_kb: f64,
-    /// Its place in the order of shedding, from 0 to under 1.
+    /// Position in the shedding order, from 0 to below 1; 0 if the gateway does not state it.
     pub shed_order: f64,
-    /// For keyed classes: the key.
+    /// Idempotency key; always there for a keyed class, never for another.
     pub repeat_key: Option<String>,
-    /// How long its gateway waits, counted from `ingress`, where it says so.
+    /// How long the gateway waits for the answer, counted from `ingress`; `None` if the gateway does not
+    /// state it.
     pub caller_timeout: Option<Micros>,
-    /// Whether it is marked as a retry or a second copy.
+    /// Whether the gateway marked the attempt as a retry or a second copy.
     pub is_retry: bool,
-    /// What a read is about, where it says so.
+    /// Key of the resource that a read is about; `None` if the gateway does not state it, or for a keyed
+    /// class.
     pub resource_key: Option<u64>,
 }
 
-/// A request of which not all records have come. Passed on in a hand-over: names and order of the fields are its bytes.
+/// A request of which not all records have been read. Serialised in a hand-over, whose format includes the
+/// names and the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct IncomingRequest {
     params: Params,
-    /// The start of a pair whose rest lies in the next record.
+    /// The start of a name-value pair whose rest comes in the next record.
     #[serde(rename = "carry")]
     partial_pair: Vec<u8>,
     #[serde(rename = "params_size")]
     params_bytes: usize,
     params_ended: bool,
     body: Vec<u8>,
-    /// What is wrong with it. Answered with the record that shows it, so that none is there between two records.
+    /// The first error found in the request. Not part of a hand-over: the request is answered as soon as the
+    /// record that shows the error has been read, so that no request with an error is left between two
+    /// records.
     #[serde(skip)]
     #[serde(rename = "fault")]
     error: Option<RequestError>,
 }
 
-/// The id that these sixteen hexadecimal digits spell. The digits themselves are the id, so that upper and lower case differ
-/// and answers spell it as it came.
+/// Parses a request id of sixteen hexadecimal digits. The ASCII digits themselves are the id, so that upper
+/// and lower case differ, and answers spell the id as the request did. Returns `None` for any other text.
 pub fn parse_request_id(text: &[u8]) -> Option<RequestId> {
     let digits: [u8; 16] = text.try_into().ok()?;
     digits.iter().all(u8::is_ascii_hexdigit).then(|| RequestId(u128::from_be_bytes(digits)))
 }
 
-/// The sixteen digits of an id.
+/// Returns the sixteen hexadecimal digits of an id, spelled as in the request.
 pub fn format_request_id(id: RequestId) -> String {
     String::from_utf8_lossy(&id.0.to_be_bytes()).into_owned()
 }
 
-/// A decimal number from `min` to under `limit`.
+/// Parses a decimal number from `min` to below `limit`.
 fn parse_number(value: &[u8], min: f64, limit: f64) -> Option<f64> {
     let number: f64 = std::str::from_utf8(value).ok()?.parse().ok()?;
     (min..limit).contains(&number).then_some(number)
 }
 
-/// What a read is about: sixteen hexadecimal digits.
+/// Parses the key of the resource that a read is about: sixteen hexadecimal digits.
 fn parse_resource_key(value: &[u8]) -> Option<u64> {
     parse_request_id(value)?;
     u64::from_str_radix(std::str::from_utf8(value).ok()?, 16).ok()
 }
 
-/// A whole number.
+/// Parses a non-negative integer.
 fn parse_integer(value: &[u8]) -> Option<u64> {
     std::str::from_utf8(value).ok()?.parse().ok()
 }
 
-/// An idempotency key: visible ASCII, not empty, not too long.
+/// Parses an idempotency key: visible ASCII characters, at least 1 and at most [`MAX_KEY_BYTES`] of them.
 fn parse_repeat_key(value: &[u8]) -> Option<String> {
     let key = std::str::from_utf8(value).ok()?;
     let length_fits = (1..=MAX_KEY_BYTES).contains(&key.len());
-    let sound = length_fits && key.bytes().all(|byte| byte.is_ascii_graphic());
-    sound.then(|| key.to_string())
+    let is_valid = length_fits && key.bytes().all(|byte| byte.is_ascii_graphic());
+    is_valid.then(|| key.to_string())
 }
 
 impl Params {
-    /// Takes in one parameter; those that do not matter here are passed over.
+    /// Parses one parameter and keeps its value. Parameters that the node does not read are ignored.
     fn apply(&mut self, name: &[u8], value: &[u8]) -> Result<(), RequestError> {
         let malformed = RequestError::Malformed;
         match name {
@@ -255,7 +272,8 @@
         Ok(())
     }
 
-    /// What the parameters ask for once all are there. `class_of` finds the slot of a class, `keyed` says which are keyed.
+    /// Turns the parameters into a request, once all of them have been read. `class_of` returns the index of
+    /// the class with a name; `keyed` tells for each index whether the class is keyed.
     fn finish(
         self,
         class_of: impl Fn(&str) -> Option<usize>,
@@ -291,17 +309,17 @@
 }
 
 impl IncomingRequest {
-    /// The content of a PARAMS record; an empty one ends the parameters.
+    /// Adds the content of a PARAMS record. An empty content ends the parameters.
     pub fn params(&mut self, content: &[u8]) {
         self.params_bytes += content.len();
         if content.is_empty() {
             if !self.partial_pair.is_empty() {
-                self.fail(RequestError::Malformed("a parameter cut short"));
+                self.fail(RequestError::Malformed("the rest of the last parameter"));
             }
             self.partial_pair = Vec::new();
             self.params_ended = true;
         } else if self.params_ended {
-            self.fail(RequestError::Malformed("parameters after their end"));
+            self.fail(RequestError::Malformed("a PARAMS record after the end of the parameters"));
         } else if self.partial_pair.is_empty() {
             self.partial_pair = self.apply_pairs(content).to_vec();
         } else {
@@ -317,7 +335,7 @@
         }
     }
 
-    /// Takes in the complete pairs of `buffer`; returns what is left.
+    /// Applies the complete name-value pairs at the start of `buffer`, and returns the bytes after them.
     fn apply_pairs<'a>(&mut self, buffer: &'a [u8]) -> &'a [u8] {
         let mut rest = buffer;
         while let Some(pair) = fastcgi::parse_pair(rest) {
@@ -329,7 +347,8 @@
         rest
     }
 
-    /// The content of a STDIN record, or else of a PARAMS record; returns true if it ends the request.
+    /// Adds the content of a STDIN record if `stdin` is true, and of a PARAMS record otherwise. Returns
+    /// whether the record ends the request.
     pub fn take(&mut self, stdin: bool, content: &[u8]) -> bool {
         if stdin {
             return self.stdin(content);
@@ -338,7 +357,8 @@
         false
     }
 
-    /// The content of a STDIN record; returns true if it ends the request.
+    /// Adds the content of a STDIN record. Returns whether the record ends the request, which an empty one
+    /// does.
     pub fn stdin(&mut self, content: &[u8]) -> bool {
         if self.body.len() + content.len() > MAX_BODY_BYTES {
             self.fail(RequestError::TooLong);
@@ -348,7 +368,8 @@
         content.is_empty()
     }
 
-    /// What is wrong with it so far: it is answered without waiting for its end.
+    /// The first error found in the records read so far. A request with an error is answered without waiting
+    /// for the rest of it.
     pub fn error(&self) -> Option<RequestError> {
         self.error
     }
@@ -357,12 +378,13 @@
         self.error.get_or_insert(error);
     }
 
-    /// What the complete request asks for, and its body; `class_of` finds the slot of a class, `keyed` says which are keyed.
+    /// Returns the complete request and its body. `class_of` returns the index of the class with a name;
+    /// `keyed` tells for each index whether the class is keyed.
     ///
     /// # Errors
-    /// The error that was found while the request was read, or one of its parameters: missing, malformed, or
-    /// naming no known path or class. The request is answered with [`RequestError::status`] and never reaches
-    /// the engine.
+    /// The first error that was found while the records were read, or else an error of the parameters: one is
+    /// missing, the path is unknown, or the method is not POST. The request is answered with
+    /// [`RequestError::status`] and never reaches the engine.
     pub fn finish(
         self,
         class_of: impl Fn(&str) -> Option<usize>,
@@ -370,7 +392,7 @@
     ) -> Result<(ParsedRequest, Vec<u8>), RequestError> {
         match self.error {
             Some(error) => Err(error),
-            None if !self.params_ended => Err(RequestError::Malformed("parameters without an end")),
+            None if !self.params_ended => Err(RequestError::Malformed("the end of the parameters")),
             None => Ok((self.params.finish(class_of, keyed)?, self.body)),
         }
     }
--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -1,7 +1,7 @@
-//! CGI responses, cut into FastCGI records.
+//! CGI responses, encoded as FastCGI records.
 //!
-//! The one place where the node's advice to gateways (capacity, when to come back, whether to try another node) becomes
-//! headers.
+//! This is the only place where the node's advice to gateways becomes headers: its capacity (`X-Capacity`),
+//! how long to send nothing (`X-Throttle-Ms`) and whether to try another node (`X-Give-Up`).
 
 use super::fastcgi::{self, protocol_status, record_type};
 use super::write_queue::WriteQueue;
@@ -9,43 +9,43 @@
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-/// Most bytes of a record's content.
+/// Maximum size of the content of a FastCGI record, in bytes.
 const MAX_CONTENT_BYTES: usize = 0xffff;
 
-/// Statuses of CGI responses, with their reasons.
+/// Status lines of CGI responses: the status code and the reason phrase.
 pub mod http_status {
-    /// The result of a run, or a health check that passed.
+    /// The response contains the result of a run, or a health check has passed.
     pub const OK: &str = "200 OK";
     /// The attempt failed; it may have run.
     pub const INTERNAL_SERVER_ERROR: &str = "500 Internal Server Error";
     /// The gateway has aborted the request.
     pub const ABORTED: &str = "500 Aborted";
-    /// The attempt never ran, or a health check failed.
+    /// The attempt was rejected and never ran, or a health check has failed.
     pub const SERVICE_UNAVAILABLE: &str = "503 Service Unavailable";
 }
 
-/// A CGI response.
+/// The CGI response to one request.
 #[derive(Debug)]
 pub struct Response<'a> {
-    /// Status with its reason.
+    /// Status line: the status code and the reason phrase.
     pub status: &'a str,
-    /// The capacity that the engine announces, where it does.
+    /// Capacity that the engine announces to the gateway; `None` if it announces none.
     pub capacity: Option<f64>,
-    /// How long the gateway is to send nothing; zero for no advice.
+    /// How long the gateway should send nothing to this node; zero for no advice.
     pub retry_after: Micros,
-    /// Asks the gateway to try no other node.
+    /// Whether the gateway is asked not to retry the request at another node.
     pub no_retry_elsewhere: bool,
-    /// The body.
+    /// Body, as shared bytes that are queued without a copy; may be empty.
     pub body: Rc<[u8]>,
 }
 
 impl Response<'_> {
-    /// A response with nothing but a status.
+    /// A response with an empty body and no advice except for the capacity.
     pub fn plain(status: &str, capacity: Option<f64>) -> Response<'_> {
         Response { status, capacity, retry_after: Micros(0), no_retry_elsewhere: false, body: Rc::from([]) }
     }
 
-    /// Whether it carries a result.
+    /// Whether the status is 200: the response contains a result, or a health check has passed.
     pub fn is_success(&self) -> bool {
         self.status.starts_with("200")
     }
@@ -66,11 +66,12 @@
         head
     }
 
-    /// Queues the response and the end of its request.
+    /// Queues the STDOUT records of the response, and the END_REQUEST record that ends request `fcgi_id`.
     pub fn enqueue(&self, fcgi_id: u16, queue: &mut WriteQueue) {
         let head = self.head();
         let body_bytes = self.body.len();
-        // Head and body share the first record; what does not fit takes further ones.
+        // The head and the start of the body share the first record; the rest of the body takes further
+        // records.
         let first = body_bytes.min(MAX_CONTENT_BYTES - head.len().min(MAX_CONTENT_BYTES));
         let mut start = stdout_header(fcgi_id, head.len() + first);
         start.extend(head.as_bytes());
--- a/crates/node/src/store/connection.rs
+++ b/crates/node/src/store/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the store, with the calls that are out on it.
+//! One connection to the store, with its outstanding calls.
 
 use super::protocol::{self, Reply};
 use super::{EndedCall, IDLE_TIMEOUT, PARTIAL_REPLY_TIMEOUT, REPLY_GRACE};
@@ -11,12 +11,14 @@
 use std::collections::BTreeMap;
 use std::mem;
 
+/// An outstanding outbound call.
 #[derive(Debug)]
 pub(super) struct Call {
     started_at: Timestamp,
     timeout: Micros,
     body: Vec<u8>,
-    /// Where it starts in the link's stream, once it is queued there.
+    /// Position of the call's first byte in the bytes sent on the link; `None` until the call is queued
+    /// there.
     stream_position: Option<u64>,
 }
 
@@ -25,12 +27,12 @@
         Call { started_at: now, timeout, body, stream_position: None }
     }
 
-    /// When it has run out of time without a reply.
+    /// When the call ends if there is no reply: its timeout and [`REPLY_GRACE`] have passed.
     pub(super) fn expires_at(&self) -> Timestamp {
         self.started_at.plus(self.timeout).plus(REPLY_GRACE)
     }
 
-    /// Whether it was handed to the link.
+    /// Whether the call was queued on the link.
     pub(super) fn was_sent(&self) -> bool {
         self.stream_position.is_some()
     }
@@ -46,18 +48,18 @@
     }
 }
 
-/// One connection with the calls that are out on it.
+/// One connection to the store, with its outstanding calls by request.
 #[derive(Debug)]
 pub(super) struct StoreConnection<S: System> {
     pub(super) link: Link<S>,
     pub(super) calls: BTreeMap<RequestId, Call>,
-    /// Tells it apart from earlier connections under the same key.
+    /// Serial number, which distinguishes the connection from earlier ones with the same poller key.
     pub(super) serial: u64,
-    /// Last time that a call or a reply passed.
+    /// When a call was last sent or a reply was last read.
     pub(super) last_active: Timestamp,
-    /// When a part of a reply has last come, of which the rest is still to come.
+    /// When more of the reply that is being read last arrived; `None` if no reply is partly read.
     pub(super) partial_since: Option<Timestamp>,
-    /// Takes no more calls: its address is out of date, or a reply never came on it.
+    /// Whether the connection takes no more calls: its address is outdated, or a call on it got no reply.
     pub(super) retired: bool,
 }
 
@@ -67,7 +69,7 @@
         StoreConnection { link, calls, serial, last_active: now, partial_since: None, retired: false }
     }
 
-    /// When it needs attention although nothing comes.
+    /// When the earliest timeout of the connection, its calls or its link expires.
     pub(super) fn next_wakeup(&self) -> Option<Timestamp> {
         let call = self.calls.values().map(Call::expires_at).min();
         let partial_reply = self.partial_since.map(|since| since.plus(PARTIAL_REPLY_TIMEOUT));
@@ -75,21 +77,22 @@
         [call, partial_reply, idle, self.link.next_wakeup(true)].into_iter().flatten().min()
     }
 
-    /// Queues the calls that are not on the link yet, if it is up.
+    /// Queues on the link the calls that are not queued yet, if the link is up.
     pub(super) fn send(&mut self, now: Timestamp, counters: &mut Counters) {
         if !self.link.is_up() {
             return;
         }
         self.last_active = now;
         for (id, call) in self.calls.iter_mut().filter(|(_, call)| !call.was_sent()) {
-            // What the wait for the link took is off the time of the call.
+            // The time that the call waited for the link counts towards its timeout.
             let left_ms = call.started_at.plus(call.timeout).since(now).0 / 1000;
             call.stream_position = Some(self.link.send(protocol::call(*id, left_ms.max(1), &call.body)));
             counters.calls_sent += 1;
         }
     }
 
-    /// Takes the replies that were read, and appends the calls that they end; `has_read` if anything was read just now.
+    /// Parses the replies in the input, and appends the calls that they end to `ended`. `has_read` tells
+    /// whether the socket was read just before.
     pub(super) fn take_replies(
         &mut self,
         now: Timestamp,
@@ -102,7 +105,7 @@
                 Reply::Incomplete => break,
                 Reply::Invalid => {
                     counters.lines_bad += 1;
-                    // What was read makes no sense, and nothing after it can be trusted.
+                    // The framing is lost: nothing that follows on this connection can be interpreted.
                     self.link.sever();
                     break;
                 }
@@ -118,17 +121,18 @@
             }
             self.last_active = now;
         }
-        // Counts from the last of it that came: a reply may come in pieces, and lasts no longer than its call.
+        // The timeout of a partial reply counts from its latest piece: a reply may arrive in many pieces, and
+        // its total time is bounded by the timeout of the call.
         let since = self.partial_since.filter(|_| !has_read).unwrap_or(now);
         self.partial_since = Some(since).filter(|_| !self.link.input().is_empty());
     }
 
-    /// Ends all calls as the link went down.
+    /// Ends all calls after the link went down, and appends them to `ended`.
     pub(super) fn fail_all(&mut self, now: Timestamp, change: Change, ended: &mut Vec<EndedCall>) {
         let written = self.link.written();
         for (id, call) in mem::take(&mut self.calls) {
             let outcome = match call.stream_position {
-                // A broken link proves nothing of what was sent; what was not sent never ran.
+                // If the link broke, a call that was sent may have run; a call that was not sent never ran.
                 Some(position) if change == Change::Broken && position < written => CallOutcome::Broken,
                 _ => CallOutcome::Unreachable,
             };
@@ -136,18 +140,19 @@
         }
     }
 
-    /// Appends the calls that have run out of time; they are still out.
+    /// Appends the calls that have timed out to `expired`. They stay outstanding until the caller drops them.
     pub(super) fn collect_expired(&mut self, now: Timestamp, expired: &mut Vec<EndedCall>) {
         for (id, call) in self.calls.iter().filter(|(_, call)| now >= call.expires_at()) {
-            // One whose time ran out before the connection was made was never sent: it never ran.
+            // A call that timed out before the connection was made was never sent, so it never ran.
             let outcome = if call.was_sent() { CallOutcome::TimedOut } else { CallOutcome::Unreachable };
             expired.push(call.ended(now, *id, outcome, None));
-            // Guards against a connection that has gone quiet: not even the end of the time was reported on it.
+            // The store did not even report the timeout: the connection may be dead and takes no more calls.
             self.retired = true;
         }
     }
 
-    /// Whether it was made, or tried to be, for nothing that is still wanted.
+    /// Whether the connection can be closed: it has no calls, and it is retired or was inactive for
+    /// [`IDLE_TIMEOUT`].
     pub(super) fn is_idle(&self, now: Timestamp) -> bool {
         self.calls.is_empty() && (self.retired || now.since(self.last_active) >= IDLE_TIMEOUT)
     }
--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -1,11 +1,13 @@
-//! Outbound calls to the next tier, the store: a pool of connections and the calls that are out on them.
+//! Outbound calls to the next tier, the store: a pool of connections and the outstanding calls on them.
 //!
-//! Each connection has one call at a time while there are connections left, since an invalid reply costs all calls on its
-//! connection. A reply counts only on the connection that has the call, and no connection has two calls of one run: a second
-//! copy of the first reply would pass for the reply to the second call.
+//! Each connection carries one call at a time as long as further connections can be made, since an invalid
+//! reply fails all calls on its connection. A reply counts only on the connection that carries the call, and
+//! no connection ever carries two calls of one run: a duplicate of the reply to the first call would be taken
+//! for the reply to the second one.
 //!
-//! Guarantees that every call ends once, with [`EndedCall`], or is given up by [`Store::drop_call`]; a call is `Unreachable` only
-//! if it surely never ran. It repeats nothing: that is the engine's to decide.
+//! Guarantees that every call ends once, with [`EndedCall`], or is given up by [`Store::drop_call`]. A call
+//! ends as `Unreachable` only if it certainly never ran. The pool never retries a call: that is a decision of
+//! the engine.
 
 mod connection;
 mod protocol;
@@ -23,57 +25,60 @@
 
 pub use protocol::{MAX_BODY_BYTES, MAX_LINE_BYTES, Reply, ReplyStatus, parse_reply};
 
-/// A connection without a call for this long is closed. Guards against the other side's forgetting it: a call on one that is
-/// forgotten, or that crosses its close, is lost and proves nothing; a new connection costs little.
+/// Time after the last activity at which a connection without calls is closed. It guards against connections
+/// that the other side has dropped: a call on such a connection, or one that crosses the close of the other
+/// side, is lost, and whether it ran is unknown. A new connection costs little.
 const IDLE_TIMEOUT: Micros = Micros::millis(100);
-/// A reply that has not come this long after the call's time counts as late. The store reports the end of the time itself, and
-/// this leaves it time to.
+/// Time from the timeout of a call until a missing reply counts as late. The store itself reports that a call
+/// has timed out, and this grace leaves it time to do so.
 const REPLY_GRACE: Micros = Micros::millis(200);
-/// A reply of which a part has come is invalid if nothing more of it comes for this long.
+/// A reply that has arrived in part counts as invalid if no more of it arrives for this long.
 const PARTIAL_REPLY_TIMEOUT: Micros = Micros::millis(250);
-/// Most connections, whatever the descriptors.
+/// Maximum number of connections to the store, however many descriptors the node may have.
 pub const MAX_CONNECTIONS: usize = 64;
 
-/// The connections that a node with so many descriptors may have: most of them are the gateways'.
+/// Maximum number of connections to the store of a node that may have `descriptors` descriptors. Most
+/// descriptors are for the connections of gateways.
 pub fn max_connections_within(descriptors: usize) -> usize {
     (descriptors / 8).saturating_sub(4).clamp(2, MAX_CONNECTIONS)
 }
 
-/// The end of a call.
+/// An outbound call that has ended.
 #[derive(Debug, PartialEq)]
 pub struct EndedCall {
-    /// Whose call it was.
+    /// Request whose run made the call.
     pub id: RequestId,
-    /// How it ended.
+    /// How the call ended.
     pub outcome: CallOutcome,
-    /// The reply for the run, after a success.
+    /// Body of the reply, to be passed to the run; `None` unless the call succeeded.
     pub reply: Option<Vec<u8>>,
-    /// How long it took.
+    /// Time from the start of the call to its end.
     pub latency: Micros,
 }
 
 /// The pool of connections to the store.
 #[derive(Debug)]
 pub struct Store<S: System> {
-    /// Where there is none, no call can be made.
+    /// Address of the store; `None` if there is no store, and every call ends as unreachable.
     address: Option<SocketAddr>,
     first_key: usize,
     system: S,
     slots: Vec<Option<StoreConnection<S>>>,
-    /// Connections so far.
+    /// Serial number of the newest connection; connections count up from 1.
     last_serial: u64,
-    /// The connections, by serial number, that have had a call of an attempt.
+    /// Serial numbers of the connections that carried calls of an attempt, by attempt.
     used_connections: BTreeMap<RequestId, Vec<u64>>,
-    /// Slots with something to write or to settle in this iteration.
+    /// Slots of the connections to be flushed at the end of this iteration.
     touched: Vec<usize>,
-    /// Calls that no connection could be found for.
+    /// Calls that ended at once because there was no connection for them, not yet reported.
     unplaced: Vec<EndedCall>,
-    /// Nothing needs attention before.
+    /// Time before which [`Store::on_timer`] has no timeout to check.
     next_check: Timestamp,
 }
 
 impl<S: System> Store<S> {
-    /// A store at this address, reached over at most so many connections, watched under as many keys from `first_key` on.
+    /// Creates an empty pool of at most `max_connections` connections to the store at `address`. The
+    /// connections are watched under the poller keys from `first_key` on, one for each.
     pub fn new(address: Option<SocketAddr>, first_key: usize, max_connections: usize, system: &S) -> Self {
         Store {
             address,
@@ -88,13 +93,14 @@
         }
     }
 
-    /// The attempts whose calls are out.
+    /// Attempts whose calls have not been reported as ended.
     pub fn outstanding(&self) -> Vec<RequestId> {
         let sent = self.slots.iter().flatten().flat_map(|connection| connection.calls.keys());
         sent.chain(self.unplaced.iter().map(|ended| &ended.id)).copied().collect()
     }
 
-    /// From now on new calls go to this address; those that are out end on the connections that they have.
+    /// Replaces the address of the store, to which new calls go. Outstanding calls end on the connections
+    /// that carry them.
     pub fn move_to(&mut self, address: Option<SocketAddr>) {
         if self.address != address {
             self.address = address;
@@ -105,7 +111,7 @@
 
     // ---- Calls ---------------------------------------------------------------------------------------
 
-    /// Makes a call; one that is out for the same request is given up with it.
+    /// Starts a call for a request, and gives up an outstanding call of the same request.
     pub fn call(
         &mut self,
         now: Timestamp,
@@ -131,7 +137,9 @@
         self.touched.push(slot);
     }
 
-    /// The connection for a call: one that was free a moment ago, else a new one, else the one with the fewest calls.
+    /// Selects the slot of the connection for a call: the free connection that was active last, otherwise a
+    /// new connection, otherwise the connection with the fewest calls. `None` if there is no address,
+    /// connecting failed or no connection may carry the call.
     fn choose_connection(&mut self, now: Timestamp, id: RequestId) -> Option<usize> {
         let address = self.address?;
         let used = self.used_connections.get(&id).map_or(&[][..], Vec::as_slice);
@@ -164,7 +172,7 @@
         Some(empty)
     }
 
-    /// Gives up a call; nothing is heard of it any more.
+    /// Gives up the outstanding call of a request, if there is one; its end is not reported.
     pub fn drop_call(&mut self, id: RequestId, counters: &mut Counters) {
         let has_call = |connection: &StoreConnection<S>| connection.calls.contains_key(&id);
         let Some(slot) = self.slots.iter().position(|slot| slot.as_ref().is_some_and(has_call)) else {
@@ -179,19 +187,19 @@
         self.next_check = Timestamp(0);
     }
 
-    /// Nothing more comes for this attempt.
+    /// Forgets which connections carried calls of an attempt; the attempt makes no further calls.
     pub fn forget(&mut self, id: RequestId) {
         self.used_connections.remove(&id);
     }
 
     // ---- Events --------------------------------------------------------------------------------------
 
-    /// Whether this is the poller key of a connection to the store.
+    /// Whether `key` is the poller key of a connection to the store.
     pub fn has_key(&self, key: usize) -> bool {
         (self.first_key..self.first_key + self.slots.len()).contains(&key)
     }
 
-    /// The poller has something for the connection with this key; returns the calls that ended.
+    /// Handles an event of the poller for a connection of the pool; returns the calls that ended.
     pub fn ready(&mut self, now: Timestamp, event: Ready, counters: &mut Counters) -> Vec<EndedCall> {
         let mut ended = Vec::new();
         let slot = event.key.wrapping_sub(self.first_key);
@@ -215,7 +223,8 @@
         ended
     }
 
-    /// Ends what is overdue and closes connections of no more use; returns the calls that ended.
+    /// Ends calls and partial replies that have timed out, and closes idle and retired connections. Returns
+    /// the calls that ended.
     pub fn on_timer(&mut self, now: Timestamp, counters: &mut Counters) -> Vec<EndedCall> {
         let mut ended = mem::take(&mut self.unplaced);
         if now < self.next_check {
@@ -253,7 +262,7 @@
         Some(self.next_check).filter(|next| next.0 < u64::MAX)
     }
 
-    /// Writes what can be written; returns the calls that ended as their link broke.
+    /// Writes queued bytes; returns the calls that ended because their link broke.
     pub fn flush(&mut self, now: Timestamp) -> Vec<EndedCall> {
         let mut ended = Vec::new();
         for slot in mem::take(&mut self.touched) {
--- a/crates/node/src/store/protocol.rs
+++ b/crates/node/src/store/protocol.rs
@@ -1,35 +1,35 @@
 //! The store's protocol: lines with bodies, in both directions.
 //!
-//! The one place where its words (`CALL`, `BUSY`, ...) become the code's terms. A reply that cannot be one means that the framing
-//! of its connection is lost.
+//! This is the only place where the words of the protocol (`CALL`, `BUSY`, ...) become the code's terms. An
+//! invalid reply means that the framing of its connection is lost.
 
 use crate::request::{format_request_id, parse_request_id};
 use gaugestand_admission::RequestId;
 use gaugestand_admission::engine::CallOutcome;
 
-/// Most bytes of the first line of a reply, with its end.
+/// Maximum length of the first line of a reply, in bytes, including CR and LF.
 pub const MAX_LINE_BYTES: usize = 128;
-/// Most bytes of the body of a reply.
+/// Maximum size of the body of a reply, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// How a call ended, as the store reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplyStatus {
-    /// OK: it went well, with this body.
+    /// OK: the call succeeded. Contains the body of the reply.
     Succeeded(Vec<u8>),
-    /// BUSY: rejected, never ran.
+    /// BUSY: the store rejected the call, which never ran.
     Overloaded,
-    /// ERR: failed, may have had its effect.
+    /// ERR: the call failed, and may have had its effect.
     Failed,
-    /// LATE: ran out of time, may have had its effect.
+    /// LATE: the call timed out, and may have had its effect.
     TimedOut,
-    /// VOID: no run waits for it, never ran.
+    /// VOID: the call never ran, as no run waits for its reply.
     NoRun,
 }
 
 impl ReplyStatus {
-    /// The outcome for the engine with the body for the run. Nothing for [`ReplyStatus::NoRun`]: the kernel reports the end of
-    /// that run itself, and this only says the same.
+    /// Returns the outcome for the engine and the body for the run. Returns `None` for
+    /// [`ReplyStatus::NoRun`], since the kernel itself reports that the run has ended.
     pub(super) fn into_outcome(self) -> Option<(CallOutcome, Option<Vec<u8>>)> {
         match self {
             ReplyStatus::Succeeded(body) => Some((CallOutcome::Succeeded, Some(body))),
@@ -41,18 +41,19 @@
     }
 }
 
-/// What the front of a buffer holds.
+/// Result of parsing the start of a buffer as a reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// No complete reply yet.
+    /// The reply is not complete yet.
     Incomplete,
-    /// What cannot be a reply: the framing is lost.
+    /// The bytes cannot be a reply: the framing is lost.
     Invalid,
-    /// A reply of that many bytes.
+    /// A complete reply: its length in bytes, the id of the request that made the call, and how the call
+    /// ended.
     Complete(usize, RequestId, ReplyStatus),
 }
 
-/// Reads the reply at the start of `buffer`.
+/// Parses the reply at the start of `buffer`.
 pub fn parse_reply(buffer: &[u8]) -> Reply {
     let Some(line_end) = buffer.iter().take(MAX_LINE_BYTES).position(|byte| *byte == b'\n') else {
         return if buffer.len() >= MAX_LINE_BYTES { Reply::Invalid } else { Reply::Incomplete };
@@ -89,7 +90,7 @@
     }
 }
 
-/// A call with its body, to be answered within this many milliseconds.
+/// Encodes a call with its body. The store is to reply within `timeout_ms` milliseconds.
 pub(super) fn call(id: RequestId, timeout_ms: u64, body: &[u8]) -> Vec<u8> {
     let mut call = format!("CALL {} {timeout_ms} {}\r\n", format_request_id(id), body.len()).into_bytes();
     call.extend(body);
@@ -97,7 +98,7 @@
     call
 }
 
-/// Gives up a call.
+/// Encodes the message that gives up a call: the node no longer waits for the reply.
 pub(super) fn drop_call(id: RequestId) -> Vec<u8> {
     format!("DROP {}\r\n", format_request_id(id)).into_bytes()
 }
--- a/crates/node/src/write_queue.rs
+++ b/crates/node/src/write_queue.rs
@@ -1,14 +1,15 @@
-//! Bytes that wait to be written to one socket, and gathered writes of them.
+//! A queue of bytes to be written to one socket by vectored writes.
 //!
-//! It copies nothing that is shared: results of runs are queued by reference. It has no bound of its own: its owner
-//! checks [`WriteQueue::len`].
+//! Shared bytes, such as the results of runs, are queued by reference and not copied. The queue has no bound
+//! of its own: its owner checks [`WriteQueue::len`].
 
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, Write};
 use std::ops::Range;
 use std::rc::Rc;
 
-/// Most pieces in one gathered write: enough for all answers of an iteration on one connection, and a small array.
+/// Maximum number of pieces in one vectored write: enough for all answers that one iteration of the event
+/// loop queues for a connection, and small enough for an array on the stack.
 const MAX_IO_SLICES: usize = 64;
 
 #[derive(Clone, Debug)]
@@ -26,39 +27,39 @@
     }
 }
 
-/// What waits to be written to one socket.
+/// The bytes that wait to be written to one socket, in the order in which they are sent.
 #[derive(Clone, Debug, Default)]
 pub struct WriteQueue {
     pieces: VecDeque<Piece>,
-    /// Bytes of the first piece that are written.
+    /// Number of bytes of the first piece that have been written.
     written_of_first: usize,
-    /// Bytes that wait, in all pieces.
+    /// Number of bytes that wait to be written, over all pieces.
     len: usize,
 }
 
 impl WriteQueue {
-    /// Bytes that wait.
+    /// Number of bytes that wait to be written.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing waits.
+    /// Whether no bytes wait to be written.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// All bytes that wait, in one piece.
+    /// Copies all bytes that wait to be written into one vector.
     pub fn bytes(&self) -> Vec<u8> {
         let all: Vec<u8> = self.pieces.iter().flat_map(|piece| piece.bytes()).copied().collect();
         all.get(self.written_of_first..).unwrap_or_default().to_vec()
     }
 
-    /// Queues bytes.
+    /// Appends bytes to the queue.
     pub fn push(&mut self, bytes: impl Into<Vec<u8>>) {
         self.push_piece(Piece::Owned(bytes.into()));
     }
 
-    /// Queues a part of shared bytes without a copy.
+    /// Appends the part `range` of shared bytes to the queue, without a copy.
     pub fn push_shared(&mut self, bytes: Rc<[u8]>, range: Range<usize>) {
         self.push_piece(Piece::Shared(bytes, range));
     }
@@ -71,11 +72,13 @@
         }
     }
 
-    /// Writes what can be written now; returns how much that was. An error means that the socket is of no more use.
+    /// Writes as many bytes as `to` accepts now, and returns their number. After an error the socket cannot
+    /// be used any more.
     ///
     /// # Errors
     /// The socket reports an error other than [`io::ErrorKind::WouldBlock`] and
-    /// [`io::ErrorKind::Interrupted`], or takes no bytes at all. How much the other side received is unknown.
+    /// [`io::ErrorKind::Interrupted`], or accepts no bytes at all. How many bytes the other side received is
+    /// unknown.
     pub fn write(&mut self, to: &mut impl Write) -> io::Result<usize> {
         let mut total = 0;
         while self.len > 0 {
@@ -100,7 +103,7 @@
         Ok(total)
     }
 
-    /// Drops the pieces that are written.
+    /// Removes `written` bytes from the front of the queue, and the pieces that are completely written.
     fn advance(&mut self, written: usize) {
         self.len -= written;
         self.written_of_first += written;
