--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -248,12 +248,12 @@
     }
 
     /// The caller that has this slot now, for an answer that comes later.
-    pub fn caller(&self, slot: usize) -> Option<u64> {
+    pub fn caller_serial(&self, slot: usize) -> Option<u64> {
         self.callers.get(slot)?.as_ref().map(|caller| caller.serial)
     }
 
     /// Answers the caller with this number, if it is still connected.
-    pub fn answer_later(&mut self, serial: u64, text: String) {
+    pub fn answer_by_serial(&mut self, serial: u64, text: String) {
         let is_caller = |caller: &Option<Caller<S::Stream>>| {
             caller.as_ref().is_some_and(|caller| caller.serial == serial)
         };
@@ -289,7 +289,7 @@
     }
 
     /// Counts the time of all callers from now: the clock has been set.
-    pub fn restart(&mut self, now: Timestamp) {
+    pub fn restart_timeouts(&mut self, now: Timestamp) {
         self.callers.iter_mut().flatten().for_each(|caller| caller.since = now);
     }
 
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -102,11 +102,11 @@
 
 /// Whether the descriptors suffice for what the operators' settings add.
 fn check_descriptors(descriptors: usize, operators: &OperatorSettings) -> Result<(), ConfigError> {
-    let with_store = MIN_DESCRIPTORS + idempotency_store::SOCKETS;
+    let with_store = MIN_DESCRIPTORS + idempotency_store::RESERVED_DESCRIPTORS;
     if operators.record.is_some() && descriptors < with_store {
         return invalid("limits.sockets", Problem::TooFewDescriptorsForStore(with_store));
     }
-    let with_cluster = MIN_DESCRIPTORS + peers::SOCKETS;
+    let with_cluster = MIN_DESCRIPTORS + peers::RESERVED_DESCRIPTORS;
     if operators.fleet.is_some() && descriptors < with_cluster {
         return invalid("limits.sockets", Problem::TooFewDescriptorsForCluster(with_cluster));
     }
--- a/crates/node/src/event_loop/cluster/mod.rs
+++ b/crates/node/src/event_loop/cluster/mod.rs
@@ -25,7 +25,7 @@
 /// Whether a poller key belongs to the cluster: to the consensus log, the listener for other nodes, or a
 /// connection with one.
 pub(super) fn is_key(key: usize) -> bool {
-    key == CONSENSUS_LOG || (PEER_LISTENER..FIRST_PEER + peers::KEYS).contains(&key)
+    key == CONSENSUS_LOG || (PEER_LISTENER..FIRST_PEER + peers::CONNECTION_KEYS).contains(&key)
 }
 
 impl<S: System> Node<S> {
@@ -69,7 +69,7 @@
                     }
                 }
                 Task::Answer { ticket, result } => {
-                    self.admin.answer_later(ticket, operator_calls::proposal_answer(result));
+                    self.admin.answer_by_serial(ticket, operator_calls::proposal_answer(result));
                 }
             }
         }
--- a/crates/node/src/event_loop/cluster/operator_calls.rs
+++ b/crates/node/src/event_loop/cluster/operator_calls.rs
@@ -118,7 +118,7 @@
     /// caller has disconnected.
     pub(in super::super) fn operator_call(&mut self, slot: usize, line: &str) -> Option<String> {
         let now = self.clock.now();
-        let caller = self.admin.caller(slot)?;
+        let caller = self.admin.caller_serial(slot)?;
         let answer = match &mut self.peers {
             Some(peers) => OperatorCall::parse(line).and_then(|call| execute_call(peers, now, caller, call)),
             None => Err(OperatorCallError::NoCluster),
--- a/crates/node/src/event_loop/handover/successor.rs
+++ b/crates/node/src/event_loop/handover/successor.rs
@@ -59,7 +59,7 @@
                 self.clock.read(&self.system);
                 // The clock has advanced to the predecessor's time. The timeouts of operators' calls restart,
                 // as no operator has waited for as long as the clock says.
-                self.admin.restart(self.clock.now());
+                self.admin.restart_timeouts(self.clock.now());
                 self.engine.idempotency().begin_replica(fingerprint_secret);
             }
             Frame::Keys(keys) if is_waiting => {
--- a/crates/node/src/event_loop/keys.rs
+++ b/crates/node/src/event_loop/keys.rs
@@ -39,10 +39,10 @@
 pub(super) const FIRST_STORE_CONNECTION: usize = FIRST_ADMIN_CALLER + admin::MAX_CALLERS;
 /// Listener for connections of the cluster's other nodes.
 pub(super) const PEER_LISTENER: usize = FIRST_STORE_CONNECTION + store::MAX_CONNECTIONS;
-/// First key of the connections with other nodes. The range has [`peers::KEYS`] keys.
+/// First key of the connections with other nodes. The range has [`peers::CONNECTION_KEYS`] keys.
 pub(super) const FIRST_PEER: usize = PEER_LISTENER + 1;
 /// First key of gateways' connections. The range has no upper end.
-pub(super) const FIRST_CONNECTION: usize = FIRST_PEER + peers::KEYS;
+pub(super) const FIRST_CONNECTION: usize = FIRST_PEER + peers::CONNECTION_KEYS;
 
 /// Whether a key belongs to the link to a kernel whose runs were taken over from an earlier process.
 pub(super) fn is_inherited_kernel(key: usize) -> bool {
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -293,7 +293,7 @@
             self.kernel.next_wakeup(),
             self.store.next_wakeup(),
             self.health_checks.next_wakeup(),
-            self.idempotency_store.wake(),
+            self.idempotency_store.next_wakeup(),
             self.admin.next_wakeup(),
             self.handover.next_wakeup(),
             self.next_drain_step(now),
@@ -384,8 +384,8 @@
 /// Number of the node's file descriptors that are reserved for operators' connections, the cluster and the
 /// idempotency store.
 fn reserved_descriptors(config: &Config, has_durable_store: bool) -> usize {
-    let idempotency = if has_durable_store { idempotency_store::SOCKETS } else { 0 };
+    let idempotency = if has_durable_store { idempotency_store::RESERVED_DESCRIPTORS } else { 0 };
     let admin = if config.admin.is_some() { admin::RESERVED_DESCRIPTORS } else { 0 };
-    let cluster = if config.operators.fleet.is_some() { peers::SOCKETS } else { 0 };
+    let cluster = if config.operators.fleet.is_some() { peers::RESERVED_DESCRIPTORS } else { 0 };
     idempotency + admin + cluster
 }
--- a/crates/node/src/idempotency_store/mod.rs
+++ b/crates/node/src/idempotency_store/mod.rs
@@ -23,7 +23,7 @@
 
 /// Descriptors that a store needs: its file, log, index and lock, two ends of the waking socket, and some to spare; or
 /// one connection.
-pub const SOCKETS: usize = 8;
+pub const RESERVED_DESCRIPTORS: usize = 8;
 /// Shortest time between two log lines about the breaker: a store that goes to and fro gets a line a second, the
 /// counters tell the rest.
 const BREAKER_LOG_INTERVAL: Micros = Micros::millis(1_000);
@@ -182,10 +182,10 @@
     }
 
     /// When to call [`IdempotencyStore::pump`] again although nothing happens.
-    pub fn wake(&self) -> Option<Timestamp> {
+    pub fn next_wakeup(&self) -> Option<Timestamp> {
         match &self.backend {
             StoreBackend::None | StoreBackend::Sqlite(_) => None,
-            StoreBackend::Postgres(link) => link.wake(),
+            StoreBackend::Postgres(link) => link.next_wakeup(),
         }
     }
 }
--- a/crates/node/src/idempotency_store/postgres_link.rs
+++ b/crates/node/src/idempotency_store/postgres_link.rs
@@ -204,7 +204,7 @@
     }
 
     /// When to call [`PostgresLink::pump`] again although nothing happens.
-    pub(super) fn wake(&self) -> Option<Timestamp> {
+    pub(super) fn next_wakeup(&self) -> Option<Timestamp> {
         let retry = self.link.next_wakeup(true).map(|at| at.max(self.retry_at));
         [self.answer_due(), retry].into_iter().flatten().min()
     }
--- a/crates/node/src/peers/links.rs
+++ b/crates/node/src/peers/links.rs
@@ -4,7 +4,7 @@
 //! member, ends the connection and nothing else. The newest connection with a node counts.
 
 use super::connection::{Connection, Identified, Peer, first_message, frame};
-use super::{KEYS, MAX_INCOMING, MAX_OUTGOING, Peers};
+use super::{CONNECTION_KEYS, MAX_INCOMING, MAX_OUTGOING, Peers};
 use crate::counters::Counters;
 use crate::io::link::{Change, Link};
 use crate::io::{Listener, Ready, System};
@@ -26,7 +26,7 @@
 impl<S: System> Peers<S> {
     /// Whether a poller key is that of one of its connections.
     pub fn has_key(&self, key: usize) -> bool {
-        (self.first_key..self.first_key + KEYS).contains(&key)
+        (self.first_key..self.first_key + CONNECTION_KEYS).contains(&key)
     }
 
     // ---- Members -----------------------------------------------------------------------------------------
@@ -50,7 +50,7 @@
     }
 
     fn disconnect_removed(&mut self, now: Timestamp, id: NodeId) {
-        for index in 0..KEYS {
+        for index in 0..CONNECTION_KEYS {
             let Some(connection) = self.connections[index].as_mut() else { continue };
             if connection.belongs_to(id) {
                 // What it has not read yet tells it of its removal; else it learns that when it connects again.
@@ -122,7 +122,7 @@
 
     /// A free place for a connection that comes in, or that of the one which has not identified itself for longest.
     fn index_for_incoming(&self) -> Option<usize> {
-        let incoming = MAX_OUTGOING..KEYS;
+        let incoming = MAX_OUTGOING..CONNECTION_KEYS;
         let free = incoming.clone().find(|index| self.connections[*index].is_none());
         free.or_else(|| {
             let connections = incoming.filter_map(|index| Some((index, self.connections[index].as_ref()?)));
@@ -142,7 +142,7 @@
 
     /// Closes connections that have not identified themselves in time, or were not made in time.
     pub(super) fn close_timed_out(&mut self, now: Timestamp) {
-        for index in 0..KEYS {
+        for index in 0..CONNECTION_KEYS {
             let Some(connection) = self.connections[index].as_mut() else { continue };
             let is_late = connection.identification_deadline().is_some_and(|deadline| now >= deadline);
             if is_late || connection.link.on_timer(now).is_some() {
@@ -178,7 +178,7 @@
 
     /// The poller reports one of its connections.
     pub fn on_ready(&mut self, now: Timestamp, event: Ready, counters: &mut Counters) {
-        let index = event.key.checked_sub(self.first_key).filter(|index| *index < KEYS);
+        let index = event.key.checked_sub(self.first_key).filter(|index| *index < CONNECTION_KEYS);
         let Some(index) = index else { return };
         self.has_work = true;
         let Some(connection) = self.connections[index].as_mut() else { return };
@@ -307,7 +307,7 @@
     }
 
     pub(super) fn flush_connections(&mut self, now: Timestamp) {
-        for index in 0..KEYS {
+        for index in 0..CONNECTION_KEYS {
             let Some(connection) = self.connections[index].as_mut() else { continue };
             if connection.link.flush(now).is_some() {
                 self.disconnect(now, index);
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -51,11 +51,11 @@
 /// Connections that come in, at most: one from each other node, and those that have not identified themselves.
 const MAX_INCOMING: usize = MAX_UNIDENTIFIED + MAX_OUTGOING;
 /// Poller keys of connections.
-pub const KEYS: usize = MAX_OUTGOING + MAX_INCOMING;
+pub const CONNECTION_KEYS: usize = MAX_OUTGOING + MAX_INCOMING;
 /// Descriptors of the log: its file, journal, index, lock and the worker's sockets, rounded up.
 const LOG_DESCRIPTORS: usize = 8;
 /// Descriptors that this module needs: connections, the listener, the log.
-pub const SOCKETS: usize = KEYS + 1 + LOG_DESCRIPTORS;
+pub const RESERVED_DESCRIPTORS: usize = CONNECTION_KEYS + 1 + LOG_DESCRIPTORS;
 
 /// Poller keys for the parts of this module.
 #[derive(Clone, Copy, Debug)]
@@ -64,7 +64,7 @@
     pub listener: usize,
     /// Of the worker that writes the log.
     pub log_writer: usize,
-    /// Of the first connection; [`KEYS`] are used from here on.
+    /// Of the first connection; [`CONNECTION_KEYS`] are used from here on.
     pub first_connection: usize,
 }
 
--- a/crates/node/src/peers/startup.rs
+++ b/crates/node/src/peers/startup.rs
@@ -3,7 +3,7 @@
 use super::active_version::AppliedVersion;
 use super::log_writer::LogWriter;
 use super::open_attempts::OpenAttempts;
-use super::{KEYS, Peers, PollKeys};
+use super::{CONNECTION_KEYS, Peers, PollKeys};
 use crate::io::System;
 use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_cluster::NodeId;
@@ -180,7 +180,7 @@
             lease_duration: lease.duration(),
             listener,
             first_key: keys.first_connection,
-            connections: (0..KEYS).map(|_| None).collect(),
+            connections: (0..CONNECTION_KEYS).map(|_| None).collect(),
             log_writer: LogWriter::new(writer),
             commands: VecDeque::from(commands),
             rng: fastrand::Rng::with_seed(seed),
