--- a/crates/node/src/connections/connection.rs
+++ b/crates/node/src/connections/connection.rs
@@ -1,4 +1,5 @@
-//! One connection of a gateway: reading, writing, and what its deadlines and bounds are counted from.
+//! One connection of a gateway: its state, reading and writing, and what its timeouts and bounds are measured
+//! from.
 
 use super::lingering_close::LingeringClose;
 use super::{ConnectionId, MAX_OPEN_REQUESTS, OpenRequest, READ_CHUNK_BYTES};
@@ -11,14 +12,16 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// Bad requests that end a connection on which nothing was ever served. Guards against a client that is no gateway and
-/// would be answered for ever. A connection on which something was served is a gateway's and may carry others' requests.
+/// Number of bad requests that ends a connection on which no request was ever answered with a result. Guards
+/// against a client that is no gateway and would be answered for ever. A connection on which a request was
+/// served belongs to a gateway and may carry other clients' requests.
 pub(super) const MAX_BAD_REQUESTS: u32 = 4;
-/// Time from the last bad request to the close, in which nothing more is read. Guards against a client that sends the same
-/// again at once, here or on a new connection: answering each would take the time of the gateways.
+/// Time from the last bad request to the close of the connection, in which nothing more is read. Guards
+/// against a client that repeats its request at once, here or on a new connection: answering every repetition
+/// would delay the gateways.
 const BAD_REQUEST_CLOSE_DELAY: Micros = Micros::millis(250);
-/// Most bytes of records that belong to no open request, between two complete requests. Guards against a client that does not
-/// heed the end of its request and would be read for ever.
+/// Most bytes of records that belong to no open request, between two complete requests. Guards against a
+/// client that keeps sending records of a request that has ended and would be read for ever.
 const MAX_STRAY_BYTES: usize = 64 * 1024;
 
 /// One connection: its socket and its state.
@@ -28,57 +31,61 @@
     pub(super) state: ConnectionState,
 }
 
-/// All of a connection but its socket. This is also the form in which another process gets it: names and order of the fields,
-/// as `serde` has them, are the bytes of the hand-over.
+/// The state of a connection without its socket. It is serialised as it is for the hand-over: the `serde`
+/// names and the order of the fields determine the bytes that another process reads.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConnectionState {
-    /// Its name in the process that has it.
+    /// The connection's id in the process that holds the connection.
     pub id: ConnectionId,
-    /// The start of a record whose rest has not come.
+    /// The received bytes of a record that is not complete yet.
     #[serde(rename = "input")]
     pub(super) partial_record: Vec<u8>,
-    /// What waits to be written.
+    /// Output that waits to be written.
     #[serde(with = "super::snapshot::unwritten_bytes")]
     pub(super) output: WriteQueue,
-    /// Its open requests, by FastCGI id.
+    /// The connection's open requests by FastCGI request id.
     #[serde(rename = "open")]
     pub(super) open_requests: BTreeMap<u16, OpenRequest>,
+    /// When the connection was accepted.
     #[serde(rename = "since")]
     pub(super) accepted_at: Timestamp,
-    /// When anything was last read or written.
+    /// When input was last read or output last written.
     #[serde(rename = "used")]
     pub(super) last_active: Timestamp,
-    /// Since when the other side has taken nothing of what waits to be written; counts from the first attempt to write.
+    /// Since when no output could be written, counted from the first attempt to write; none if no output
+    /// waits.
     #[serde(rename = "stuck")]
     pub(super) write_blocked_since: Option<Timestamp>,
-    /// Since when the input ends in part of a record.
+    /// Since when the input ends with an incomplete record; none if it does not.
     #[serde(rename = "partial")]
     pub(super) partial_since: Option<Timestamp>,
-    /// A complete request that could be read has come on it.
+    /// Whether a complete and valid request has arrived on the connection.
     #[serde(rename = "asked")]
     pub(super) has_requested: bool,
-    /// Bad requests so far.
+    /// How many bad requests have arrived on the connection.
     #[serde(rename = "faults")]
     pub(super) bad_requests: u32,
-    /// Some request was answered with a result.
+    /// Whether any request of the connection was answered with a result.
     #[serde(rename = "served")]
     pub(super) has_served: bool,
-    /// Bytes of records that belong to no open request, since the last complete request.
+    /// Bytes of records that belong to no open request, counted since the last complete request.
     #[serde(rename = "stray")]
     pub(super) stray_bytes: usize,
-    /// After too many bad requests: it is kept until then.
+    /// Set after too many bad requests: the time at which the connection ends. Until then it is kept, but not
+    /// read.
     #[serde(rename = "linger")]
     pub(super) close_delayed_until: Option<Timestamp>,
-    /// Nothing more is read: the other side has ended, or the framing is lost.
+    /// Whether reading has stopped, because the other side has ended, the framing is lost or there were too
+    /// many bad requests.
     #[serde(rename = "deaf")]
     pub(super) reading_stopped: bool,
-    /// The other side has ended: nothing unread can be left on it.
+    /// Whether the other side has shut its write side; no input can be unread then.
     #[serde(rename = "half_closed")]
     pub(super) peer_ended: bool,
-    /// The write side is shut; what still comes is read and dropped.
+    /// The lingering close of the connection, once its write side is shut; further input is read and dropped.
     #[serde(rename = "closing")]
     pub(super) lingering_close: Option<LingeringClose>,
-    /// To be closed once all is written.
+    /// Whether the connection ends once all output is written.
     #[serde(rename = "last")]
     pub(super) closes_after_write: bool,
 }
@@ -110,7 +117,8 @@
 impl<T: Stream> Connection<T> {
     // ---- Requests ------------------------------------------------------------------------------------
 
-    /// Opens a request, or ends it at once where that cannot be done: then it never ran.
+    /// Handles a begin-request record: opens the request, or ends it at once if the role is not supported or
+    /// too many requests are open. A request that is ended here never ran.
     pub fn begin(&mut self, now: Timestamp, fcgi_id: u16, content: &[u8]) {
         let opened = match fastcgi::parse_begin_request(content) {
             Some(BeginRequest { role: fastcgi::RESPONDER, keeps_connection }) => {
@@ -125,88 +133,90 @@
         }
     }
 
-    /// An open request, to take in more of it.
+    /// The open request with this id, so that more of its records can be added.
     pub fn open_request(&mut self, fcgi_id: u16) -> Option<&mut OpenRequest> {
         self.state.open_requests.get_mut(&fcgi_id)
     }
 
-    /// Puts an open request in the place of the one with this id, if there is one.
+    /// Adds an open request; replaces the one with the same id, if there is one.
     pub fn insert_request(&mut self, fcgi_id: u16, request: OpenRequest) {
         self.state.open_requests.insert(fcgi_id, request);
     }
 
-    /// Queues a response; `keeps_connection` unless the connection ends with it.
+    /// Queues a response; unless `keeps_connection`, the connection ends once it is written.
     pub fn respond(&mut self, fcgi_id: u16, keeps_connection: bool, response: &Response<'_>) {
         response.enqueue(fcgi_id, &mut self.state.output);
         self.state.closes_after_write |= !keeps_connection;
     }
 
-    /// Queues bytes as they are.
+    /// Queues bytes, which have to be complete FastCGI records.
     pub fn queue(&mut self, bytes: impl Into<Vec<u8>>) {
         self.state.output.push(bytes);
     }
 
-    /// Takes note of a complete request that could be read.
+    /// Records that a complete and valid request has arrived.
     pub fn note_requested(&mut self) {
         self.state.has_requested = true;
         self.state.stray_bytes = 0;
     }
 
-    /// Takes note of a request that is answered with a result.
+    /// Records that a request is answered with a result.
     pub fn note_served(&mut self) {
         self.state.has_served = true;
     }
 
-    /// Takes note of a record that belongs to no open request; false if there were too many.
+    /// Counts the bytes of a record that belongs to no open request; returns false if there were too many
+    /// since the last complete request.
     pub fn note_stray(&mut self, bytes: usize) -> bool {
         self.state.stray_bytes += bytes;
         self.state.stray_bytes <= MAX_STRAY_BYTES
     }
 
-    /// Counts a bad request. After too many, or at once if `ends_connection`, nothing more is read and the connection closes a
-    /// little later.
+    /// Counts a bad request. After too many of them, or at once if `ends_connection`, reading stops and the
+    /// connection ends after `BAD_REQUEST_CLOSE_DELAY`.
     pub(super) fn note_bad_request(&mut self, now: Timestamp, ends_connection: bool) {
         self.state.bad_requests += 1;
         let too_many = !self.state.has_served && self.state.bad_requests >= MAX_BAD_REQUESTS;
         if (ends_connection || too_many) && self.state.close_delayed_until.is_none() {
             self.state.close_delayed_until = Some(now.plus(BAD_REQUEST_CLOSE_DELAY));
-            // If the poller's interest cannot be changed, what comes is read and dropped until the close.
+            // If the poller rejects the change of interest, input is read and dropped until the close.
             let _ = self.stop_reading();
         }
     }
 
     // ---- State ---------------------------------------------------------------------------------------
 
-    /// Whether its write side is shut.
+    /// Whether the connection is in its lingering close: its write side is shut.
     pub fn is_closing(&self) -> bool {
         self.state.lingering_close.is_some()
     }
 
-    /// Whether nothing more is read of it.
+    /// Whether input of the connection is no longer read as requests.
     pub fn has_stopped_reading(&self) -> bool {
         self.state.reading_stopped
     }
 
-    /// Whether an event of the poller can only mean that the other side has reset it.
+    /// Whether an event of the poller can only mean that the other side has reset the connection: it is
+    /// neither read nor written.
     pub fn is_reset(&self) -> bool {
         self.state.reading_stopped && self.state.output.is_empty()
     }
 
-    /// Nothing is under way on it.
+    /// Whether the connection has no open request, no output to write and no incomplete record.
     pub(super) fn is_idle(&self) -> bool {
         self.state.open_requests.is_empty()
             && self.state.output.is_empty()
             && self.state.partial_record.is_empty()
     }
 
-    /// Nothing is read of it, nothing is open, and its close is not delayed.
+    /// Whether the connection can end: reading has stopped, no request is open, and its close is not delayed.
     pub(super) fn is_finished(&self) -> bool {
         self.state.reading_stopped
             && self.state.open_requests.is_empty()
             && self.state.close_delayed_until.is_none()
     }
 
-    /// Whether what comes is read, to be processed or dropped.
+    /// Whether the poller has to watch for input, to process it or to drop it.
     pub(super) fn wants_input(&self) -> bool {
         match &self.state.lingering_close {
             Some(lingering_close) => lingering_close.wants_input(),
@@ -216,8 +226,8 @@
 
     // ---- Reading and writing -------------------------------------------------------------------------
 
-    /// Reads what is there, up to a bound, behind what was left of the input before; returns the length of all of it. An error
-    /// means that the connection is gone.
+    /// Fills `buffer` with the incomplete record of the previous read, followed by at most one chunk of new
+    /// input, and returns the length of both together.
     ///
     /// # Errors
     /// The system reports an error other than [`io::ErrorKind::WouldBlock`] and
@@ -235,7 +245,8 @@
             }
         };
         match read {
-            // The other side has ended, but may still read: what is owed is answered first.
+            // The other side has shut its write side but may still read: pending answers are sent before the
+            // connection ends.
             Ok(0) => {
                 self.state.peer_ended = true;
                 self.stop_reading().map(|()| 0)
@@ -249,7 +260,7 @@
         }
     }
 
-    /// Reads nothing more; what is owed is still answered, what is incomplete is forgotten.
+    /// Stops reading. Pending answers are still sent; incomplete records and requests are discarded.
     ///
     /// # Errors
     /// The poller does not accept the change of interest; the connection has to be closed.
@@ -261,7 +272,8 @@
         self.stream.watch(false, !self.state.output.is_empty())
     }
 
-    /// Keeps the part of a record at the end of the input; `follows_record` if complete ones came before it.
+    /// Keeps the incomplete record at the end of the input for the next read; `follows_record` if complete
+    /// records preceded it, so that the time of `INCOMPLETE_TIMEOUT` starts anew.
     pub fn keep_partial_record(&mut self, now: Timestamp, rest: &[u8], follows_record: bool) {
         if !self.state.reading_stopped {
             self.state.partial_record.clear();
--- a/crates/node/src/connections/idle.rs
+++ b/crates/node/src/connections/idle.rs
@@ -1,13 +1,14 @@
-//! Connections on which nothing, or not enough, happens: when each is closed or cut off.
+//! Timeouts of connections: when a connection on which nothing, or not enough, happens is closed.
 //!
-//! | What | Closed after | How |
+//! | State of the connection | Closed after | How |
 //! | --- | --- | --- |
-//! | nothing under way, and the engine has set an idle timeout | that timeout | lingering close |
-//! | nothing ever asked for on it | [`INCOMPLETE_TIMEOUT`] | lingering close |
-//! | part of a record, or of a request | [`INCOMPLETE_TIMEOUT`] | the request fails with 408; what is owed is answered |
-//! | the other side reads nothing of its answers | [`WRITE_STALL_TIMEOUT`] | cut off |
+//! | idle, and the engine has set an idle timeout | that timeout | lingering close |
+//! | no complete request has ever arrived | [`INCOMPLETE_TIMEOUT`] | lingering close |
+//! | part of a record or of a request has arrived | [`INCOMPLETE_TIMEOUT`] | that request: 408; pending answers: sent |
+//! | the other side reads none of its answers | [`WRITE_STALL_TIMEOUT`] | at once |
 //!
-//! All of them are checked every [`TIMEOUT_CHECK_INTERVAL`] at most, so each may come that much later.
+//! All connections are checked every [`TIMEOUT_CHECK_INTERVAL`], so each timeout may take effect that much
+//! later.
 
 use super::connection::Connection;
 use super::{ConnectionId, ConnectionTable, OpenRequest, RequestRef};
@@ -16,48 +17,52 @@
 use gaugestand_admission::RequestId;
 use gaugestand_admission::time::{Micros, Timestamp};
 
-/// A connection whose other side takes nothing of what waits to be written for this long is cut off: its answers would fill
-/// memory. A gateway that is alive reads within milliseconds.
+/// Time after which a connection is closed if the other side has read none of the bytes that wait to be
+/// written: its answers would fill memory. A gateway that is alive reads within milliseconds.
 pub(super) const WRITE_STALL_TIMEOUT: Micros = Micros::millis(10_000);
-/// What has been begun (a connection, a record, a request) and is incomplete by then is ended: the
-/// sender is owed an end within 3 s, and this leaves half of that for a check that comes late.
+/// Time after which an incomplete record or request, or a connection without a request, is ended. The sender
+/// has to see an end within 3 s; half of that is left for a check that runs late.
 pub(super) const INCOMPLETE_TIMEOUT: Micros = Micros::millis(1_500);
-/// Time between two checks of all connections: short against the timeouts, and a walk of the table costs little at this rate.
+/// Time between two checks of all connections: short compared with the timeouts, and rare enough that walking
+/// the table costs little.
 pub(super) const TIMEOUT_CHECK_INTERVAL: Micros = Micros::millis(50);
 
-/// What a check of the timeouts has ended.
+/// What a check of the timeouts has ended; the event loop completes it.
 #[derive(Debug, Default)]
 pub struct Expired {
-    /// Attempts that were owed an answer on connections that are gone.
+    /// Attempts whose answer was pending on a connection that was closed.
     pub gone: Vec<RequestId>,
-    /// Requests of which the rest does not come.
+    /// Requests whose remaining records did not arrive within `INCOMPLETE_TIMEOUT`. They are still open; the
+    /// event loop answers them with 408.
     pub unfinished: Vec<RequestRef>,
 }
 
-/// What becomes of a connection at a check of its timeouts.
+/// What a check of its timeouts does with a connection.
 enum Expiry {
-    /// It stays.
+    /// The connection stays.
     None,
-    /// Its lingering close is over.
+    /// The lingering close is over: the socket is closed.
     Close,
-    /// Its other side does not read.
+    /// The other side does not read: the connection is closed without a lingering close.
     Cut,
-    /// Nothing more is expected of it.
+    /// No more input is expected: the connection ends with a lingering close.
     End,
 }
 
 impl<S: System> ConnectionTable<S> {
-    /// How long a connection may be idle, once that is set.
+    /// How long a connection may be idle before it is closed; none until
+    /// [`ConnectionTable::set_idle_timeout`].
     pub fn idle_timeout(&self) -> Option<Micros> {
         self.idle_timeout
     }
 
-    /// Sets how long a connection may be idle.
+    /// Sets how long a connection may be idle before it is closed; the engine decides on it.
     pub fn set_idle_timeout(&mut self, timeout: Micros) {
         self.idle_timeout = Some(timeout);
     }
 
-    /// Closes what was idle for too long, cuts off what does not read, and ends what was only begun.
+    /// Checks the timeouts of all connections, if a check is due, and closes or ends those that have exceeded
+    /// one.
     pub fn on_timer(&mut self, now: Timestamp, counters: &mut Counters) -> Expired {
         let mut expired = Expired::default();
         if now < self.next_timeout_check {
@@ -112,10 +117,11 @@
         self.slots.iter().flatten().filter(|connection| connection.is_idle())
     }
 
-    /// Whether nothing has just come on a connection with nothing under way. If something has, it counts as used now.
+    /// Whether an idle connection still has no unread input. If it has some, the connection counts as active
+    /// now.
     pub(super) fn is_unused(&mut self, now: Timestamp, id: ConnectionId) -> bool {
-        // Guards against closing on a request that has been sent but not read: it would be lost, and its gateway would have to
-        // take the reset for a failure of the node.
+        // Guards against closing a connection on which a request has been sent but not read: the request
+        // would be lost, and its gateway would have to treat the reset as a failure of the node.
         let Some(connection) = self.get(id) else { return false };
         if !connection.state.reading_stopped && connection.stream.has_unread() {
             connection.state.last_active = now;
@@ -137,13 +143,13 @@
             return Expiry::End;
         }
         if self.state.close_delayed_until.is_some_and(|until| now >= until) {
-            // What is owed on it is still answered, and its last answer ends it.
+            // Pending answers are still sent; the last one ends the connection.
             self.state.close_delayed_until = None;
             let ends_now = self.is_finished() && self.state.output.is_empty();
             return if ends_now { Expiry::End } else { Expiry::None };
         }
         if self.state.partial_since.is_some_and(|since| now.since(since) >= INCOMPLETE_TIMEOUT) {
-            // The rest of the record does not come; what is owed is still answered.
+            // The rest of the record did not arrive in time. Pending answers are still sent.
             counters.framing_lost += 1;
             let ends_now = self.stop_reading().is_err() || self.state.open_requests.is_empty();
             return if ends_now { Expiry::End } else { Expiry::None };
@@ -151,13 +157,15 @@
         Expiry::None
     }
 
-    /// Whether its other side takes nothing of what waits. This counts from the first attempt to write and not from the last
-    /// activity: an answer queued a moment ago may be the first in longer than the timeout.
+    /// Whether the other side has read nothing of the waiting output for [`WRITE_STALL_TIMEOUT`]. The time
+    /// counts from the first attempt to write and not from the last activity: an answer that was queued a
+    /// moment ago may be the first one in longer than the timeout.
     fn is_stalled(&self, now: Timestamp) -> bool {
         self.state.write_blocked_since.is_some_and(|since| now.since(since) >= WRITE_STALL_TIMEOUT)
     }
 
-    /// Whether nothing has been asked for on it, and nothing is on its way.
+    /// Whether no complete request has arrived within [`INCOMPLETE_TIMEOUT`] of the accept, and no input is
+    /// unread.
     fn is_silent(&self, now: Timestamp) -> bool {
         !self.state.has_requested
             && self.is_idle()
@@ -165,7 +173,7 @@
             && !self.stream.has_unread()
     }
 
-    /// Requests of which the rest does not come.
+    /// Requests whose remaining records did not arrive within [`INCOMPLETE_TIMEOUT`].
     fn unfinished_requests(&self, now: Timestamp) -> impl Iterator<Item = RequestRef> + '_ {
         let connection = self.state.id;
         let is_late = move |request: &OpenRequest| matches!(request, OpenRequest::Incoming(_, _, since) if now.since(*since) >= INCOMPLETE_TIMEOUT);
--- a/crates/node/src/connections/lingering_close.rs
+++ b/crates/node/src/connections/lingering_close.rs
@@ -1,8 +1,9 @@
-//! How a connection ends without losing its last answer.
+//! Lingering close: ends a connection without losing its last answer.
 //!
-//! Closing a socket over bytes that were not read sends a reset, which may overtake the answer that was written last: the
-//! gateway then sees a failure where it was answered. So the write side is shut first, what still comes is read and dropped
-//! until the other side ends too, and only then is the socket closed. Both the time and the bytes of this are bounded.
+//! Closing a socket that has unread input sends a reset, which may overtake the answer that was written last:
+//! the gateway then sees a failure instead of the answer. So the write side is shut first, further input is
+//! read and dropped until the other side ends too, and only then is the socket closed. Both the time and the
+//! bytes that are dropped are bounded.
 
 use super::connection::Connection;
 use super::{ConnectionId, ConnectionTable, OpenRequest};
@@ -12,19 +13,20 @@
 use serde::{Deserialize, Serialize};
 use std::{io, mem};
 
-/// After the write side is shut: how long what still comes is read and dropped. Several round trips to a gateway that is
-/// alive; one that is not must not keep its descriptor.
+/// How long input is read and dropped after the write side was shut: several round trips to a gateway that is
+/// alive. A gateway that is not alive must not keep its descriptor for longer.
 pub(super) const LINGERING_CLOSE_TIMEOUT: Micros = Micros::millis(500);
-/// Most bytes that are read and dropped. A client that goes on sending is closed at the end of the time, unread.
+/// Most bytes that are read and dropped in a lingering close. The connection of a client that sends more is
+/// no longer read and is closed after [`LINGERING_CLOSE_TIMEOUT`].
 pub(super) const MAX_DROPPED_BYTES: usize = 64 * 1024;
 
-/// A lingering close under way.
+/// The state of a connection's lingering close.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct LingeringClose {
-    /// The connection is closed then at the latest.
+    /// The time at which the connection is closed at the latest.
     #[serde(rename = "until")]
     deadline: Timestamp,
-    /// Bytes that are still read and dropped.
+    /// How many more bytes are read and dropped; 0 once reading has stopped.
     #[serde(rename = "left")]
     pub(super) remaining_bytes: usize,
 }
@@ -44,13 +46,15 @@
 }
 
 impl<S: System> ConnectionTable<S> {
-    /// Ends a connection on which all was written. Returns the attempts that were owed an answer on it.
+    /// Begins the lingering close of a connection whose output is written. Returns the attempts whose answer
+    /// was pending on it.
     pub(super) fn begin_lingering_close(&mut self, now: Timestamp, id: ConnectionId) -> Vec<RequestId> {
         let Some(connection) = self.get(id) else { return Vec::new() };
         if connection.is_closing() {
             return Vec::new();
         }
-        // Where the other side has ended nothing can be unread, and where the socket fails nothing can be saved.
+        // If the other side has ended, no input can be unread, and if the socket fails, no answer can be
+        // saved.
         if connection.state.peer_ended
             || connection.stream.shut_writing().is_err()
             || connection.stream.watch(true, false).is_err()
@@ -59,7 +63,7 @@
         }
         let state = &mut connection.state;
         state.lingering_close = Some(LingeringClose::new(now));
-        // Nothing that comes from here on is processed: no answer could go out.
+        // Later input is not processed, as no answer could be sent.
         state.reading_stopped = true;
         state.partial_since = None;
         state.close_delayed_until = None;
@@ -68,7 +72,7 @@
         open.into_values().filter_map(OpenRequest::admitted).collect()
     }
 
-    /// Ends all connections with nothing left to write.
+    /// Begins the lingering close of all connections that have nothing left to write.
     pub fn close_all(&mut self, now: Timestamp) {
         for id in self.ids() {
             if self.get(id).is_some_and(|connection| connection.state.output.is_empty()) {
@@ -77,7 +81,7 @@
         }
     }
 
-    /// Something came on a connection whose write side is shut.
+    /// Reads and drops input of a connection in its lingering close; closes it once the other side has ended.
     pub fn drop_input(&mut self, id: ConnectionId, buffer: &mut [u8]) {
         let ended = self.get(id).is_none_or(|connection| connection.drop_input(buffer).is_err());
         if ended {
@@ -87,11 +91,13 @@
 }
 
 impl<T: Stream> Connection<T> {
-    /// Reads and drops what is there; an error once there is nothing to wait for.
+    /// Reads and drops the input that is there. An error means that the other side has ended or the socket
+    /// failed: the connection can be closed.
     fn drop_input(&mut self, buffer: &mut [u8]) -> io::Result<()> {
         let Some(lingering_close) = &mut self.state.lingering_close else { return Ok(()) };
         if lingering_close.remaining_bytes == 0 {
-            // Nothing is watched for: it can only have been reset, or have ended.
+            // The connection is not watched for input any more, so an event means that it was reset or has
+            // ended.
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         match self.stream.read(buffer) {
--- a/crates/node/src/connections/listener.rs
+++ b/crates/node/src/connections/listener.rs
@@ -1,7 +1,8 @@
 //! Accepting connections within the descriptor budget.
 //!
-//! At the end of the budget the connection that is most surely of no use makes room. If none is, newcomers wait unaccepted in
-//! the system's queue: a connection that may carry a request is never closed for another one.
+//! When the budget is used up, the idle connection that is least likely to be used again is closed to make
+//! room. If there is none, new connections wait unaccepted in the system's queue: a connection that may carry
+//! a request is never closed in favour of another one.
 
 use super::ConnectionTable;
 use super::connection::Connection;
@@ -11,52 +12,53 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Descriptors that the node needs besides connections: standard streams, poller, listener, kernel, membership reports,
-/// signals, and some to spare.
+/// Descriptors that the node needs besides connections: the standard streams, the poller, the listener, the
+/// kernel, membership reports, signals, and some spare ones.
 pub(super) const OWN_DESCRIPTORS: usize = 20;
-/// A connection that has asked for nothing may be as old as this before it has to make room. Gateways connect when they have
-/// something to send, which is then on its way.
+/// Age up to which a connection without a request ranks last for eviction. Gateways connect when they have
+/// something to send, so its first request is probably on its way.
 const NEWCOMER_GRACE: Micros = Micros::millis(100);
-/// Most connections that are examined to find one that can make room. Each examination is a system call, and this is done
-/// for each newcomer.
+/// Most connections that are examined to find one that can be evicted. Each examination is a system call, and
+/// this is done for each new connection.
 const MAX_EVICTION_ATTEMPTS: usize = 8;
 
 impl<S: System> ConnectionTable<S> {
-    /// Takes connections from this listener from now on.
+    /// Accepts connections from this listener from now on.
     pub fn listen(&mut self, listener: S::Listener) {
         self.listener = Some(listener);
         self.watch_listener(true);
     }
 
-    /// The listener, to be passed on.
+    /// The listener, to be handed over to another process; none if the table does not listen.
     pub fn listener(&self) -> Option<&S::Listener> {
         self.listener.as_ref()
     }
 
-    /// The address it listens at.
+    /// The address at which the table listens; none if it does not listen.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.as_ref().and_then(|listener| listener.address())
     }
 
-    /// Does without so many of its descriptors from now on, or without half of them if that is fewer.
+    /// Leaves this many of its descriptors unused from now on, at most half of them. A successor needs them
+    /// during a hand-over; 0 ends the reservation.
     pub fn reserve_descriptors(&mut self, descriptors: usize) {
         self.reserved = descriptors.min(self.max_connections / 2);
     }
 
-    /// Pauses or resumes: while paused nothing is accepted, read or written.
+    /// Pauses or resumes the table: while it is paused, nothing is accepted, read or written.
     pub fn pause(&mut self, paused: bool) {
         self.paused = paused;
         self.watch_listener(!paused);
         for connection in self.slots.iter_mut().flatten() {
             let reading = !paused && connection.wants_input();
             let writing = !paused && !connection.state.output.is_empty();
-            // One that cannot be watched any more shows as broken when it is written to.
+            // If the poller rejects a connection, the next write to it fails, and it is closed then.
             let _ = connection.stream.watch(reading, writing);
         }
     }
 
-    /// Stops listening, once all that the system has accepted is taken in: what is left in its queue would be reset, with
-    /// the requests on it.
+    /// Accepts all connections in the system's queue and then stops listening. The system resets connections
+    /// that are left in the queue, and their requests would be lost.
     pub fn stop_listening(&mut self, now: Timestamp, counters: &mut Counters) {
         if self.listener.is_some() {
             self.accept(now, counters);
@@ -64,11 +66,13 @@
         }
     }
 
-    /// Accepts what waits; at the end of the budget the connection that was idle for longest makes room.
+    /// Accepts the connections that wait. When the descriptor budget is used up, evicts an idle connection
+    /// for each of them, or pauses accepting if none can be evicted.
     pub fn accept(&mut self, now: Timestamp, counters: &mut Counters) {
         loop {
             if self.is_full() && !self.evict_one(now, counters) {
-                // Guards against closing a connection that may carry a request already: the newcomer waits unaccepted.
+                // Guards against closing a connection that may already carry a request: the new connection
+                // waits unaccepted.
                 counters.accept_pauses += 1;
                 return self.watch_listener(false);
             }
@@ -81,8 +85,8 @@
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // Guards against spinning while the system is out of descriptors or memory: the listener would be ready
-                // again at once. The next check of timeouts tries again.
+                // Guards against a busy loop while the system is out of descriptors or memory: the listener
+                // would be ready again at once. The next check of the timeouts resumes accepting.
                 Err(_) => {
                     counters.accept_pauses += 1;
                     return self.watch_listener(false);
@@ -98,16 +102,18 @@
     pub(super) fn watch_listener(&mut self, watched: bool) {
         let watched = watched && !self.paused;
         if let Some(listener) = &mut self.listener {
-            // If it cannot be changed the poller goes on as it was, and the next check of timeouts tries again.
+            // If the poller rejects the change, the listener stays watched as before, and the next check of
+            // the timeouts tries again.
             let _ = listener.watch(watched);
         }
     }
 
-    /// Closes the connection that is most surely of no use; false if none of those examined is.
+    /// Closes the idle connection with the lowest eviction rank; returns false if none of the examined ones
+    /// is unused.
     fn evict_one(&mut self, now: Timestamp, counters: &mut Counters) -> bool {
         (0..MAX_EVICTION_ATTEMPTS).any(|_| {
             let candidate = self.idle_connections().min_by_key(|connection| {
-                // Of those accepted at the same time the oldest goes: never the one that has just come.
+                // Among equals the connection that was accepted first is evicted, never the newest one.
                 (connection.eviction_rank(now), connection.state.last_active, connection.state.id.serial)
             });
             let Some(id) = candidate.map(|connection| connection.state.id) else { return false };
@@ -115,7 +121,7 @@
             if unused {
                 let is_closing = self.get(id).is_some_and(|connection| connection.is_closing());
                 counters.connections_idle_closed += u64::from(!is_closing);
-                // At once, without a lingering close: its descriptor is needed now.
+                // The connection is closed without a lingering close, as its descriptor is needed now.
                 self.close(id);
             }
             unused
@@ -124,8 +130,9 @@
 }
 
 impl<T: Stream> Connection<T> {
-    /// The order in which idle connections make room: those that are to end anyway go first, then those that have asked for
-    /// nothing, as gateways connect when they have something to send.
+    /// Rank of an idle connection for eviction; the lowest is evicted first. Connections that are ending
+    /// anyway come first, then those that have not sent a request, as gateways connect when they have
+    /// something to send.
     fn eviction_rank(&self, now: Timestamp) -> u8 {
         let is_newcomer = now.since(self.state.accepted_at) < NEWCOMER_GRACE;
         if self.is_closing() {
--- a/crates/node/src/connections/mod.rs
+++ b/crates/node/src/connections/mod.rs
@@ -1,15 +1,17 @@
-//! Connections of gateways: accepting, buffering, deadlines and closing, within the node's descriptors and memory.
+//! Connections of gateways: accepting, buffering, deadlines and closing, within the node's descriptors and
+//! memory.
 //!
-//! - `table`: the connections by poller key and by name; what is queued is written here
-//! - `listener`: accepting within the descriptor budget, and making room
+//! - `table`: the connections by poller key and by id; queued output is written here
+//! - `listener`: accepting within the descriptor budget, and evicting connections at its limit
 //! - `connection`: the state of one connection, which is also the form in which it is handed over
-//! - `idle`: what is closed because nothing, or not enough, happens on it
-//! - `lingering_close`: how a connection ends without losing its last answer
-//! - `snapshot`: passing connections to another process
+//! - `idle`: closing connections on which nothing, or not enough, happens
+//! - `lingering_close`: ending a connection without losing its last answer
+//! - `snapshot`: handing connections over to another process
 //!
-//! Guarantees: an answer that was queued is written, or its connection is closed; a connection is never closed on a
-//! request that has been sent but not read, unless its descriptor is needed or the other side breaks a bound; every buffer and
-//! every wait has a bound. It knows FastCGI's framing only as far as it counts bytes: requests are the event loop's.
+//! Guarantees: an answer that was queued is written, or its connection is closed; a connection on which a
+//! request has been sent but not read is not closed, unless its descriptor is needed or the other side
+//! exceeds a bound; every buffer and every wait has a bound. This module knows FastCGI's framing only as far
+//! as it counts bytes; the event loop interprets requests.
 
 mod connection;
 mod idle;
@@ -28,52 +30,57 @@
 pub use idle::Expired;
 pub use table::ConnectionTable;
 
-/// Most bytes read from one connection in one go, so that none keeps the others waiting.
+/// Most bytes that are read from one connection at a time, so that one connection does not delay the others.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Room for a chunk behind the part of a record that was left of the chunk before.
+/// Size of the read buffer, in bytes: a chunk, and before it the incomplete record that the previous chunk
+/// ended with.
 const READ_BUFFER_BYTES: usize = READ_CHUNK_BYTES + fastcgi::MAX_RECORD_BYTES;
-/// Most open requests on a connection, as FCGI_MAX_REQS announces. Bounds what one gateway can hold in memory.
+/// Most open requests on one connection; gateways are told it as FCGI_MAX_REQS. Bounds the memory that one
+/// gateway can use.
 pub const MAX_OPEN_REQUESTS: usize = 32;
 
-/// Names a connection. Poller keys are used again: a later connection under the same key has another serial number.
+/// Identifies a connection. A slot of the table, and with it a poller key, is reused after a connection was
+/// closed; a later connection in the same slot has another serial number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ConnectionId {
-    /// Index in the table.
+    /// Index of the connection's slot in the table.
     #[serde(rename = "place")]
     index: usize,
     serial: u64,
 }
 
 impl ConnectionId {
-    /// A connection that was closed.
+    /// An id that no connection in a table has; stands for a connection that was closed.
     pub const GONE: ConnectionId = ConnectionId { index: usize::MAX, serial: 0 };
 }
 
-/// Names an open request of a gateway.
+/// Identifies an open request of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestRef {
-    /// The connection it came on.
+    /// The connection on which the request arrived.
     pub connection: ConnectionId,
-    /// Its FastCGI request id there.
+    /// The FastCGI request id, which the gateway has chosen; unique among the connection's open requests.
     pub fcgi_id: u16,
 }
 
-/// How far an open request of a connection has come, and whether the connection is kept after its answer.
+/// The state of an open request. The `bool` of each variant tells whether the connection is kept after the
+/// answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum OpenRequest {
-    /// Its records come in, since then.
+    /// Not all records of the request have arrived; the first was read at the given time.
     #[serde(rename = "Incoming")]
     Incoming(Box<IncomingRequest>, bool, Timestamp),
-    /// Read and admitted; the answer is owed.
+    /// The request was read and the engine has taken it; its answer is pending.
     #[serde(rename = "Owed")]
     Admitted(RequestId, bool),
-    /// A health check that waits for the kernel.
+    /// The request is a deep health check that waits for the kernel.
     #[serde(rename = "Check")]
     HealthCheck(bool),
 }
 
 impl OpenRequest {
-    /// Whether the connection is kept after this request.
+    /// Whether the connection is kept after the answer to this request, as the gateway asked for in the
+    /// request's first record.
     pub fn keeps_connection(&self) -> bool {
         match self {
             OpenRequest::Incoming(_, keeps, _)
@@ -82,13 +89,13 @@
         }
     }
 
-    /// The attempt that is owed an answer, if it was admitted.
+    /// The id of the attempt whose answer is pending; none if the engine has not taken the request.
     fn admitted(self) -> Option<RequestId> {
         if let OpenRequest::Admitted(id, _) = self { Some(id) } else { None }
     }
 }
 
-/// A buffer for [`Connection::read`].
+/// Allocates a buffer that is large enough for [`Connection::read`].
 pub fn read_buffer() -> Vec<u8> {
     vec![0; READ_BUFFER_BYTES]
 }
--- a/crates/node/src/connections/snapshot.rs
+++ b/crates/node/src/connections/snapshot.rs
@@ -1,34 +1,37 @@
-//! Passing connections to the process that takes over: their state by value, their sockets beside it.
+//! Handing connections over to the successor process: their state is sent by value, their sockets along with
+//! it.
 
 use super::connection::{Connection, ConnectionState};
 use super::{ConnectionId, ConnectionTable};
 use crate::io::{Stream as _, System};
 
 impl<S: System> ConnectionTable<S> {
-    /// The state of all connections, for another process to go on with.
+    /// The state of all connections, with which a successor continues to serve them.
     pub fn snapshot(&self) -> Vec<ConnectionState> {
         self.slots.iter().flatten().map(|connection| connection.state.clone()).collect()
     }
 
-    /// The socket of a connection, to be passed on.
+    /// The socket of a connection, to be handed over; none if the connection is not in the table.
     pub fn stream(&self, id: ConnectionId) -> Option<&S::Stream> {
         let connection = self.slots.get(id.index)?.as_ref()?;
         Some(&connection.stream).filter(|_| connection.state.id == id)
     }
 
-    /// Goes on with a connection of another process, watched under [`ConnectionTable::next_key`]; returns its name here.
+    /// Adds a connection that another process has handed over, watched under [`ConnectionTable::next_key`];
+    /// returns its id in this process.
     pub fn restore(&mut self, stream: S::Stream, state: ConnectionState) -> ConnectionId {
         let id = self.next_id();
         let mut connection = Connection { stream, state: ConnectionState { id, ..state } };
-        // Nothing is read from it before the table is resumed.
+        // The connection is not read before the table is resumed.
         let _ = connection.stream.watch(false, false);
         self.place(connection);
-        // What is to be closed is found with the first flush.
+        // The first flush closes the connection if it was about to be closed.
         self.touch(id);
         id
     }
 
-    /// Lets go of all connections and of the listener: another process has them.
+    /// Drops this process's sockets of the listener and of all connections; another process has taken them
+    /// over.
     pub fn release_all(&mut self) {
         self.listener = None;
         self.slots.clear();
@@ -37,7 +40,7 @@
     }
 }
 
-/// A write queue is passed on as the bytes that are still to be written.
+/// Serialises a write queue as the bytes that are still to be written.
 pub(super) mod unwritten_bytes {
     use crate::write_queue::WriteQueue;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
--- a/crates/node/src/connections/table.rs
+++ b/crates/node/src/connections/table.rs
@@ -1,4 +1,4 @@
-//! The table of connections: from poller keys and names to connections, and writing what was queued.
+//! The table of connections: finds connections by poller key and by id, and writes their queued output.
 
 use super::connection::{Connection, ConnectionState};
 use super::listener::OWN_DESCRIPTORS;
@@ -9,34 +9,35 @@
 use gaugestand_admission::time::{Micros, Timestamp};
 use std::mem;
 
-/// Most bytes that wait to be read by the other side: all answers that a connection can have open. Beyond it the connection is
-/// cut off, as its other side asks without reading.
+/// Most bytes of output that may wait on one connection: enough for the answers to all requests that it can
+/// have open. A connection with more is closed, as its other side sends requests without reading the answers.
 pub(super) const MAX_UNWRITTEN_BYTES: usize = 192 * 1024;
 
-/// The listener and its connections.
+/// The listener for gateways and the connections that it has accepted.
 #[derive(Debug)]
 pub struct ConnectionTable<S: System> {
     pub(super) listener: Option<S::Listener>,
-    /// Nothing is accepted or read.
+    /// Whether the table is paused: nothing is accepted, read or written.
     pub(super) paused: bool,
-    /// Descriptors that another process of this node needs for now.
+    /// Descriptors that are left unused, as a successor process needs them during a hand-over.
     pub(super) reserved: usize,
-    /// Poller key of the first slot.
+    /// Poller key of the first slot; the key of slot n is this plus n.
     first_key: usize,
     pub(super) slots: Vec<Option<Connection<S::Stream>>>,
-    /// Slots that are empty; the last one is used next.
+    /// Indices of empty slots; the last of them is used next.
     pub(super) free: Vec<usize>,
-    /// Connections so far.
+    /// Serial number of the connection that was added last; 0 before the first.
     last_serial: u64,
     pub(super) max_connections: usize,
     pub(super) idle_timeout: Option<Micros>,
-    /// Connections with something to write or to settle in this iteration.
+    /// Connections that the next flush has to write to or may have to close.
     pub(super) touched: Vec<ConnectionId>,
     pub(super) next_timeout_check: Timestamp,
 }
 
 impl<S: System> ConnectionTable<S> {
-    /// A table that does not listen yet, within this many descriptors besides those of other components.
+    /// Creates a table that does not listen yet. `descriptors` bounds its connections together with the
+    /// node's other descriptors in `OWN_DESCRIPTORS`.
     pub fn new(first_key: usize, descriptors: usize) -> Self {
         ConnectionTable {
             listener: None,
@@ -59,24 +60,25 @@
         self.free.last().copied().unwrap_or(self.slots.len())
     }
 
-    /// The poller key of the next connection.
+    /// The poller key under which the next connection has to be watched.
     pub fn next_key(&self) -> usize {
         self.first_key + self.next_index()
     }
 
-    /// The name of the next connection; each has another one.
+    /// Allocates the id of the next connection; no two connections of a process get the same one.
     pub(super) fn next_id(&mut self) -> ConnectionId {
         self.last_serial += 1;
         ConnectionId { index: self.next_index(), serial: self.last_serial }
     }
 
-    /// Adds a connection that was accepted just now, watched under [`ConnectionTable::next_key`].
+    /// Adds a connection that was accepted at `now` and is watched under [`ConnectionTable::next_key`].
     pub(super) fn insert(&mut self, now: Timestamp, stream: S::Stream) {
         let id = self.next_id();
         self.place(Connection { stream, state: ConnectionState::new(id, now) });
     }
 
-    /// Puts a connection into the next slot, which is the one in its id.
+    /// Puts a connection into the next free slot, whose index [`ConnectionTable::next_id`] has put into its
+    /// id.
     pub(super) fn place(&mut self, connection: Connection<S::Stream>) {
         match self.free.pop() {
             Some(index) => self.slots[index] = Some(connection),
@@ -84,13 +86,13 @@
         }
     }
 
-    /// The connection that a poller key stands for.
+    /// The id of the connection that is watched under a poller key.
     pub fn at_key(&self, key: usize) -> Option<ConnectionId> {
         let index = key.checked_sub(self.first_key)?;
         Some(self.slots.get(index)?.as_ref()?.state.id)
     }
 
-    /// A connection that is still there.
+    /// The connection with this id, unless it was closed.
     pub fn get(&mut self, id: ConnectionId) -> Option<&mut Connection<S::Stream>> {
         self.slots.get_mut(id.index)?.as_mut().filter(|connection| connection.state.id == id)
     }
@@ -103,24 +105,26 @@
         self.slots.len() - self.free.len()
     }
 
-    /// Whether no connection is left.
+    /// Whether the table has no connection.
     pub fn is_empty(&self) -> bool {
         self.open_count() == 0
     }
 
     // ---- Open requests -------------------------------------------------------------------------------
 
-    /// Takes a request off its connection's list of open ones, for whoever answers it.
+    /// Removes a request from its connection's open requests, so that it can be answered; none if it is not
+    /// open.
     pub fn take_request(&mut self, request: RequestRef) -> Option<OpenRequest> {
         self.get(request.connection)?.state.open_requests.remove(&request.fcgi_id)
     }
 
-    /// Requests that are not complete, and health checks that wait.
+    /// Open requests that the engine has not taken: incomplete ones, and deep health checks that wait for the
+    /// kernel.
     pub fn unadmitted_requests(&self) -> Vec<RequestRef> {
         self.requests(|request| !matches!(request, OpenRequest::Admitted(..)))
     }
 
-    /// Health checks that wait.
+    /// Open deep health checks that wait for the kernel.
     pub fn pending_health_checks(&self) -> Vec<RequestRef> {
         self.requests(|request| matches!(request, OpenRequest::HealthCheck(_)))
     }
@@ -135,7 +139,8 @@
         found
     }
 
-    /// Counts a bad request on a connection; after too many, or at once if `ends_connection`, the connection ends.
+    /// Counts a bad request on a connection; after too many of them, or at once if `ends_connection`, the
+    /// connection ends.
     pub fn note_bad_request(&mut self, now: Timestamp, id: ConnectionId, ends_connection: bool) {
         if let Some(connection) = self.get(id) {
             connection.note_bad_request(now, ends_connection);
@@ -144,14 +149,16 @@
 
     // ---- Writing and closing -------------------------------------------------------------------------
 
-    /// Marks a connection as having something to write or to settle in this iteration.
+    /// Marks a connection for the next flush: it has output to write, or may have to be closed.
     pub fn touch(&mut self, id: ConnectionId) {
         if !self.touched.contains(&id) {
             self.touched.push(id);
         }
     }
 
-    /// Writes what the iteration has queued, and ends what is done; returns the attempts that were owed an answer on what broke.
+    /// Writes the queued output of the marked connections. Closes those that failed or hold more than
+    /// `MAX_UNWRITTEN_BYTES`, and ends those that are finished; returns the attempts whose answer was pending
+    /// on them.
     pub fn flush(&mut self, now: Timestamp, counters: &mut Counters) -> Vec<RequestId> {
         let mut gone = Vec::new();
         for id in mem::take(&mut self.touched) {
@@ -172,12 +179,13 @@
         gone
     }
 
-    /// Whether anything is still to be written.
+    /// Whether any connection has output that waits to be written.
     pub fn is_writing(&self) -> bool {
         self.slots.iter().flatten().any(|connection| !connection.state.output.is_empty())
     }
 
-    /// Closes a connection; returns the attempts that were owed an answer on it.
+    /// Closes the socket of a connection and frees its slot; returns the attempts whose answer was pending on
+    /// it.
     pub fn close(&mut self, id: ConnectionId) -> Vec<RequestId> {
         if self.get(id).is_none() {
             return Vec::new();
--- a/crates/node/src/connections/tests.rs
+++ b/crates/node/src/connections/tests.rs
@@ -1,4 +1,5 @@
-//! The table of connections over loopback sockets: races between what a gateway sends and what a timeout closes.
+//! Tests of the connection table over loopback sockets: races between what a gateway sends and a close by the
+//! node.
 
 use super::idle::{TIMEOUT_CHECK_INTERVAL, WRITE_STALL_TIMEOUT};
 use super::lingering_close::{LINGERING_CLOSE_TIMEOUT, MAX_DROPPED_BYTES};
@@ -12,53 +13,56 @@
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
 
-/// A table with one connection, accepted at the given time with one request open, and the gateway's side of it.
+/// A table with one connection, accepted at `now` and with one open request, and the gateway's side of the
+/// connection.
 fn table_with_open_request(now: Timestamp) -> (ConnectionTable<Real>, ConnectionId, TcpStream) {
-    let system = Real::new().expect("a poller");
+    let system = Real::new().expect("the poller is created");
     let mut table: ConnectionTable<Real> = ConnectionTable::new(1, 64);
-    table.listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a port"));
-    let client = TcpStream::connect(table.address().expect("it listens")).expect("accepted");
+    table
+        .listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a free port is listened at"));
+    let client =
+        TcpStream::connect(table.address().expect("the table listens")).expect("the client connects");
     let mut counters = Counters::default();
     while table.open_count() == 0 {
         table.accept(now, &mut counters);
     }
-    let id = table.at_key(1).expect("the first place");
-    let conn = table.get(id).expect("it is there");
+    let id = table.at_key(1).expect("the first slot has a connection");
+    let conn = table.get(id).expect("the connection is in the table");
     conn.note_requested();
     conn.insert_request(1, OpenRequest::Admitted(RequestId(1), true));
     (table, id, client)
 }
 
-// A request takes longer than a reader may stall, so that nothing passes on its connection for that long. Its answer is queued,
-// and the check of timeouts arrives before the write. Were the stall counted from the last activity, the connection would be cut
-// off with its answer unwritten.
+// A run takes longer than the stall timeout, so nothing is sent on its connection for that long. The answer
+// is queued, and the check of the timeouts runs before the write. If the stall were counted from the last
+// activity, the connection would be closed with its answer unwritten.
 #[test]
-fn an_answer_queued_after_a_long_run_is_written_and_not_taken_for_a_stall() {
+fn an_answer_queued_after_a_long_run_is_written_and_does_not_count_as_a_stall() {
     let began = Timestamp::millis(1_000);
     for wait in [WRITE_STALL_TIMEOUT, WRITE_STALL_TIMEOUT.plus(WRITE_STALL_TIMEOUT), Micros::millis(17_000)] {
         let (mut table, id, mut client) = table_with_open_request(began);
         let now = began.plus(wait);
         let mut counters = Counters::default();
-        table.get(id).expect("it is there").queue(b"answer".to_vec());
+        table.get(id).expect("the connection is in the table").queue(b"answer".to_vec());
         table.touch(id);
         let expired = table.on_timer(now, &mut counters);
-        assert!(expired.gone.is_empty(), "cut off with its answer unwritten after {wait:?}");
+        assert!(expired.gone.is_empty(), "closed with its answer unwritten after {wait:?}");
         assert!(table.flush(now, &mut counters).is_empty());
         let mut read = [0; 6];
-        client.read_exact(&mut read).expect("the answer");
+        client.read_exact(&mut read).expect("the client reads the answer");
         assert_eq!((&read, counters.connections_cut), (b"answer", 0));
     }
 }
 
-// A gateway stops reading its answers. They would wait in memory for ever.
+// A gateway stops reading its answers, which would stay in memory for ever.
 #[test]
-fn a_connection_whose_peer_does_not_read_is_cut_off_after_the_stall_timeout() {
+fn a_connection_whose_gateway_does_not_read_is_closed_after_the_stall_timeout() {
     let (mut table, id, _client) = table_with_open_request(Timestamp(0));
     let now = Timestamp::millis(30_000);
     let mut counters = Counters::default();
-    // More than the system takes for the other side, in pieces under the bound on what waits.
-    while table.get(id).expect("it is there").state.output.is_empty() {
-        table.get(id).expect("it is there").queue(vec![0; MAX_UNWRITTEN_BYTES - 1]);
+    // Queues more than the system buffers for the other side, in pieces below the bound on waiting output.
+    while table.get(id).expect("the connection is in the table").state.output.is_empty() {
+        table.get(id).expect("the connection is in the table").queue(vec![0; MAX_UNWRITTEN_BYTES - 1]);
         table.touch(id);
         table.flush(now, &mut counters);
     }
@@ -72,130 +76,146 @@
     );
 }
 
-/// Waits until a connection lies in the listener's queue.
+/// Waits until a connection is in the listener's queue.
 fn await_connection(system: &Real) {
     let mut ready = Vec::new();
     while !ready.iter().any(|r: &crate::io::Ready| r.key == 0) {
-        system.wait(Micros::millis(1_000), &mut ready).expect("the poller");
+        system.wait(Micros::millis(1_000), &mut ready).expect("the poller waits");
     }
 }
 
-/// What is left for the client to read, up to the end of the connection; an error if it was reset.
-fn rest(client: &mut TcpStream) -> std::io::Result<Vec<u8>> {
-    client.set_read_timeout(Some(std::time::Duration::from_secs(20))).expect("a timeout");
+/// The bytes that the client can still read until the end of the connection; an error if the connection was
+/// reset.
+fn read_until_end(client: &mut TcpStream) -> std::io::Result<Vec<u8>> {
+    client.set_read_timeout(Some(std::time::Duration::from_secs(20))).expect("the read timeout is set");
     let mut read = Vec::new();
     client.read_to_end(&mut read).map(|_| read)
 }
 
-// A gateway sends more behind the request whose answer ends the connection. A close over bytes that were not read is a reset,
-// which discards the answer on its way.
+// A gateway sends more input after the request whose answer ends the connection. Closing a socket with unread
+// input sends a reset, which discards an answer that is still in transit.
 #[test]
-fn the_last_answer_arrives_whole_although_more_came_behind_its_request() {
+fn the_last_answer_arrives_completely_although_unread_input_follows_its_request() {
     let (mut table, id, mut client) = table_with_open_request(Timestamp(0));
     let mut counters = Counters::default();
-    client.write_all(&[9; 100]).expect("the system takes it");
-    let conn = table.get(id).expect("it is there");
+    client.write_all(&[9; 100]).expect("the client's bytes are sent");
+    let conn = table.get(id).expect("the connection is in the table");
     conn.state.open_requests.clear();
     conn.queue(b"answer".to_vec());
     conn.state.closes_after_write = true;
     table.touch(id);
     assert!(table.flush(Timestamp(0), &mut counters).is_empty());
-    client.write_all(&[9; 100]).expect("the system takes it");
-    assert_eq!(rest(&mut client).expect("an end and no reset"), b"answer");
-    // It is closed as soon as the other side has ended too, and what came until then was dropped.
+    client.write_all(&[9; 100]).expect("the client's bytes are sent");
+    assert_eq!(read_until_end(&mut client).expect("the connection ends without a reset"), b"answer");
+    // The connection is closed as soon as the other side has ended too; input until then is dropped.
     let mut buffer = read_buffer();
-    client.shutdown(std::net::Shutdown::Write).expect("still there");
+    client.shutdown(std::net::Shutdown::Write).expect("the client shuts its write side");
     while table.get(id).is_some() {
         table.drop_input(id, &mut buffer);
     }
     assert_eq!(table.open_count(), 0);
 }
 
-// A client goes on sending after its connection was ended. It must neither be read nor keep its descriptor for as long as it
-// likes.
+// A client goes on sending after its connection was ended. The node must not read it without bound, and the
+// client must not keep its descriptor in use for as long as it sends.
 #[test]
 fn a_lingering_close_is_bounded_in_bytes_and_in_time() {
     let (mut table, id, mut client) = table_with_open_request(Timestamp(0));
     let mut counters = Counters::default();
-    table.get(id).expect("it is there").state.open_requests.clear();
-    table.get(id).expect("it is there").state.closes_after_write = true;
+    table.get(id).expect("the connection is in the table").state.open_requests.clear();
+    table.get(id).expect("the connection is in the table").state.closes_after_write = true;
     table.touch(id);
     table.flush(Timestamp(0), &mut counters);
     let mut buffer = read_buffer();
     for _ in 0..MAX_DROPPED_BYTES / READ_CHUNK_BYTES {
-        client.write_all(&[9; READ_CHUNK_BYTES]).expect("the system takes it");
+        client.write_all(&[9; READ_CHUNK_BYTES]).expect("the client's bytes are sent");
         let mut left = table.get(id).and_then(|c| c.state.lingering_close).map_or(0, |c| c.remaining_bytes);
         while left > 0 && table.get(id).is_some_and(|c| c.stream.has_unread()) {
             table.drop_input(id, &mut buffer);
             left = table.get(id).and_then(|c| c.state.lingering_close).map_or(0, |c| c.remaining_bytes);
         }
     }
-    assert!(table.get(id).is_some_and(|c| !c.wants_input()), "it reads no more than that");
+    assert!(
+        table.get(id).is_some_and(|c| !c.wants_input()),
+        "the table still reads input after MAX_DROPPED_BYTES"
+    );
     table.on_timer(Timestamp(LINGERING_CLOSE_TIMEOUT.0 - 1), &mut counters);
     assert_eq!(table.open_count(), 1);
     table.on_timer(Timestamp(0).plus(LINGERING_CLOSE_TIMEOUT).plus(TIMEOUT_CHECK_INTERVAL), &mut counters);
     assert_eq!(table.open_count(), 0);
 }
 
-// In a drain the listener closes while a connection with a request waits in the system's queue. Closing the listener resets it.
+// In a drain the listener closes while a connection with a request waits in the system's queue. Closing the
+// listener would reset that connection.
 #[test]
 fn connections_in_the_system_s_queue_are_accepted_before_the_listener_closes() {
-    let system = Real::new().expect("a poller");
+    let system = Real::new().expect("the poller is created");
     let mut table: ConnectionTable<Real> = ConnectionTable::new(1, 64);
-    table.listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a port"));
-    let mut late = TcpStream::connect(table.address().expect("it listens")).expect("accepted by the system");
-    late.write_all(b"a request").expect("the system takes it");
+    table
+        .listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a free port is listened at"));
+    let mut late = TcpStream::connect(table.address().expect("the table listens"))
+        .expect("the system completes the connection");
+    late.write_all(b"a request").expect("the client's bytes are sent");
     await_connection(&system);
     table.stop_listening(Timestamp(0), &mut Counters::default());
     assert_eq!((table.open_count(), table.address()), (1, None));
-    let id = table.at_key(1).expect("the first place");
+    let id = table.at_key(1).expect("the first slot has a connection");
     let mut buffer = read_buffer();
-    let read = table.get(id).expect("it is there").read(Timestamp(0), &mut buffer).expect("not reset");
+    let read = table
+        .get(id)
+        .expect("the connection is in the table")
+        .read(Timestamp(0), &mut buffer)
+        .expect("the connection is not reset");
     assert_eq!(&buffer[..read], b"a request");
 }
 
-// A request arrives in the moment in which its connection has been idle for the timeout: closed then, the request would be
-// lost. One that arrives a moment later finds an end of the stream and no reset, which says that it never ran.
+// A request arrives just as its connection reaches the idle timeout: if the connection were closed then, the
+// request would be lost. A request that arrives a moment later meets an end of the stream and no reset, which
+// tells the gateway that it never ran.
 #[test]
-fn an_idle_close_spares_a_request_that_has_arrived_and_never_resets() {
+fn an_idle_close_keeps_a_connection_with_an_unread_request_and_never_resets() {
     for arrives in [true, false] {
         let (mut table, id, mut client) = table_with_open_request(Timestamp(0));
         let idle = Micros::millis(200);
         let mut counters = Counters::default();
-        table.get(id).expect("it is there").state.open_requests.clear();
+        table.get(id).expect("the connection is in the table").state.open_requests.clear();
         table.set_idle_timeout(idle);
         if arrives {
-            client.write_all(&[1]).expect("the system takes it");
+            client.write_all(&[1]).expect("the client's bytes are sent");
         }
         table.on_timer(Timestamp(0).plus(idle), &mut counters);
-        let conn = table.get(id).expect("it is there");
+        let conn = table.get(id).expect("the connection is in the table");
         assert_eq!((conn.is_closing(), counters.connections_idle_closed), (!arrives, u64::from(!arrives)));
         if !arrives {
-            client.write_all(&[1]).expect("the system takes it");
-            assert_eq!(rest(&mut client).expect("an end and no reset"), b"");
+            client.write_all(&[1]).expect("the client's bytes are sent");
+            assert_eq!(read_until_end(&mut client).expect("the connection ends without a reset"), b"");
         }
     }
 }
 
-// The descriptors are used up, in part by connections that are only being closed. A newcomer must get the place of one of
-// those, before any that may still be used.
+// The descriptors are used up, in part by connections in their lingering close. A new connection must replace
+// one of those before any that may still be used.
 #[test]
-fn a_connection_in_its_lingering_close_makes_room_first() {
-    let system = Real::new().expect("a poller");
+fn a_connection_in_its_lingering_close_is_evicted_first() {
+    let system = Real::new().expect("the poller is created");
     let mut table: ConnectionTable<Real> = ConnectionTable::new(1, OWN_DESCRIPTORS + 3);
-    table.listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a port"));
-    let at = table.address().expect("it listens");
+    table
+        .listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a free port is listened at"));
+    let at = table.address().expect("the table listens");
     let mut counters = Counters::default();
     let connect = |table: &mut ConnectionTable<Real>, now, counters: &mut Counters| {
-        let client = TcpStream::connect(at).expect("accepted");
+        let client = TcpStream::connect(at).expect("the client connects");
         await_connection(&system);
         table.accept(now, counters);
         client
     };
     let _idle = connect(&mut table, Timestamp(0), &mut counters);
     let _closing = connect(&mut table, Timestamp(1), &mut counters);
-    let (first, second) = (table.at_key(1).expect("one"), table.at_key(2).expect("another"));
-    table.get(second).expect("it is there").state.closes_after_write = true;
+    let (first, second) = (
+        table.at_key(1).expect("the first connection is accepted"),
+        table.at_key(2).expect("the second connection is accepted"),
+    );
+    table.get(second).expect("the connection is in the table").state.closes_after_write = true;
     table.touch(second);
     table.flush(Timestamp(1), &mut counters);
     let _late = connect(&mut table, Timestamp::millis(200), &mut counters);
