--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -1,12 +1,12 @@
-//! What the node took in, sent and answered, counted since its start.
+//! Counters of what the node has received, sent and answered since it started.
 //!
-//! Names as printed are the operators' and do not change; where the code's term is another one, the printed name stands behind
-//! it.
+//! Operators' programs read the printed names, so these don't change. Where the field has another name, the
+//! printed name is given after `=>`.
 
 use gaugestand_idempotency::TableMetrics;
 use std::fmt;
 
-/// The name that a counter is printed under.
+/// Expands to the name under which a counter is printed: the field's name, unless a literal is given.
 macro_rules! printed_name {
     ($name:ident) => {
         stringify!($name)
@@ -18,14 +18,14 @@
 
 macro_rules! counters {
     ($($(#[doc = $doc:literal])+ $name:ident $(=> $printed:literal)?,)+) => {
-        /// Counts since the start; printed on request and at the exit.
+        /// The node's counters. They start at 0 with the process and are printed on SIGUSR1 and at the exit.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[doc = $doc])+ pub $name: u64,)+
         }
 
         impl fmt::Display for Counters {
-            /// One line a counter, its name and its value.
+            /// Writes one line for each counter: its printed name, a space and its value.
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 $(writeln!(f, "{} {}", printed_name!($name $(, $printed)?), self.$name)?;)+
                 Ok(())
@@ -35,7 +35,8 @@
 }
 
 impl Counters {
-    /// Takes in the state of the idempotency table and its store.
+    /// Copies the metrics of the idempotency table and the state of its store's circuit breaker into the
+    /// counters. To be called before the counters are printed.
     pub fn read_idempotency(&mut self, metrics: TableMetrics, circuit_open: bool) {
         self.idempotency_circuit_open = circuit_open.into();
         self.idempotency_entries = metrics.entries as u64;
@@ -52,114 +53,124 @@
 }
 
 counters! {
-    /// Connections accepted.
+    /// Gateways' connections that were accepted.
     connections_accepted,
-    /// Connections closed because they were idle.
+    /// Gateways' connections that were closed because they were idle, for the idle timeout or to free a
+    /// descriptor.
     connections_idle_closed,
-    /// Connections cut off because the other side did not read, or sent what has no framing.
+    /// Gateways' connections that were closed without a lingering close because the gateway did not read its
+    /// answers.
     connections_cut,
-    /// Connections ended as nothing complete came on them in time, or too many bad requests.
+    /// Gateways' connections that were ended because no complete record or request arrived in time, or
+    /// because too many requests were bad.
     connections_ended,
-    /// Times that connections had to wait unaccepted for want of descriptors.
+    /// Times that accepting was paused because no descriptor was free; new connections then wait in the
+    /// system's queue.
     accept_pauses,
-    /// Requests read completely.
+    /// Attempts that were read completely and that the engine took; rejections before that and health checks
+    /// are not counted.
     requests_read,
-    /// Health checks read.
+    /// Health checks that were read completely, shallow and deep ones.
     checks_read,
-    /// Aborts for requests that were open.
+    /// Abort records of gateways for requests that were open.
     aborts_read,
-    /// Requests failed for a malformed field, an unknown path or class, or their size.
+    /// Requests that failed before they reached admission: a malformed field, an unknown path or class, their
+    /// size, a conflict of their id or idempotency key, or records that did not arrive in time.
     requests_bad,
-    /// Records that broke the framing.
+    /// Losses of the FastCGI framing on a connection: an invalid record, or one whose remaining bytes did not
+    /// arrive in time. Nothing more is read from the connection.
     framing_lost,
-    /// Answers with the result of the request's own run.
+    /// Answers (200) with the result of the attempt's own run.
     answers_served,
-    /// Answers with the result of another attempt.
+    /// Answers (200) with the result of another attempt with the same idempotency key.
     answers_replayed,
-    /// Rejections.
+    /// Rejections (503): answers to requests that never ran.
     answers_rejected => "answers_refused",
-    /// Failures.
+    /// Failures (500): answers to attempts that may have run.
     answers_failed,
-    /// Health checks answered good.
+    /// Health checks answered with 200.
     checks_passed => "checks_good",
-    /// Health checks answered bad.
+    /// Health checks answered with 503.
     checks_failed => "checks_bad",
-    /// Answers for which no connection was left.
+    /// Answers that were discarded because the request's connection was closed or the request no longer open.
     answers_unsent,
-    /// Runs asked of the kernel.
+    /// Commands to the kernel to run an attempt.
     runs_sent,
-    /// Preemptions asked of the kernel.
+    /// Commands to the kernel to preempt a run.
     preemptions_sent => "stops_sent",
-    /// Gauges asked of the kernel.
+    /// Commands to the kernel to report its gauges.
     gauges_sent,
-    /// Deep checks asked of the kernel.
+    /// Commands to the kernel to do the work of a deep health check.
     deep_checks_sent => "posts_sent",
-    /// Notices read from the kernel.
+    /// Notices that were read from the kernel, including repeated and unreadable ones.
     notices_read,
-    /// Notices that came again and were passed over.
+    /// Notices that the kernel sent again after a reconnect and that were ignored.
     notices_repeated,
-    /// Commands that the kernel rejected.
+    /// Commands to the kernel that it rejected.
     commands_rejected,
-    /// Lines of the kernel or the store that could not be read.
+    /// Lines of the kernel or the store that were malformed, too long, or not completed in time.
     lines_bad,
-    /// Links to the kernel made.
+    /// Connections to the kernel that were established.
     kernel_links,
-    /// Calls sent to the store.
+    /// Outbound calls that were sent to the store.
     calls_sent,
-    /// Calls dropped.
+    /// Outbound calls that were given up after they had been sent; the store is told to drop them.
     calls_dropped,
-    /// Calls that a run went on without.
+    /// Outbound calls that were skipped: the run continued without their result.
     calls_skipped,
-    /// Requests that did not say how long their gateway waits, although the site's gateways do.
+    /// Requests without the field that states the caller timeout, on a site whose gateways send it.
     caller_timeouts_missing => "patience_untold",
-    /// Replies read from the store.
+    /// Replies that were read from the store.
     replies_read,
-    /// Replies to no call that is out on their connection: second copies, unknown ids, calls given up.
+    /// Replies of the store that match no pending call of their connection: duplicates, unknown ids, and
+    /// replies to calls that were given up.
     replies_unexpected => "replies_unasked",
-    /// Links to the store made.
+    /// Connections to the store that were established.
     store_links,
-    /// New configurations that took effect.
+    /// Reloads of the configuration that took effect.
     reloads,
-    /// New configurations that were rejected.
+    /// Reloads of the configuration that were rejected; the old configuration stayed in effect.
     reloads_failed,
     /// 1 while the circuit breaker of the idempotency store is open, else 0.
     idempotency_circuit_open => "record_open",
-    /// Keys in the idempotency table now.
+    /// Idempotency keys that are in the table now.
     idempotency_entries => "record_entries",
-    /// Bytes that they take now.
+    /// Bytes of memory that the idempotency table's keys take now.
     idempotency_bytes => "record_bytes",
-    /// Writes to the idempotency store that wait or are out now.
+    /// Writes to the idempotency store that are queued or in flight now.
     idempotency_writes_waiting => "record_waiting",
-    /// Rows past their window that wait to be removed now.
+    /// Rows of the idempotency store whose window has ended and that wait to be removed now.
     idempotency_removals_waiting => "record_removals",
-    /// Batches that the idempotency store has made durable.
+    /// Batches of writes that the idempotency store has made durable.
     idempotency_commits => "record_commits",
-    /// Writes in them.
+    /// Writes in the batches that the idempotency store has made durable.
     idempotency_writes_committed => "record_committed",
-    /// Batches that failed or proved nothing.
+    /// Batches for the idempotency store that failed or whose outcome is unknown.
     idempotency_failures => "record_failures",
     /// Times that the circuit breaker of the idempotency store opened.
     idempotency_circuit_openings => "record_opened",
-    /// First attempts of keyed requests rejected as the idempotency store could not take them.
+    /// First attempts of requests with an idempotency key that were rejected because the table was full or
+    /// the idempotency store could not take them.
     idempotency_rejections => "record_turned_away",
-    /// Runs found at the start of which nobody knows how they ended.
+    /// Runs of an earlier process, found in the idempotency store at the start, whose outcome is unknown.
     idempotency_in_doubt => "record_in_doubt",
-    /// Connections to the idempotency store made.
+    /// Connections to the idempotency store (PostgreSQL) that were established.
     idempotency_links => "record_links",
-    /// Messages of other nodes that were read.
+    /// Messages of other nodes that were read and accepted.
     peer_messages => "fellow_messages",
-    /// Messages of other nodes that ended their link: unreadable, too long, or not for this node.
+    /// Messages of other nodes that were not accepted (unreadable, too long, or not for this node); each
+    /// ended its connection.
     peer_messages_invalid => "fellow_unfit",
-    /// Messages to other nodes that were dropped as they read too slowly.
+    /// Messages to other nodes that were dropped because too many bytes waited to be read by the node.
     peer_messages_dropped => "fellow_dropped",
-    /// Records of the consensus log that were made durable.
+    /// Records of the consensus log that this node has made durable.
     consensus_log_records => "fleet_pages",
-    /// Requests rejected as this node had no lease for the agreed version.
+    /// Attempts rejected because this node held no lease for the active version of the agreed settings.
     rejected_without_lease => "fleet_unleased",
-    /// Requests rejected by the cluster's lists.
+    /// Attempts rejected by a list of the active version: a blocked subject, or a gateway over its limit.
     rejected_by_list => "fleet_barred",
-    /// Lines of the log that nobody read in time.
+    /// Log lines that were dropped because they were not read in time.
     log_lines_dropped,
-    /// Reports to the membership service.
+    /// Reports that were sent to the membership service.
     reports_sent,
 }
--- a/crates/node/src/health_checks.rs
+++ b/crates/node/src/health_checks.rs
@@ -1,8 +1,10 @@
-//! Deep health checks: what the kernel has shown of late, or will show, answers all of them.
+//! Deep health checks: the result of one check by the kernel answers all health checks that wait, and those
+//! that arrive while it is recent.
 //!
-//! The work of one check costs the cores as much as a request does, and each gateway asks on its own: with many of them the
-//! checks alone would fill the cores. So one check is out at a time, everyone who asks meanwhile waits for it, and its result
-//! holds for [`RESULT_LIFETIME`]. A check that the kernel does not answer within `CHECK_TIMEOUT` has failed.
+//! The work of one check costs the cores as much as a request does, and each gateway sends its own health
+//! checks: with many gateways the checks alone would fill the cores. So only one check is in flight at a
+//! time, all health checks that arrive meanwhile wait for its result, and the result is valid for
+//! [`RESULT_LIFETIME`]. A check that the kernel does not answer within `CHECK_TIMEOUT` has failed.
 
 use super::connections::RequestRef;
 use super::counters::Counters;
@@ -11,50 +13,51 @@
 use gaugestand_admission::time::{Micros, Timestamp};
 use std::collections::VecDeque;
 
-/// A check that the kernel has not answered by then has failed.
+/// Time after which a check that the kernel has not answered counts as failed.
 const CHECK_TIMEOUT: Micros = Micros::millis(3_000);
-/// The result of a check holds for so long. Gateways ask every second or two, so none hears much later than from a check of
-/// its own that work no longer gets done.
+/// How long the result of a check answers further health checks. Gateways send one every second or two, so
+/// with a shared result a gateway notices not much later than with a check of its own that the kernel has
+/// stopped doing work.
 pub const RESULT_LIFETIME: Micros = Micros::millis(1_000);
-/// Most abandoned checks whose result still counts.
+/// Most abandoned checks whose late result is still accepted; the oldest are forgotten first.
 const MAX_ABANDONED: usize = 8;
 
-/// A health check that waits for its answer.
+/// A gateway's health check that waits for a result, and when it arrived.
 #[derive(Debug)]
 struct Waiting {
     request: RequestRef,
     since: Timestamp,
 }
 
-/// The check that the kernel was asked for.
+/// The check that is in flight: the kernel was asked for it at `since` and has not answered.
 #[derive(Clone, Copy, Debug)]
 struct Outstanding {
     ticket: u64,
     since: Timestamp,
-    /// The number of the link that it was asked on.
+    /// Number of the kernel link on which the check was requested.
     link: u64,
 }
 
-/// The result of a check.
+/// The result of a check, and when it arrived.
 #[derive(Clone, Copy, Debug)]
 struct CheckResult {
     passed: bool,
     at: Timestamp,
 }
 
-/// The checks that wait, and the last result.
+/// The health checks that wait, the check in flight, and the last result.
 #[derive(Debug, Default)]
 pub struct HealthChecks {
     waiting: Vec<Waiting>,
     outstanding: Option<Outstanding>,
-    /// Tickets of checks that were given up and may end after all.
+    /// Tickets of checks that were given up but may still be answered, oldest first.
     abandoned: VecDeque<u64>,
     last_result: Option<CheckResult>,
 }
 
 impl HealthChecks {
-    /// A check has come. Returns its result if that is known; otherwise it waits, and the kernel is asked with the next
-    /// [`HealthChecks::request`].
+    /// Handles a new health check. Returns its result if a recent one is known. Otherwise the health check
+    /// waits, and the next [`HealthChecks::request`] asks the kernel.
     pub fn add(&mut self, now: Timestamp, request: RequestRef) -> Option<bool> {
         if let Some(result) = self.last_result.filter(|result| now.since(result.at) < RESULT_LIFETIME) {
             return Some(result.passed);
@@ -63,8 +66,8 @@
         None
     }
 
-    /// The kernel has done the work of the check with this ticket, well or not; returns those that it answers. An abandoned
-    /// check shows as much when it ends after all; one that was never asked for shows nothing.
+    /// Handles the kernel's result for the check with this ticket; returns the health checks that it answers.
+    /// The late result of an abandoned check is as good as any other; a ticket that is unknown is ignored.
     pub fn on_result(&mut self, now: Timestamp, ticket: u64, passed: bool) -> Vec<RequestRef> {
         let abandoned = self.abandoned.iter().position(|abandoned| *abandoned == ticket);
         if abandoned.and_then(|index| self.abandoned.remove(index)).is_none() {
@@ -77,8 +80,8 @@
         self.waiting.drain(..).map(|check| check.request).collect()
     }
 
-    /// Asks the kernel for the work of a check if any waits and none is out, and again after a new link; returns the checks
-    /// that it did not answer in time.
+    /// Asks the kernel for a check if any health check waits and no check is in flight; a check whose link
+    /// was replaced is requested again. Returns the health checks that were not answered in time.
     pub fn request<S: System>(
         &mut self,
         now: Timestamp,
@@ -89,7 +92,8 @@
         let late = self.waiting.iter().filter(|check| is_late(check)).map(|check| check.request).collect();
         self.waiting.retain(|check| !is_late(check));
         self.abandon_lost(now, kernel.link_number());
-        // While the link is down the check waits: it is broken for a moment, and work may still get done.
+        // While the link is down the health checks wait: the interruption may be short, and the kernel may
+        // still be doing work.
         if self.outstanding.is_none() && !self.waiting.is_empty() && kernel.is_linked() {
             let ticket = kernel.request_deep_check();
             self.outstanding = Some(Outstanding { ticket, since: now, link: kernel.link_number() });
@@ -98,7 +102,8 @@
         late
     }
 
-    /// Gives up a check whose request may have been lost with its link: without this none would ever be asked for again.
+    /// Abandons the check in flight if its request may have been lost with its link, or if it was not
+    /// answered in time: otherwise no further check would ever be requested.
     fn abandon_lost(&mut self, now: Timestamp, link: u64) {
         let is_lost = |outstanding: &mut Outstanding| {
             outstanding.link != link || now.since(outstanding.since) >= CHECK_TIMEOUT
@@ -111,7 +116,8 @@
         }
     }
 
-    /// When to call [`HealthChecks::request`] again although nothing comes.
+    /// When to call [`HealthChecks::request`] again if no event leads to a call before; none if no health
+    /// check waits.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         let outstanding = self.outstanding.filter(|_| !self.waiting.is_empty());
         let waiting = self.waiting.iter().map(|check| check.since);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,9 @@
-//! The booking node: sockets, protocols and the event loop around the engine.
+//! The booking node: the sockets, the protocols and the event loop around the engine.
 //!
-//! A request passes through `connections`, `fastcgi`, `request`, the engine in `gaugestand_admission`, `kernel` or `store`, and
-//! `response`; `event_loop` moves it from one to the next. Nothing here decides anything about requests: this crate carries out
-//! what the engine and the idempotency table decide, bounds every buffer and counts.
+//! A request passes through `connections`, `fastcgi`, `request`, the engine in `gaugestand_admission`,
+//! `kernel` or `store`, and `response`; `event_loop` moves it from one to the next. This crate takes no
+//! decision about requests: it carries out the decisions of the engine and of the idempotency table, bounds
+//! every buffer and counts.
 #![deny(unsafe_code)]
 
 pub mod admin;
--- a/crates/node/src/membership_reports.rs
+++ b/crates/node/src/membership_reports.rs
@@ -1,7 +1,7 @@
-//! Reports to the membership service: one datagram each, without an answer.
+//! Reports to the membership service: each is one datagram, which the service does not answer.
 //!
-//! The service lists this node as long as its reports come, and passes the state in the last one on to gateways. A report that is lost
-//! is not repeated: the next one comes soon.
+//! The service lists this node while reports arrive, and passes the state in the latest report on to
+//! gateways. A lost report is not repeated, as the next one follows within `REPORT_INTERVAL`.
 
 use super::counters::Counters;
 use super::io::{Datagram, System};
@@ -9,11 +9,11 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Time between two reports; the service drops the node 3 s after the last one. Guards against a network that loses a quarter
-/// of them: with four reports a second, eleven in a row have to be lost.
+/// Time between two reports. The service drops a node 3 s after its last report. At four reports a second,
+/// eleven in a row have to be lost for that, which guards against a network that loses a quarter of them.
 const REPORT_INTERVAL: Micros = Micros::millis(250);
 
-/// A report that was sent.
+/// The last report that was sent: the state in it, and when it was sent.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     in_service: bool,
@@ -26,7 +26,7 @@
     socket: D,
 }
 
-/// The reporter.
+/// Sends this node's reports to the membership service; does nothing if no service is configured.
 #[derive(Debug)]
 pub struct MembershipReports<S: System> {
     service: Option<Service<S::Datagram>>,
@@ -36,10 +36,10 @@
 }
 
 impl<S: System> MembershipReports<S> {
-    /// A reporter to the service at this address, if there is one.
+    /// Creates the reporter for the service at `address`; none if no membership service is configured.
     ///
     /// # Errors
-    /// The system has no socket for the reports.
+    /// The system cannot open a socket for the reports.
     pub fn new(system: &S, address: Option<SocketAddr>, node_name: &str) -> io::Result<Self> {
         let service = match address {
             Some(address) => Some(Service { address, socket: system.datagram(address)? }),
@@ -49,11 +49,11 @@
         Ok(MembershipReports { service, system, node_name: node_name.to_string(), last: None })
     }
 
-    /// From now on the service is at this address, and hears from this node at once; if no socket can be opened, nothing has
-    /// changed.
+    /// Sends reports to `address` from now on, the first with the next [`MembershipReports::on_timer`]. If
+    /// `address` is the present one, or no socket can be opened for it, nothing changes.
     ///
     /// # Errors
-    /// The system has no socket for the new address; reports go on to the earlier one.
+    /// The system cannot open a socket for the new address; reports still go to the earlier one.
     pub fn move_to(&mut self, address: Option<SocketAddr>) -> io::Result<()> {
         if self.service.as_ref().map(|service| service.address) != address {
             *self = MembershipReports::new(&self.system, address, &self.node_name)?;
@@ -61,7 +61,8 @@
         Ok(())
     }
 
-    /// Reports if it is time to, or if the state has changed; returns when to call again.
+    /// Sends a report if one is due or `in_service` differs from the last report. Returns when to call again;
+    /// none if no service is configured.
     pub fn on_timer(
         &mut self,
         now: Timestamp,
--- a/crates/node/src/request_metrics.rs
+++ b/crates/node/src/request_metrics.rs
@@ -1,45 +1,48 @@
-//! Requests by class and outcome, as operators compare them with what the gateways saw.
+//! Counts of requests by class and outcome, which operators compare with what the gateways saw.
 //!
-//! Guarantees that every admitted request is counted once, at its admission and at its end ([`RequestMetrics::is_consistent`]).
+//! Guarantees that every admitted request is counted once at its admission and once at its end
+//! ([`RequestMetrics::is_consistent`]).
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// How a request ended, as its client saw it.
+/// The outcome of a request as its gateway saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyOutcome {
-    /// With a result.
+    /// The request was answered with a result.
     Success,
-    /// Rejected: it never ran.
+    /// The request was rejected: it never ran.
     Overload,
-    /// Anything else; also if nobody waited any more.
+    /// The request ended in any other way, also if its gateway no longer waited for the answer.
     Error,
 }
 
-/// Requests of one class that have ended.
+/// How many requests of one class have ended, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplyCounts {
-    /// With a result.
+    /// Requests that ended as [`ReplyOutcome::Success`].
     pub success: u64,
-    /// Rejected.
+    /// Requests that ended as [`ReplyOutcome::Overload`].
     pub overload: u64,
-    /// Anything else.
+    /// Requests that ended as [`ReplyOutcome::Error`].
     pub error: u64,
 }
 
-/// Counts since the start of the process, but for what was handed over.
+/// Counts of requests since the start of the process, without admitted requests that were handed over to
+/// another process.
 #[derive(Debug, Default)]
 pub struct RequestMetrics {
-    /// By the name of the class, which keeps its totals while it is not among the settings.
+    /// Counts of ended requests by class name. A class that is removed from the settings keeps its counts.
     replies: BTreeMap<String, ReplyCounts>,
-    /// Requests admitted.
+    /// Requests that were admitted and not handed over.
     admitted: u64,
-    /// Those of them that have ended.
+    /// Admitted requests that have ended.
     ended: u64,
 }
 
 impl RequestMetrics {
-    /// These classes are listed from now on, also before a request of them ends.
+    /// Adds classes to the printed counts, with 0 for each outcome; called with the classes of each new
+    /// configuration. Classes that are already there keep their counts.
     pub fn register_classes(&mut self, classes: &[String]) {
         for class in classes {
             if !self.replies.contains_key(class) {
@@ -48,20 +51,21 @@
         }
     }
 
-    /// A request was admitted.
+    /// Counts a request that was admitted.
     pub fn record_admitted(&mut self) {
         self.admitted += 1;
     }
 
-    /// A request that was admitted has ended. To be called once for each.
+    /// Counts the end of a request that was admitted; has to be called exactly once for each.
     pub fn record_end(&mut self, class: &str, outcome: ReplyOutcome) {
         self.ended += 1;
         self.record_reply(class, outcome);
     }
 
-    /// A request of this class was answered, admitted or not.
+    /// Counts the outcome of a request of this class; for a request that was admitted,
+    /// [`RequestMetrics::record_end`] does this.
     pub fn record_reply(&mut self, class: &str, outcome: ReplyOutcome) {
-        // Only classes that were listed come here: a client cannot make new ones.
+        // Classes that were not registered are ignored, so that a client cannot add entries.
         let Some(counts) = self.replies.get_mut(class) else { return };
         match outcome {
             ReplyOutcome::Success => counts.success += 1,
@@ -70,22 +74,23 @@
         }
     }
 
-    /// So many admitted requests are another process's from now on.
+    /// Subtracts `open` admitted requests, which were handed over to another process and end there.
     pub fn record_handed_over(&mut self, open: usize) {
         self.admitted -= (open as u64).min(self.admitted);
     }
 
-    /// How requests of a class have ended.
+    /// The counts of a class; all 0 for a class that was never registered.
     pub fn replies(&self, class: &str) -> ReplyCounts {
         self.replies.get(class).copied().unwrap_or_default()
     }
 
-    /// Whether all that was admitted has ended or is among so many that are open.
+    /// Whether the number of admitted requests equals those that have ended plus the `open` ones.
     pub fn is_consistent(&self, open: usize) -> bool {
         self.admitted == self.ended + open as u64
     }
 
-    /// One line a count, in the form of statsd; `others` are counts that are kept elsewhere.
+    /// Renders one line for each count, in the statsd format. `open` is the number of admitted requests that
+    /// are open now; `others` are the names and values of counts that are kept elsewhere.
     pub fn render(&self, open: usize, others: &[(&str, u64)]) -> String {
         let mut text = String::new();
         // Writing to a String cannot fail.
