--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,8 +1,9 @@
-//! The second address: operators' connections, with one line and one answer each.
+//! The second address: connections of operators, each with one call line and one answer.
 //!
-//! Its descriptors are reserved, so that it answers while the table of gateways' connections is full. Callers, their lines and
-//! their time are bounded; at the bound the one that has been quiet for longest makes room. It knows nothing of requests: the
-//! event loop makes the answers.
+//! Descriptors are reserved for it, so that it answers while the table of gateways' connections is full. The
+//! number of connections, the length of their lines and their time are bounded; if no slot is free for a new
+//! connection, the oldest one without an answer is evicted. This module knows nothing about requests: the
+//! event loop makes the answers. In this module a caller is the operator's side of a connection.
 
 use super::io::{Listener, Ready, Stream, System};
 use super::write_queue::WriteQueue;
@@ -10,49 +11,51 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Most callers at once: a few operators and their monitoring.
+/// Most callers that are connected at a time: enough for a few operators and their monitoring.
 pub const MAX_CALLERS: usize = 8;
-/// Descriptors that it needs: those of the callers and the listener.
+/// Descriptors that are reserved for the second address: those of the callers and of the listener.
 pub const RESERVED_DESCRIPTORS: usize = MAX_CALLERS + 1;
-/// Most bytes of a line, with its end; calls are a word.
+/// Most bytes of a line, with its end, for calls that are not about the cluster; such a call is a single
+/// word.
 const MAX_LINE_BYTES: usize = 64;
-/// What a call about the cluster starts with.
+/// The start of the line of a call about the cluster.
 const CLUSTER_PREFIX: &str = "FLEET ";
-/// Most bytes of such a line: a version's content goes in one.
+/// Most bytes of the line of a call about the cluster, which may hold the content of a version.
 const MAX_CLUSTER_LINE_BYTES: usize = gaugestand_cluster::wire::MAX_CONTENT_BYTES + MAX_LINE_BYTES;
-/// Most bytes read at a time of such a line.
+/// Most bytes that are read at a time from a caller of a node in a cluster.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes that are read and dropped at a time of what comes after the line.
+/// Most bytes of input after the line that are read and dropped at a time.
 const DROPPED_CHUNK_BYTES: usize = 512;
-/// Most such chunks, so that a caller that goes on sending does not hold up the loop.
+/// Most chunks that are dropped in a row, so that a caller that goes on sending does not block the event
+/// loop.
 const MAX_DROPPED_CHUNKS: usize = 16;
-/// A caller that has not sent its line, or not read its answer, by then is closed.
+/// Time after which a caller that has not sent its line or not read its answer is disconnected.
 const CALLER_TIMEOUT: Micros = Micros::millis(5_000);
 
-/// A call of an operator.
+/// A call that an operator has made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// PING: whether this process admits requests.
+    /// PING: asks whether this process admits requests.
     Ping,
-    /// INFO: the request metrics.
+    /// INFO: asks for the request metrics.
     Info,
-    /// FLEET: something about the cluster, in the words that follow.
+    /// FLEET: a call about the cluster; holds the rest of the line after that word.
     Cluster(String),
 }
 
-/// Why a caller gets an error.
+/// Why a caller gets an error instead of an answer. The texts are part of the protocol and do not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The line is longer than any call.
+    /// The line is longer than any call may be.
     #[error("the line is too long")]
     TooLong,
-    /// The caller has ended without the end of its line.
+    /// The caller has shut its write side before the end of its line.
     #[error("the line has no end")]
     NoEnd,
-    /// More came behind the line.
+    /// The caller has sent more input after the line.
     #[error("one line a connection")]
     MoreThanOneLine,
-    /// There is no such call.
+    /// The line is not a known call.
     #[error("no such call; there are PING and INFO")]
     Unknown,
     /// The line is not UTF-8.
@@ -60,18 +63,19 @@
     NotText,
 }
 
-/// What a caller has sent so far.
+/// The input of a caller so far, parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerInput {
-    /// No complete line yet.
+    /// The line is not complete yet.
     Incomplete,
-    /// A call.
+    /// The line is a call.
     Call(Call),
-    /// Something that can never become a call.
+    /// The input can never become a call.
     Invalid(CallError),
 }
 
-/// Reads what a caller has sent; `ended` if nothing more comes, `in_cluster` if there is a cluster to ask about.
+/// Parses the input of a caller; `ended` if no more input can come, `in_cluster` if this node belongs to a
+/// cluster and takes calls about it.
 pub fn parse_call(input: &[u8], ended: bool, in_cluster: bool) -> CallerInput {
     let max_bytes = max_line_bytes(input, in_cluster);
     let Some(line_end) = input.iter().position(|byte| *byte == b'\n') else {
@@ -99,7 +103,7 @@
     }
 }
 
-/// How long a line that starts like this may be.
+/// Most bytes of a line that starts like `input`.
 fn max_line_bytes(input: &[u8], in_cluster: bool) -> usize {
     let is_cluster_call = in_cluster && input.starts_with(CLUSTER_PREFIX.as_bytes());
     if is_cluster_call { MAX_CLUSTER_LINE_BYTES } else { MAX_LINE_BYTES }
@@ -107,7 +111,7 @@
 
 #[derive(Debug)]
 struct Caller<T> {
-    /// Tells it apart from earlier callers under the same key.
+    /// Serial number of the caller, which distinguishes it from earlier callers in the same slot.
     serial: u64,
     stream: T,
     since: Timestamp,
@@ -116,23 +120,23 @@
     answered: bool,
 }
 
-/// The listener and its callers.
+/// The listener of the second address and its callers.
 #[derive(Debug)]
 pub struct Admin<S: System> {
     system: S,
     key: usize,
     first_key: usize,
     listener: Option<S::Listener>,
-    /// The configured address.
+    /// The configured address; none if the second address is not configured.
     configured: Option<SocketAddr>,
     callers: Vec<Option<Caller<S::Stream>>>,
-    /// Callers so far.
+    /// Serial number of the caller that was accepted last; 0 before the first.
     last_serial: u64,
-    /// There is a cluster to ask about.
+    /// Whether this node belongs to a cluster and takes calls about it.
     in_cluster: bool,
 }
 
-/// Another address, which already is listened at.
+/// A new second address with its listener, prepared for [`Admin::move_to`].
 #[derive(Debug)]
 pub struct PreparedMove<S: System> {
     configured: Option<SocketAddr>,
@@ -140,10 +144,11 @@
 }
 
 impl<S: System> Admin<S> {
-    /// Listens at the address, if there is one; callers are watched under [`MAX_CALLERS`] keys from `first_key` on.
+    /// Listens at the configured address, if there is one. The listener is watched under the poller key
+    /// `key`, callers under [`MAX_CALLERS`] keys from `first_key` on.
     ///
     /// # Errors
-    /// The system refuses to listen at the address, for example as it is in use.
+    /// The system refuses to listen at the address, for example because it is in use.
     pub fn listen(
         system: &S,
         configured: Option<SocketAddr>,
@@ -157,12 +162,13 @@
         Ok(Admin { system, key, first_key, listener, configured, callers, last_serial: 0, in_cluster })
     }
 
-    /// The address it listens at.
+    /// The address of the listener; none if the second address is not configured.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.as_ref().and_then(|l| l.address())
     }
 
-    /// Listens at another address beside the present one, for [`Admin::move_to`]; nothing if the address is the same. This can fail.
+    /// Listens at a new address in addition to the present one, for [`Admin::move_to`]; returns none if the
+    /// address is unchanged. This step of a reload can fail.
     ///
     /// # Errors
     /// The system refuses to listen at the new address. The present listener stays as it is.
@@ -174,7 +180,7 @@
         Ok(Some(PreparedMove { configured, listener }))
     }
 
-    /// Listens there from now on; callers that are connected stay. This cannot fail.
+    /// Replaces the listener by the prepared one; connected callers stay. This step of a reload cannot fail.
     pub fn move_to(&mut self, prepared: Option<PreparedMove<S>>) {
         if let Some(prepared) = prepared {
             self.configured = prepared.configured;
@@ -182,19 +188,21 @@
         }
     }
 
-    /// Whether a key is that of a caller.
+    /// Whether a poller key is that of a caller.
     pub fn has_key(&self, key: usize) -> bool {
         (self.first_key..self.first_key + MAX_CALLERS).contains(&key)
     }
 
-    /// Accepts the callers that wait; where there is no slot left, the caller that has been quiet for longest makes room.
+    /// Accepts the callers that wait. If no slot is free, a caller is evicted for each of them.
     pub fn accept(&mut self, now: Timestamp) {
         let Some(listener) = &self.listener else { return };
-        // As many as there are slots: what else waits comes with the next iteration.
+        // At most as many as there are slots; callers that wait after that are accepted in the next iteration
+        // of the event loop.
         for _ in 0..MAX_CALLERS {
             let free = self.callers.iter().position(Option::is_none);
-            let Some(slot) = free.or_else(|| self.quietest()) else { return };
-            // The slot is emptied before the newcomer is accepted: two are never watched under one key.
+            let Some(slot) = free.or_else(|| self.eviction_candidate()) else { return };
+            // The slot is emptied before the new caller is accepted, so that two callers are never watched
+            // under one key.
             let evicted = self.callers.get_mut(slot).and_then(Option::take);
             match listener.accept(self.first_key + slot) {
                 Ok(stream) => {
@@ -216,15 +224,16 @@
         }
     }
 
-    /// The slot of the caller that makes room first: one that has no answer yet, and of those the oldest.
-    fn quietest(&self) -> Option<usize> {
+    /// The slot of the caller to evict: of those without an answer the oldest, or else the oldest of all.
+    fn eviction_candidate(&self) -> Option<usize> {
         let order = |caller: &Option<Caller<S::Stream>>| {
             caller.as_ref().map(|caller| (caller.answered, caller.since))
         };
         (0..MAX_CALLERS).min_by_key(|slot| self.callers.get(*slot).and_then(order))
     }
 
-    /// Reads what a caller sends; returns its slot and its input once that can be answered.
+    /// Handles a readiness event of a caller. Returns the caller's slot and its input once the input can be
+    /// answered.
     pub fn ready(&mut self, event: Ready) -> Option<(usize, CallerInput)> {
         let slot = event.key.checked_sub(self.first_key)?;
         let caller = self.callers.get_mut(slot)?.as_mut()?;
@@ -238,7 +247,7 @@
         }
         match parse_call(&caller.input, ended, self.in_cluster) {
             CallerInput::Incomplete => None,
-            // It has ended without a word.
+            // The caller has disconnected without sending anything.
             CallerInput::Invalid(_) if ended && caller.input.is_empty() => {
                 self.callers[slot] = None;
                 None
@@ -247,12 +256,12 @@
         }
     }
 
-    /// The caller that has this slot now, for an answer that comes later.
+    /// Serial number of the caller in a slot, for an answer that follows later ([`Admin::answer_by_serial`]).
     pub fn caller_serial(&self, slot: usize) -> Option<u64> {
         self.callers.get(slot)?.as_ref().map(|caller| caller.serial)
     }
 
-    /// Answers the caller with this number, if it is still connected.
+    /// Answers the caller with this serial number, if it is still connected.
     pub fn answer_by_serial(&mut self, serial: u64, text: String) {
         let is_caller = |caller: &Option<Caller<S::Stream>>| {
             caller.as_ref().is_some_and(|caller| caller.serial == serial)
@@ -262,7 +271,7 @@
         }
     }
 
-    /// Answers a caller; its connection ends once the answer is written.
+    /// Answers the caller in a slot, if there is one; its connection is closed once the answer is written.
     pub fn answer(&mut self, slot: usize, text: String) {
         if let Some(caller) = self.callers.get_mut(slot).and_then(Option::as_mut) {
             caller.answered = true;
@@ -281,29 +290,31 @@
         }
     }
 
-    /// Closes callers that have been connected for too long.
+    /// Disconnects callers that have been connected for too long.
     pub fn on_timer(&mut self, now: Timestamp) {
         for slot in &mut self.callers {
             *slot = slot.take().filter(|caller| now.since(caller.since) < CALLER_TIMEOUT);
         }
     }
 
-    /// Counts the time of all callers from now: the clock has been set.
+    /// Restarts the timeout of all callers at `now`; called when the process's clock has been set.
     pub fn restart_timeouts(&mut self, now: Timestamp) {
         self.callers.iter_mut().flatten().for_each(|caller| caller.since = now);
     }
 
-    /// When to call [`Admin::on_timer`] again.
+    /// When to call [`Admin::on_timer`] again; none if no caller is connected.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         self.callers.iter().flatten().map(|caller| caller.since.plus(CALLER_TIMEOUT)).min()
     }
 }
 
 impl<T: Stream> Caller<T> {
-    /// Reads what is there; returns whether the caller has ended. What comes after its answer is dropped.
+    /// Reads the input that is there; returns whether the caller has shut its write side. Input after the
+    /// answer is dropped.
     fn read(&mut self, in_cluster: bool) -> io::Result<bool> {
         let mut chunk = [0; READ_CHUNK_BYTES];
-        // Without a cluster no more is read than the longest line, and one byte that shows that it is over.
+        // Without a cluster no more is read than the longest line and one byte, which shows that the line is
+        // too long.
         let max_read = if in_cluster { READ_CHUNK_BYTES } else { MAX_LINE_BYTES + 1 };
         match self.stream.read(&mut chunk[..max_read]) {
             Ok(0) => Ok(true),
@@ -320,7 +331,7 @@
         }
     }
 
-    /// Keeps input up to one byte more than a line may have.
+    /// Keeps input up to one byte more than the line may have, which shows that the line is too long.
     fn keep(&mut self, bytes: &[u8], in_cluster: bool) {
         let line_start = if self.input.is_empty() { bytes } else { &self.input };
         let max_bytes = max_line_bytes(line_start, in_cluster);
@@ -328,8 +339,8 @@
         self.input.extend(&bytes[..bytes.len().min(room)]);
     }
 
-    /// Reads and drops what is there. Guards against an answer that is lost: the close of a connection with unread bytes is a
-    /// reset, which discards what is still on its way.
+    /// Reads and drops the input that is there. Guards against losing the answer: closing a connection with
+    /// unread input sends a reset, which discards an answer that is still in transit.
     fn drop_input(&mut self) {
         let mut chunk = [0; DROPPED_CHUNK_BYTES];
         (0..MAX_DROPPED_CHUNKS).any(|_| !matches!(self.stream.read(&mut chunk), Ok(length) if length > 0));
--- a/crates/node/src/admin/tests.rs
+++ b/crates/node/src/admin/tests.rs
@@ -1,10 +1,11 @@
-//! Lines that operators send, whole and cut.
+//! Tests of parsing the lines that operators send, complete and in parts.
 
 use super::*;
 
-// An operator's line arrives in any pieces, or is no call at all.
+// An operator's line arrives in parts, or is not a call. Every input has to be incomplete, a call or the
+// right error.
 #[test]
-fn a_line_is_a_call_or_an_error_wherever_it_is_cut() {
+fn a_line_parses_as_a_call_an_error_or_incomplete() {
     let long = [b'P'; MAX_LINE_BYTES];
     let cases: [(&[u8], bool, CallerInput); 10] = [
         (b"PING\n", false, CallerInput::Call(Call::Ping)),
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn the_texts_of_errors_are_those_that_operators_know() {
+fn error_texts_of_the_second_address_do_not_change() {
     let texts = [
         (CallError::NoEnd, "the line has no end"),
         (CallError::Unknown, "no such call; there are PING and INFO"),
--- a/crates/node/src/connections/idle.rs
+++ b/crates/node/src/connections/idle.rs
@@ -4,8 +4,8 @@
 //! | --- | --- | --- |
 //! | idle, and the engine has set an idle timeout | that timeout | lingering close |
 //! | no complete request has ever arrived | [`INCOMPLETE_TIMEOUT`] | lingering close |
-//! | part of a record or of a request has arrived | [`INCOMPLETE_TIMEOUT`] | that request: 408; pending answers: sent |
-//! | the other side reads none of its answers | [`WRITE_STALL_TIMEOUT`] | at once |
+//! | a record or request is incomplete | [`INCOMPLETE_TIMEOUT`] | request fails with 408; pending answers are sent |
+//! | the other side reads none of its answers | [`WRITE_STALL_TIMEOUT`] | without a lingering close |
 //!
 //! All connections are checked every [`TIMEOUT_CHECK_INTERVAL`], so each timeout may take effect that much
 //! later.
--- a/crates/node/src/idempotency_store/mod.rs
+++ b/crates/node/src/idempotency_store/mod.rs
@@ -1,7 +1,9 @@
-//! The way to the idempotency store: passes the batches of the key table to its backend, and the outcomes back.
+//! Access to the idempotency store: passes batches of the key table to the store's backend, and outcomes back
+//! to the table.
 //!
-//! It decides nothing about keys, and never blocks after the start: a file is written on a thread of its own
-//! (`gaugestand_idempotency::worker`), a database is reached over a connection of the event loop (`postgres_link`).
+//! This module takes no decision about keys, and after the start it never blocks: a file is written on a
+//! thread of its own (`gaugestand_idempotency::worker`), a database is reached over a connection of the event
+//! loop (`postgres_link`).
 
 mod password;
 mod postgres_link;
@@ -21,52 +23,53 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Descriptors that a store needs: its file, log, index and lock, two ends of the waking socket, and some to spare; or
-/// one connection.
+/// Descriptors that are reserved for a store: for SQLite its file, log, index and lock, two ends of the
+/// socket that wakes the event loop, and some spare ones; for PostgreSQL one connection.
 pub const RESERVED_DESCRIPTORS: usize = 8;
-/// Shortest time between two log lines about the breaker: a store that goes to and fro gets a line a second, the
-/// counters tell the rest.
+/// Shortest time between two log lines about the circuit breaker. A store that alternates between working and
+/// failing gets one line a second; the counters show the rest.
 const BREAKER_LOG_INTERVAL: Micros = Micros::millis(1_000);
 
-/// Why a store cannot be used from the start.
+/// Why the idempotency store cannot be started. The error ends the start of the process.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// Its file cannot be opened.
+    /// The SQLite file cannot be opened.
     #[error(transparent)]
     Open(#[from] OpenError),
-    /// There is no password for the database.
+    /// The password file of the database cannot be used.
     #[error(transparent)]
     Password(#[from] PasswordError),
 }
 
-/// Whose store it is.
+/// The node that uses the store, and what its key table depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Owner<'a> {
-    /// The node's name, under which rows are kept in a database.
+    /// The node's name, under which its rows are stored in a database.
     pub name: &'a str,
-    /// For the jitter of probes and reconnects.
+    /// Seed of the random numbers for the jitter of probes and reconnects.
     pub seed: u64,
-    /// The longest deduplication window of any class.
+    /// The longest deduplication window of any class, which is passed to the key table's limits.
     pub window: Micros,
 }
 
-/// The idempotency store, as far as this node reaches it.
+/// This node's access to the idempotency store.
 #[derive(Debug)]
 pub struct IdempotencyStore<S: System> {
     backend: StoreBackend<S>,
-    /// The breaker's state that was last logged, and when.
+    /// The state of the circuit breaker that was last logged, and when; none before the first log line.
     last_logged: Option<(BreakerState, Timestamp)>,
 }
 
 #[derive(Debug)]
 enum StoreBackend<S: System> {
-    /// There is none.
+    /// No store is configured; keys are held in memory only.
     None,
     Sqlite(S::Worker),
     Postgres(Box<PostgresLink<S>>),
 }
 
-/// The bounds that the settings give a key table.
+/// The bounds of a key table, from the settings of the store; `window` is the longest deduplication window of
+/// any class.
 pub fn limits(settings: &Settings, window: Micros) -> Limits {
     Limits {
         entries: settings.entries,
@@ -79,12 +82,12 @@
 }
 
 impl<S: System> IdempotencyStore<S> {
-    /// Opens what the settings name, and makes the key table that goes with it. A file is read at once; a database is
-    /// connected to by the event loop. `key` is the poller's for the store.
+    /// Opens the configured store, and creates the key table that uses it. A file is read at once; a database
+    /// is connected to later by the event loop. `key` is the poller key of the store.
     ///
     /// # Errors
     /// [`StartError::Open`] if the file cannot be opened, and [`StartError::Password`] if the password file
-    /// cannot be used. A database that cannot be reached is no error here: the event loop keeps trying.
+    /// cannot be used. A database that cannot be reached is not an error here: the event loop keeps trying.
     pub fn start(
         settings: Option<&Settings>,
         owner: Owner<'_>,
@@ -117,14 +120,15 @@
         Ok((IdempotencyStore { backend, last_logged: None }, key_table))
     }
 
-    /// The password that is used from the next login on.
+    /// Sets the password that is used from the next login to the database on; has no effect on other
+    /// backends.
     pub fn set_password(&mut self, password: Vec<u8>) {
         if let StoreBackend::Postgres(link) = &mut self.backend {
             link.set_password(password);
         }
     }
 
-    /// The poller has something for the store.
+    /// Handles a readiness event of the store: passes outcomes of batches to the key table.
     pub fn ready(
         &mut self,
         now: Moment,
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Passes on the next batch, and ends what is overdue.
+    /// Passes the next batch to the backend, and gives up a connection that is overdue.
     pub fn pump(&mut self, now: Moment, key_table: &mut KeyTable) {
         match &mut self.backend {
             StoreBackend::None => return,
@@ -154,7 +158,7 @@
         self.log_breaker(now.mono, key_table.breaker_state());
     }
 
-    /// Logs when the breaker opens and when it closes again.
+    /// Logs when the circuit breaker opens and when it closes again.
     fn log_breaker(&mut self, now: Timestamp, state: BreakerState) {
         let is_open = matches!(state, BreakerState::Open { .. });
         let (last, at) = self.last_logged.unwrap_or((BreakerState::Closed, Timestamp(0)));
@@ -167,21 +171,23 @@
         match state {
             BreakerState::Open { cause, .. } => tracing::error!(
                 cause = cause.as_str(),
-                "store of record given up for now, keyed requests refused"
+                "idempotency store: circuit breaker opened; rejecting new requests with an idempotency key"
             ),
-            BreakerState::Closed => tracing::info!("store of record takes writes again"),
+            BreakerState::Closed => {
+                tracing::info!("idempotency store: circuit breaker closed; the store takes writes again")
+            }
         }
         self.last_logged = Some((state, now));
     }
 
-    /// Writes what can be written.
+    /// Writes queued bytes to the database connection as far as the socket accepts them.
     pub fn flush(&mut self, now: Moment, key_table: &mut KeyTable) {
         if let StoreBackend::Postgres(link) = &mut self.backend {
             link.flush(now.mono, key_table);
         }
     }
 
-    /// When to call [`IdempotencyStore::pump`] again although nothing happens.
+    /// When to call [`IdempotencyStore::pump`] again if no event comes before; none if it need not be called.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         match &self.backend {
             StoreBackend::None | StoreBackend::Sqlite(_) => None,
@@ -190,7 +196,7 @@
     }
 }
 
-/// Opens a file, and loads what an earlier incarnation left in it.
+/// Opens the SQLite file and loads the rows of an earlier incarnation from it into the key table.
 fn open_file<S: System>(
     path: &Path,
     options: &Options,
@@ -211,14 +217,20 @@
 
 fn log_recovered(rows: u64, epoch: u64, key_table: &KeyTable, took: Micros) {
     let in_doubt = key_table.metrics().in_doubt;
-    tracing::info!(rows, epoch, in_doubt, us = took.0, "store of record read");
+    tracing::info!(
+        rows,
+        epoch,
+        in_doubt,
+        us = took.0,
+        "idempotency store: loaded the stored rows into the key table"
+    );
 }
 
-/// Submits the next batch, if there is one.
+/// Submits the key table's next batch to the worker, if there is one.
 fn submit(worker: &mut impl Worker, now: Timestamp, key_table: &mut KeyTable) {
     let Some(batch) = key_table.next_batch(now) else { return };
-    // A thread that has ended proves nothing of what it had, and takes nothing more: its batch stays unanswered, and
-    // the breaker opens once that has stalled.
+    // If the worker's thread has ended, the outcome of its batches is unknown, and it takes no further batch.
+    // Such a batch stays unanswered, and the circuit breaker opens once the batch counts as stalled.
     let is_dead = worker.is_dead();
     if let Err(batch) = worker.submit(batch)
         && !is_dead
--- a/crates/node/src/idempotency_store/password.rs
+++ b/crates/node/src/idempotency_store/password.rs
@@ -1,36 +1,40 @@
-//! The password that a role logs in to the database with: the first line of a file.
+//! The password file: its first line is the password with which the database role logs in.
 
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Longest password file, in bytes; a longer one is not what was meant.
+/// Longest password file that is accepted, in bytes; a longer file is probably another one, given by mistake.
 const MAX_FILE_BYTES: u64 = 1_024;
 
-/// Why there is no password.
+/// Why the password file cannot be used.
 #[derive(Debug, Error)]
 pub enum PasswordError {
-    /// The file cannot be read.
-    #[error("password file {}: {error}", .path.display())]
+    /// The password file cannot be read.
+    #[error("password file {}: cannot be read: {error}", .path.display())]
     Unreadable {
-        /// Which file.
+        /// The password file.
         path: PathBuf,
-        /// What the system said.
+        /// The system's error.
         error: io::Error,
     },
-    /// The file is longer than any password.
-    #[error("password file {}: is too long", .0.display())]
+    /// The password file at this path is longer than any that is accepted.
+    #[error(
+        "password file {}: is longer than {max} bytes; its first line has to be the password",
+        .0.display(),
+        max = MAX_FILE_BYTES
+    )]
     TooLong(PathBuf),
-    /// There is nothing in the first line.
-    #[error("password file {}: its first line is empty", .0.display())]
+    /// The first line of the password file at this path is empty.
+    #[error("password file {}: its first line is empty; it has to be the password", .0.display())]
     Empty(PathBuf),
 }
 
-/// Reads the password that a role logs in with: the first line of a file.
+/// Reads the password with which the database role logs in: the first line of the file.
 ///
 /// # Errors
-/// The file cannot be read, is longer than any password file may be, or its first line is empty.
+/// The file cannot be read, is longer than [`PasswordError::TooLong`] allows, or its first line is empty.
 pub fn password(path: &Path) -> Result<Vec<u8>, PasswordError> {
     let unreadable = |error: io::Error| PasswordError::Unreadable { path: path.to_path_buf(), error };
     let bytes = fs::metadata(path).map_err(unreadable)?.len();
--- a/crates/node/src/idempotency_store/postgres_link.rs
+++ b/crates/node/src/idempotency_store/postgres_link.rs
@@ -1,7 +1,8 @@
-//! The connection to a PostgreSQL database: connects, logs in, carries one batch at a time and reconnects.
+//! The connection to a PostgreSQL database: connects, logs in, submits one batch at a time and reconnects.
 //!
-//! It bounds how long a connection may take to be made or to answer; a batch on a connection that broke ends as unknown.
-//! Reconnects are spread by chance, so that nodes that lost one server do not come back to it together.
+//! The time to establish a connection and the time to an answer are bounded. The outcome of a batch on a
+//! connection that broke is unknown. Reconnects have a random delay, so that nodes that lost the same server
+//! do not reconnect to it at the same time.
 
 use super::log_recovered;
 use crate::counters::Counters;
@@ -15,41 +16,45 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// First wait before a lost server is connected to again; up to half as long again, by chance.
+/// Delay before the first reconnect to a server; up to half as much again is added at random.
 const MIN_RECONNECT: Micros = Micros::millis(50);
-/// Longest wait, before jitter: a server that comes back is in use again after a few seconds at most.
+/// Longest delay before a reconnect, without jitter: a server that is available again is used after a few
+/// seconds at most.
 const MAX_RECONNECT: Micros = Micros::millis(2_000);
-/// A server that has not answered by then is not waited for: its connection proves nothing.
+/// Time after which a connection on which the server has not answered is closed; the outcome of its batch is
+/// unknown.
 const ANSWER_TIMEOUT: Micros = Micros::millis(5_000);
-/// The same for all of a first login, with the rows of an earlier incarnation.
+/// Time after which an incomplete first login is given up. It is longer, as the first login reads the rows of
+/// an earlier incarnation.
 const LOGIN_TIMEOUT: Micros = Micros::millis(30_000);
-/// Time between two log lines that say the same.
+/// Shortest time between two log lines with the same error.
 const REPEAT_LOG_INTERVAL: Micros = Micros::millis(10_000);
-/// Tells this link's random numbers from others that begin with the node's seed ("record" in ASCII).
-const JITTER_STREAM: u64 = 0x7265_636f_7264;
+/// XORed with the node's seed, so that this link's random numbers differ from others of the same seed
+/// ("record" in ASCII).
+const JITTER_SEED_MASK: u64 = 0x7265_636f_7264;
 
-/// What the server was asked and has not answered.
+/// What was sent to the server and is not answered yet: a login or a batch.
 #[derive(Debug)]
 struct PendingAnswer {
     since: Timestamp,
-    /// The batch that it is to; nothing for a login.
+    /// Number of the batch; none for a login.
     batch: Option<u64>,
 }
 
-/// The connection of a node to its database.
+/// The connection of this node to its database.
 #[derive(Debug)]
 pub(super) struct PostgresLink<S: System> {
     link: Link<S>,
     login: Rc<Login>,
     session: Option<Session>,
-    /// The epoch of this incarnation, once the node's name is taken.
+    /// The epoch of this incarnation, from the first login on, which claims the node's name in the database.
     epoch: Option<u64>,
     max_rows: usize,
     pending: Option<PendingAnswer>,
     retry_at: Timestamp,
     backoff: Micros,
     rng: fastrand::Rng,
-    /// What was last logged, and when.
+    /// The error that was last logged, and when; none after a successful login.
     last_error: Option<(SessionError, Timestamp)>,
 }
 
@@ -71,17 +76,17 @@
             pending: None,
             retry_at: Timestamp(0),
             backoff: MIN_RECONNECT,
-            rng: fastrand::Rng::with_seed(seed ^ JITTER_STREAM),
+            rng: fastrand::Rng::with_seed(seed ^ JITTER_SEED_MASK),
             last_error: None,
         }
     }
 
-    /// The password that is used from the next login on.
+    /// Sets the password that is used from the next login on.
     pub(super) fn set_password(&mut self, password: Vec<u8>) {
         self.login = Rc::new(Login { password, ..(*self.login).clone() });
     }
 
-    /// The poller has something for the connection.
+    /// Handles a readiness event of the connection.
     pub(super) fn ready(
         &mut self,
         now: Moment,
@@ -134,21 +139,21 @@
         }
     }
 
-    /// The connection is of no use; it is closed with the next flush.
+    /// Gives up the connection after an error; the next flush closes it.
     fn give_up(&mut self, now: Timestamp, error: SessionError) {
         let is_logged = self
             .last_error
             .as_ref()
             .is_some_and(|(last, at)| *last == error && now.since(*at) < REPEAT_LOG_INTERVAL);
         if !is_logged {
-            tracing::error!(fault = %error, "store of record: connection given up");
+            tracing::error!(fault = %error, "idempotency store: closing the connection to the database after a fault; connecting again");
             self.last_error = Some((error, now));
         }
         self.session = None;
         self.link.sever();
     }
 
-    /// The connection is down. What was in flight on it is not known to have happened, nor not to have.
+    /// Handles the loss of the connection. Whether a batch that was in flight on it was committed is unknown.
     fn on_down(&mut self, now: Timestamp, key_table: &mut KeyTable) {
         self.session = None;
         if let Some(PendingAnswer { batch: Some(number), .. }) = self.pending.take() {
@@ -160,13 +165,13 @@
         self.backoff = Micros((self.backoff.0 * 2).min(MAX_RECONNECT.0));
     }
 
-    /// When the answer that is waited for is overdue.
+    /// When the pending answer is overdue; none if no answer is pending.
     fn answer_due(&self) -> Option<Timestamp> {
         let timeout = if self.epoch.is_none() { LOGIN_TIMEOUT } else { ANSWER_TIMEOUT };
         self.pending.as_ref().map(|pending| pending.since.plus(timeout))
     }
 
-    /// Ends what is overdue, connects, and sends the next batch.
+    /// Gives up a connection whose answer is overdue, connects if that is due, and sends the next batch.
     pub(super) fn pump(&mut self, now: Moment, key_table: &mut KeyTable) {
         if self.answer_due().is_some_and(|due| now.mono >= due) {
             self.give_up(now.mono, SessionError::Timeout);
@@ -196,26 +201,27 @@
         }
     }
 
-    /// Writes what can be written, and closes a connection that is of no use.
+    /// Writes queued bytes as far as the socket accepts them, and closes a connection that was given up.
     pub(super) fn flush(&mut self, now: Timestamp, key_table: &mut KeyTable) {
         if self.link.flush(now).is_some() {
             self.on_down(now, key_table);
         }
     }
 
-    /// When to call [`PostgresLink::pump`] again although nothing happens.
+    /// When to call [`PostgresLink::pump`] again if no event comes before; none if it need not be called.
     pub(super) fn next_wakeup(&self) -> Option<Timestamp> {
         let retry = self.link.next_wakeup(true).map(|at| at.max(self.retry_at));
         [self.answer_due(), retry].into_iter().flatten().min()
     }
 }
 
-/// Submits a batch; otherwise says how it ended.
+/// Submits a batch. The error is the outcome of a batch that could not be submitted.
 fn submit(session: &mut Session, batch: &Batch) -> Result<(), Outcome> {
     match session.submit(batch) {
         Ok(true) => Ok(()),
         Ok(false) => Err(Outcome::NotDone(Cause::Busy)),
-        // Part of it may be on its way with what follows: as good as sent.
+        // Part of the batch may be sent with later output, so the outcome is the same as for a batch that was
+        // sent: unknown.
         Err(_) if matches!(batch.work, Work::Commit(_)) => Err(Outcome::Unknown(Cause::Other)),
         Err(_) => Err(Outcome::NotDone(Cause::Other)),
     }
--- a/crates/node/src/peers/active_version.rs
+++ b/crates/node/src/peers/active_version.rs
@@ -1,4 +1,4 @@
-//! The version in effect on this node, and what requests get under it.
+//! The version in effect on this node, and how it decides on requests.
 
 use super::{Peers, VersionError};
 use crate::io::System;
@@ -10,39 +10,42 @@
 use serde_json::Value;
 use std::rc::Rc;
 
-/// A version that is active in the cluster and that this node cannot act on.
+/// A version that is active in the cluster but that this node cannot put into effect.
 #[derive(Debug)]
 pub(super) struct UnusableVersion {
     pub version: Version,
     pub reason: String,
 }
 
-/// What the node has put into effect.
+/// The version that this node has put into effect, and one that it cannot put into effect.
 #[derive(Debug, Default)]
 pub(super) struct AppliedVersion {
-    /// None until the first lease since the start; 0 if a quorum knows of no version.
+    /// The version in effect; none until the first lease since the start, 0 if a quorum knows of no version.
     pub version: Option<Version>,
-    /// Its content, if it is a version.
+    /// The content of the version in effect; none for version 0.
     pub content: Option<Content>,
+    /// The last version that could not be put into effect, if none was put into effect after it.
     pub unusable: Option<UnusableVersion>,
 }
 
-/// A version to be put into effect.
+/// A version that this node has to put into effect now.
 #[derive(Debug)]
 pub struct DueVersion {
-    /// Its number; 0 stands for none.
+    /// The version's number; 0 if the cluster has no version yet.
     pub version: Version,
-    /// Its content; none for version 0.
+    /// The version's content, as JSON text; none for version 0.
     pub content: Option<Rc<[u8]>>,
 }
 
 impl<S: System> Peers<S> {
-    /// Whether this node has had a lease since its start, for a version or for there being none, and is not removed.
+    /// Whether this node has put a version into effect since its start, or knows from a quorum that there is
+    /// none, and has not been removed from the cluster.
     pub fn is_ready(&self) -> bool {
         self.applied.version.is_some() && self.removed_by.is_none()
     }
 
-    /// The version that has become active, if it is not in effect yet.
+    /// The version that this node holds a lease for, if it has not been put into effect and has not failed to
+    /// be.
     pub fn due_version(&self, now: Timestamp) -> Option<DueVersion> {
         let ActiveVersion::Leased(version) = self.consensus.active_version(now) else { return None };
         let unusable = self.applied.unusable.as_ref();
@@ -54,33 +57,42 @@
         Some(DueVersion { version, content: self.consensus.content(version) })
     }
 
-    /// The node has put a version into effect, or cannot.
+    /// Handles the result of putting a version into effect.
     pub fn on_applied(&mut self, version: Version, result: Result<Option<Content>, VersionError>) {
         match result {
             Ok(content) => {
                 self.applied = AppliedVersion { version: Some(version), content, unusable: None };
-                tracing::info!(version, "the fleet's version is in effect");
+                tracing::info!(
+                    version,
+                    "cluster: a version of the agreed settings is in effect on this node"
+                );
             }
             Err(error) => {
                 let problem = error.to_string();
-                tracing::error!(version, problem, "the fleet's version cannot be acted on here");
+                tracing::error!(
+                    version,
+                    problem,
+                    "cluster: the active version of the agreed settings cannot be put into effect; this node acts as if it held no lease"
+                );
                 self.applied.unusable = Some(UnusableVersion { version, reason: problem });
             }
         }
     }
 
-    /// The settings in effect, if the version has any.
+    /// The settings in the version in effect; none if it has no settings or there is no version.
     pub fn settings(&self) -> Option<&Value> {
         let settings = self.applied.content.as_ref().map(|content| &content.settings);
         settings.filter(|settings| !settings.is_null())
     }
 
-    /// Which lists versions may hold.
+    /// The kinds of lists that versions may contain, as configured.
     pub fn enabled_lists(&self) -> EnabledLists {
         self.enabled_lists
     }
 
-    /// What a request gets. `now` has to be read for it: a lease may have expired since this iteration began.
+    /// Decides whether an attempt may go on to admission under the active version. `keyed` tells whether it
+    /// carries an idempotency key; `subject` is its resource key. `now` has to be read for each attempt: a
+    /// lease may have expired since the iteration of the event loop began.
     pub fn check_request(
         &self,
         now: Timestamp,
@@ -89,7 +101,8 @@
         gateway: u64,
     ) -> GateDecision {
         let active = match self.consensus.active_version(now) {
-            // Not in effect yet, or unusable: until it is, this node acts as without a lease.
+            // The leased version is not in effect yet or cannot be put into effect. Until it is in effect,
+            // this node acts as if it held no lease.
             ActiveVersion::Leased(version) if self.applied.version != Some(version) => {
                 ActiveVersion::Unleased(self.applied.version.unwrap_or(0))
             }
@@ -102,8 +115,9 @@
         version_gate::check(active, self.applied.content.as_ref(), self.enabled_lists, request)
     }
 
-    /// After which time a client may retry a request that was rejected without a lease, or as its gateway is over its limit:
-    /// half a lease, in which a node that reaches a quorum renews its lease twice.
+    /// The time after which a client may retry an attempt that was rejected because this node held no lease
+    /// or because its gateway is over its limit: half a lease, in which a node that reaches a quorum renews
+    /// its lease twice.
     pub fn retry_after(&self) -> Micros {
         Micros(self.lease_duration.0 / 2)
     }
--- a/crates/node/src/peers/connection.rs
+++ b/crates/node/src/peers/connection.rs
@@ -1,4 +1,5 @@
-//! One connection with another node, and the frames on it: a length of four bytes, little-endian, then a message.
+//! One connection with another node, and its frames: each is a message after its length, which has four bytes
+//! in little-endian order.
 
 use crate::io::System;
 use crate::io::link::Link;
@@ -7,16 +8,17 @@
 use gaugestand_cluster::wire::{FrameError, MAX_MESSAGE_BYTES};
 use std::net::SocketAddr;
 
-/// Bytes of the length before each message.
+/// Size of the length before each message, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// A connection that has not identified itself by then is closed: it holds a descriptor.
+/// Time after which a connection is closed if the other node has not sent its hello: it takes up a
+/// descriptor.
 const IDENTIFICATION_TIMEOUT: Micros = Micros::millis(2_000);
 
-/// Another node's name for itself on one connection.
+/// What the other node said in its hello on one connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Identified {
     pub node: NodeId,
-    /// What it called its incarnation: messages to it carry that number.
+    /// Number of the other node's incarnation; messages to the node carry it.
     pub incarnation: u64,
 }
 
@@ -24,13 +26,13 @@
 #[derive(Debug)]
 pub(super) struct Connection<S: System> {
     pub link: Link<S>,
-    /// When it was made, or accepted.
+    /// When the connection was established or accepted.
     pub opened_at: Timestamp,
-    /// This node has sent its hello.
+    /// Whether this node has sent its hello.
     pub hello_sent: bool,
-    /// The node that this node made it to; none if it came in.
+    /// The node that this node connected to; none if the connection was accepted.
     pub target: Option<NodeId>,
-    /// The other node, once its hello has come.
+    /// The other node, once its hello has arrived.
     pub identified: Option<Identified>,
 }
 
@@ -39,27 +41,27 @@
         Connection { link, opened_at: now, hello_sent: false, target, identified: None }
     }
 
-    /// Whether it was made to this node, or has identified itself as it.
+    /// Whether the connection was made to `node`, or the other side has identified itself as `node`.
     pub fn belongs_to(&self, node: NodeId) -> bool {
         self.target == Some(node) || self.identified.is_some_and(|identified| identified.node == node)
     }
 
-    /// Until when the other node has to identify itself; none once it has.
+    /// The time by which the other node has to send its hello; none once it has.
     pub fn identification_deadline(&self) -> Option<Timestamp> {
         let deadline = self.opened_at.plus(IDENTIFICATION_TIMEOUT);
         if self.identified.is_none() { Some(deadline) } else { None }
     }
 }
 
-/// Another node.
+/// Another member of the cluster, and the connection with it.
 #[derive(Debug)]
 pub(super) struct Peer {
     pub name: String,
-    /// Where it listens, if that is known.
+    /// The address at which the node listens; none if it is not known yet.
     pub address: Option<SocketAddr>,
-    /// When a connection may be made again.
+    /// No connection is made to the node before this time.
     pub reconnect_at: Timestamp,
-    /// Index of the connection that it is reached over.
+    /// Index of the connection over which messages are sent to the node.
     pub connection: Option<usize>,
 }
 
@@ -69,14 +71,15 @@
     }
 }
 
-/// A message with its length.
+/// Frames a message: puts its length before it.
 pub(super) fn frame(message: &[u8]) -> Vec<u8> {
     let mut frame = (message.len() as u32).to_le_bytes().to_vec();
     frame.extend_from_slice(message);
     frame
 }
 
-/// The first message of the input with the length of its frame; none if it is not complete.
+/// The first message of the input, and the length of its frame in bytes; none if the message is not complete.
+/// Fails if the message is longer than [`MAX_MESSAGE_BYTES`].
 pub(super) fn first_message(input: &[u8]) -> Result<Option<(usize, &[u8])>, FrameError> {
     let Some(length) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_le_bytes(*length) as usize;
--- a/crates/node/src/peers/links.rs
+++ b/crates/node/src/peers/links.rs
@@ -1,7 +1,9 @@
-//! Links to the other nodes: which node connects, which are accepted, and what is done with their messages.
+//! Links to the other nodes: which node connects to which, which connections are accepted, and how messages
+//! are handled.
 //!
-//! Of two nodes the one with the lower number connects. Both say hello first; what comes before, or from a node that is no
-//! member, ends the connection and nothing else. The newest connection with a node counts.
+//! Of two nodes the one with the lower number connects to the other. Both send a hello first. A message
+//! before the hello, or from a node that is no member, ends the connection and has no other effect. If there
+//! are several connections with a node, the newest is used.
 
 use super::connection::{Connection, Identified, Peer, first_message, frame};
 use super::{CONNECTION_KEYS, MAX_INCOMING, MAX_OUTGOING, Peers};
@@ -15,27 +17,30 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Bytes that may wait for one node; further messages are dropped. Some contents and a catch-up of the log fit in.
+/// Most bytes that may wait to be sent to one node; further messages are dropped. The bound leaves room for
+/// several contents and for a node that catches up with the log.
 const MAX_QUEUED_BYTES: usize = 2 << 20;
-/// From the end of a connection to the next attempt; up to half as much again is added at random, so that nodes that lost
-/// each other do not meet in step.
+/// Time from the end of a connection to the next attempt to connect. Up to half as much again is added at
+/// random, so that nodes that lost each other do not reconnect in lockstep.
 const RECONNECT_DELAY: Micros = Micros::millis(100);
-/// Shortest time between two log lines about rejected messages: a stranger can send many.
+/// Shortest time between two log lines about rejected messages, as a client that is no node can send many.
 const WARNING_INTERVAL: Micros = Micros::millis(10_000);
 
 impl<S: System> Peers<S> {
-    /// Whether a poller key is that of one of its connections.
+    /// Whether a poller key belongs to a connection with another node.
     pub fn has_key(&self, key: usize) -> bool {
         (self.first_key..self.first_key + CONNECTION_KEYS).contains(&key)
     }
 
     // ---- Members -----------------------------------------------------------------------------------------
 
-    /// Takes over the committed membership. A node that has not joined yet keeps the nodes that it was configured with.
+    /// Updates the peers from the committed membership. A node that has not joined yet keeps the founding
+    /// members that it was configured with.
     pub(super) fn update_peers(&mut self, now: Timestamp) {
         let membership = self.consensus.membership().clone();
         for member in membership.members().iter().filter(|member| member.id != self.codec.node_id) {
-            // Where a node reaches those of its configuration is its own matter.
+            // A configured address takes precedence: each node may reach the founding members at addresses of
+            // its own.
             let configured = self.configured.get(usize::from(member.id)).map(|(_, address)| *address);
             let peer = self.peers.entry(member.id).or_insert_with(|| Peer::new(String::new()));
             peer.name.clone_from(&member.name);
@@ -53,20 +58,23 @@
         for index in 0..CONNECTION_KEYS {
             let Some(connection) = self.connections[index].as_mut() else { continue };
             if connection.belongs_to(id) {
-                // What it has not read yet tells it of its removal; else it learns that when it connects again.
+                // The output that waits tells the node of its removal; if it is lost, the node is told when
+                // it connects again.
                 let _ = connection.link.flush(now);
                 self.disconnect(now, index);
             }
         }
     }
 
-    /// Whether a node may talk to this one.
+    /// Checks whether messages of a node are accepted: it must be a member. The error for a node that was
+    /// removed repeats its incarnation.
     fn check_member(&self, from: NodeId, incarnation: u64) -> Result<(), FrameError> {
         let membership = self.consensus.membership();
         if membership.was_removed(from) {
             return Err(FrameError::RemovedSender { node: from, incarnation });
         }
-        // A node that has not joined yet does not know all members.
+        // A node that has not joined yet does not know all members, so it accepts every node that was not
+        // removed.
         let has_joined = membership.get(self.codec.node_id).is_some();
         if has_joined && membership.get(from).is_none() {
             return Err(FrameError::UnknownSender(u32::from(from)));
@@ -76,16 +84,18 @@
 
     // ---- Connecting --------------------------------------------------------------------------------------
 
-    /// Nodes that this one has to connect to: those with a higher number and no connection yet.
+    /// The nodes that this node has to connect to: those with a higher number, a known address and no
+    /// connection that this node has made.
     fn unconnected(&self) -> impl Iterator<Item = (NodeId, &Peer)> {
         let is_connecting =
             |id: NodeId| self.connections.iter().flatten().any(|connection| connection.target == Some(id));
         let higher = self.peers.range(self.codec.node_id..).map(|(id, peer)| (*id, peer));
-        // After its removal this node has nobody to talk to.
+        // After its removal this node makes no connections.
         let is_member = self.removed_by.is_none();
         higher.filter(move |(id, peer)| is_member && peer.address.is_some() && !is_connecting(*id))
     }
 
+    /// Connects to the nodes whose delay since the last connection has passed, as far as slots are free.
     pub(super) fn connect_due(&mut self, now: Timestamp) {
         let due = self.unconnected().filter(|(_, peer)| now >= peer.reconnect_at);
         let due: Vec<(NodeId, SocketAddr)> = due.filter_map(|(id, peer)| Some((id, peer.address?))).collect();
@@ -101,7 +111,7 @@
         }
     }
 
-    /// Accepts connections that wait.
+    /// Accepts the connections that wait at the listener for other nodes, as far as there are slots for them.
     pub fn accept(&mut self, now: Timestamp) {
         self.has_work = true;
         for _ in 0..MAX_INCOMING {
@@ -120,7 +130,8 @@
         }
     }
 
-    /// A free place for a connection that comes in, or that of the one which has not identified itself for longest.
+    /// The slot for a new accepted connection: a free one, or else that of the oldest connection whose node
+    /// is not identified; none if all are identified.
     fn index_for_incoming(&self) -> Option<usize> {
         let incoming = MAX_OUTGOING..CONNECTION_KEYS;
         let free = incoming.clone().find(|index| self.connections[*index].is_none());
@@ -140,7 +151,8 @@
         }
     }
 
-    /// Closes connections that have not identified themselves in time, or were not made in time.
+    /// Closes connections on which the other node has not identified itself in time, or that could not be
+    /// established in time.
     pub(super) fn close_timed_out(&mut self, now: Timestamp) {
         for index in 0..CONNECTION_KEYS {
             let Some(connection) = self.connections[index].as_mut() else { continue };
@@ -159,7 +171,8 @@
         self.unconnected().map(|(_, peer)| peer.reconnect_at)
     }
 
-    /// Drops a connection. That proves nothing about its node: it may run, and hear others.
+    /// Drops a connection. This proves nothing about the node behind it: the node may be running and reach
+    /// other nodes.
     fn disconnect(&mut self, now: Timestamp, index: usize) {
         let Some(connection) = self.connections[index].take() else { return };
         let jitter = Micros(self.rng.u64(..RECONNECT_DELAY.0 / 2));
@@ -170,13 +183,16 @@
         let peer = self.peers.get_mut(&node).filter(|peer| peer.connection == Some(index));
         let Some(peer) = peer else { return };
         peer.connection = None;
-        tracing::warn!(fellow = peer.name, "its link is gone, which proves nothing");
+        tracing::warn!(
+            fellow = peer.name,
+            "cluster: the connection with a peer was lost; the peer may still be running, and the connection is made again"
+        );
         self.step(now, Event::LinkDown(node));
     }
 
     // ---- Messages ----------------------------------------------------------------------------------------
 
-    /// The poller reports one of its connections.
+    /// Handles a readiness event of a connection with another node.
     pub fn on_ready(&mut self, now: Timestamp, event: Ready, counters: &mut Counters) {
         let index = event.key.checked_sub(self.first_key).filter(|index| *index < CONNECTION_KEYS);
         let Some(index) = index else { return };
@@ -220,7 +236,7 @@
         }
     }
 
-    /// Ends a connection for a message that is not accepted.
+    /// Ends a connection because of a message that is not accepted. A node that was removed is told so first.
     fn reject(&mut self, now: Timestamp, index: usize, error: &FrameError) {
         if let FrameError::RemovedSender { incarnation, .. } = error
             && let Some(connection) = self.connections[index].as_mut()
@@ -231,7 +247,7 @@
         }
         if self.last_warning.is_none_or(|last| now.since(last) >= WARNING_INTERVAL) {
             self.last_warning = Some(now);
-            tracing::warn!(problem = %error, "a link of the fleet is ended");
+            tracing::warn!(problem = %error, "cluster: a message from another node was rejected; closing its connection");
         }
         self.disconnect(now, index);
     }
@@ -265,7 +281,10 @@
 
     fn on_removed(&mut self, version: Version) {
         if self.removed_by.replace(version).is_none() {
-            tracing::error!(version, "this node is in the fleet no more; stop it, or let it join anew");
+            tracing::error!(
+                version,
+                "cluster: this node was removed from the cluster and reports itself as out of service; stop it, or let it join again"
+            );
         }
     }
 
@@ -277,15 +296,15 @@
         hello: &Hello,
     ) -> Result<(), FrameError> {
         let Some(connection) = self.connections[index].as_mut() else { return Ok(()) };
-        // A connection that this node made leads to one node only.
+        // On a connection that this node made, only the node that it connected to is accepted.
         if connection.target.is_some_and(|target| target != from) {
             return Err(FrameError::UnknownSender(u32::from(from)));
         }
         connection.identified = Some(Identified { node: from, incarnation: hello.incarnation });
         let peer = self.peers.entry(from).or_insert_with(|| Peer::new(format!("node {from}")));
-        // The newest connection counts: an older one may be half-open.
+        // The newest connection is used, as an older one may be half-open.
         let replaced = peer.connection.replace(index);
-        // Operators search the log by this key, which is older than the code's term.
+        // The log field is named `fellow` and not `peer`, as operators search the log by it.
         tracing::info!(fellow = peer.name, "linked");
         if let Some(replaced) = replaced.filter(|replaced| *replaced != index) {
             self.connections[replaced] = None;
@@ -294,7 +313,8 @@
         Ok(())
     }
 
-    /// Sends a message, or drops it: without a connection, or if too much waits on it.
+    /// Queues a message to a node. Drops it if no connection with the node is identified, or if more than
+    /// [`MAX_QUEUED_BYTES`] wait on the connection.
     pub(super) fn send(&mut self, to: NodeId, payload: Payload, counters: &mut Counters) {
         let Some(index) = self.peers.get(&to).and_then(|peer| peer.connection) else { return };
         let Some(connection) = self.connections[index].as_mut() else { return };
--- a/crates/node/src/peers/log_writer.rs
+++ b/crates/node/src/peers/log_writer.rs
@@ -1,4 +1,5 @@
-//! Records of the log on their way to the disk: one at a time, in order, repeated until written.
+//! Writes records of the consensus log to the disk: in order, one at a time, each repeated until it is
+//! durable.
 
 use crate::io::Worker;
 use gaugestand_admission::log_record::LogRecord;
@@ -6,14 +7,14 @@
 use gaugestand_idempotency::row::{Batch, Outcome, Work};
 use std::collections::VecDeque;
 
-/// From a write that failed to the next attempt: a full disk is not helped by more.
+/// Time from a failed write to the next attempt; more frequent attempts would not help on a full disk.
 const RETRY_DELAY: Micros = Micros::millis(200);
 
-/// The worker that writes, and what waits for it.
+/// The worker that writes the consensus log, and the records that wait for it.
 #[derive(Debug)]
 pub(super) struct LogWriter<W> {
     worker: W,
-    /// Records by sequence number; the first of them may be in flight.
+    /// Records that are not durable yet, each with its sequence number; the first may be in flight.
     queue: VecDeque<(u64, LogRecord)>,
     in_flight: bool,
     retry_at: Timestamp,
@@ -28,12 +29,13 @@
         self.queue.push_back((sequence, record));
     }
 
-    /// How many records are not written yet.
+    /// The number of records that are not durable yet.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Hands the first record to the worker, if it is idle.
+    /// Submits the first record to the worker, unless one is in flight or the delay after a failed write has
+    /// not passed.
     pub fn submit_next(&mut self, now: Timestamp) {
         if self.in_flight || now < self.retry_at {
             return;
@@ -44,17 +46,18 @@
         }
     }
 
-    /// When the next record may be submitted, if one waits for that.
+    /// When the first record may be submitted; none if it is in flight or no record waits.
     pub fn next_attempt(&self) -> Option<Timestamp> {
         (!self.in_flight && !self.queue.is_empty()).then_some(self.retry_at)
     }
 
-    /// The worker has reported through the poller.
+    /// Drains the worker's wake-up; called when the poller reports the worker.
     pub fn on_ready(&mut self) {
         self.worker.woken();
     }
 
-    /// The sequence number of the next record that has become durable.
+    /// The sequence number of the next record that has become durable; none if no further one has. A failed
+    /// write is repeated after [`RETRY_DELAY`].
     pub fn next_persisted(&mut self, now: Timestamp) -> Option<u64> {
         while let Some((sequence, outcome)) = self.worker.outcome() {
             if self.queue.front().is_none_or(|(first, _)| *first != sequence) {
@@ -66,10 +69,11 @@
                     self.queue.pop_front();
                     return Some(sequence);
                 }
-                // Repeated in both cases: writing the same record again changes nothing.
+                // The write is repeated in both cases: writing the same record twice has the same result as
+                // writing it once.
                 Outcome::NotDone(cause) | Outcome::Unknown(cause) => {
                     if self.retry_at <= now {
-                        tracing::error!(%cause, "the agreed log cannot be written; this node takes no version until it can");
+                        tracing::error!(%cause, "consensus log: a record cannot be written; the write is repeated, and this node accepts no version until it succeeds");
                     }
                     self.retry_at = now.plus(RETRY_DELAY);
                 }
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -1,15 +1,17 @@
-//! The other nodes of the cluster: links to them, the log's file, and the version that this node may act on.
+//! The other nodes of the cluster: the links to them, the file of the consensus log, and the version that
+//! this node may act on.
 //!
-//! All decisions are those of `gaugestand_cluster`; this module carries them out on sockets and on the worker that writes
-//! the log. Guarantees: records are written in order, one at a time; a message is either sent whole or dropped whole.
-//! It does not guarantee delivery: what a slow node has no room for is dropped, and a link that breaks proves nothing about
-//! its node. The raft library and the lease rules repeat what they need.
+//! All decisions are taken in `gaugestand_cluster`; this module carries them out on sockets and on the worker
+//! that writes the log. Guarantees: records are written in order, one at a time; a message is either sent
+//! whole or dropped whole. Delivery is not guaranteed: messages to a node that reads too slowly are dropped,
+//! and a link that breaks proves nothing about the node behind it. The raft library and the lease rules
+//! repeat the messages that they need.
 //!
 //! - `startup`: this node's number and the checks of its configuration.
-//! - `connection`, `links`: frames over one connection for each pair of nodes.
-//! - `log_writer`: records on their way to the disk.
-//! - `active_version`: the version in effect, and what requests get under it.
-//! - `open_attempts`: open requests by gateway and version.
+//! - `connection`, `links`: frames on one connection for each pair of nodes.
+//! - `log_writer`: records that wait to be written to the disk.
+//! - `active_version`: the version in effect, and how it decides on requests.
+//! - `open_attempts`: open attempts by gateway and version.
 //! - `proposals`: operators' calls.
 //! - `status`: reports for operators.
 
@@ -43,102 +45,111 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Connections that this node makes, at most: one to each other node.
+/// Most connections that this node makes: one to each other node.
 const MAX_OUTGOING: usize = MAX_MEMBERS - 1;
-/// Connections that have not identified themselves: enough for nodes that start together, few enough that strangers cannot
-/// take up descriptors.
+/// Most accepted connections whose node is not identified yet: enough for nodes that start at the same time,
+/// and few enough that clients that are no nodes cannot use up the descriptors.
 const MAX_UNIDENTIFIED: usize = 8;
-/// Connections that come in, at most: one from each other node, and those that have not identified themselves.
+/// Most accepted connections: one from each other node, and those whose node is not identified yet.
 const MAX_INCOMING: usize = MAX_UNIDENTIFIED + MAX_OUTGOING;
-/// Poller keys of connections.
+/// Number of poller keys that the connections with other nodes use, from [`PollKeys::first_connection`] on.
 pub const CONNECTION_KEYS: usize = MAX_OUTGOING + MAX_INCOMING;
-/// Descriptors of the log: its file, journal, index, lock and the worker's sockets, rounded up.
+/// Descriptors that the consensus log needs: its file, journal, index, lock and the worker's sockets, rounded
+/// up.
 const LOG_DESCRIPTORS: usize = 8;
-/// Descriptors that this module needs: connections, the listener, the log.
+/// Descriptors that are reserved for this module: its connections, the listener and the consensus log.
 pub const RESERVED_DESCRIPTORS: usize = CONNECTION_KEYS + 1 + LOG_DESCRIPTORS;
 
-/// Poller keys for the parts of this module.
+/// The poller keys that the event loop assigns to the parts of this module.
 #[derive(Clone, Copy, Debug)]
 pub struct PollKeys {
-    /// Of the listener.
+    /// Key of the listener for other nodes.
     pub listener: usize,
-    /// Of the worker that writes the log.
+    /// Key of the worker that writes the consensus log.
     pub log_writer: usize,
-    /// Of the first connection; [`CONNECTION_KEYS`] are used from here on.
+    /// Key of the first connection; the connections use [`CONNECTION_KEYS`] keys from here on.
     pub first_connection: usize,
 }
 
-/// What the node has to do for the cluster.
+/// A task that the event loop has to do for the cluster.
 #[derive(Debug)]
 pub enum Task {
-    /// Check whether it could act on a content, and report that with [`Peers::on_validated`].
+    /// Check whether this node could act on a proposed content, and report the result with
+    /// [`Peers::on_validated`].
     Validate {
-        /// Names the validation.
+        /// Identifies the validation in its result.
         validation: ValidationId,
-        /// The content.
+        /// The proposed content, as JSON text.
         content: Rc<[u8]>,
-        /// Accept a content that starves a keyed class.
+        /// Whether to accept a content that starves a class of requests with idempotency keys; set by the
+        /// operator's `force`.
         force: bool,
     },
-    /// Answer an operator's call.
+    /// Answer an operator's proposal or change of the membership.
     Answer {
-        /// Number of the caller.
+        /// Serial number of the operator's connection, as passed to [`Peers::propose`] or
+        /// [`Peers::change_membership`].
         ticket: u64,
-        /// The version that the proposal was committed as.
+        /// The version as which the proposal was committed, or why it was not.
         result: Result<Version, ProposalError>,
     },
 }
 
-/// The cluster, as far as this node reaches it.
+/// This node's part of the cluster: the consensus state machine, the connections with other nodes, and the
+/// version in effect.
 #[derive(Debug)]
 pub struct Peers<S: System> {
     system: S,
     consensus: Consensus,
     codec: FrameCodec,
-    /// Nodes of version 0 and where this node reaches them, as its configuration has them.
+    /// The founding members, which form the membership of version 0, and the addresses at which this node
+    /// reaches them, both as configured.
     configured: Vec<(String, SocketAddr)>,
-    /// Where this node listens, as others are told.
+    /// The address of this node as the others know it.
     own_address: SocketAddr,
     peers: BTreeMap<NodeId, Peer>,
-    /// A version by which this node was removed, at the latest.
+    /// Set once this node was removed from the cluster: a version that was committed after the removal or
+    /// with it.
     removed_by: Option<Version>,
     enabled_lists: EnabledLists,
     lease_duration: Micros,
     listener: S::Listener,
     first_key: usize,
-    /// By poller key: [`MAX_OUTGOING`] that this node makes, then those that came in.
+    /// Connections by poller key: first [`MAX_OUTGOING`] slots for those that this node makes, then the slots
+    /// for accepted ones.
     connections: Vec<Option<Connection<S>>>,
     log_writer: LogWriter<S::Worker>,
-    /// Commands of the consensus that are not carried out yet.
+    /// Commands of the consensus state machine that are not carried out yet.
     commands: VecDeque<Command>,
     rng: fastrand::Rng,
     applied: AppliedVersion,
     attempts: OpenAttempts,
-    /// When the last rejected message was logged.
+    /// When a rejected message was last logged.
     last_warning: Option<Timestamp>,
-    /// Something has happened since the last flush.
+    /// Whether an event was handled since the last flush.
     has_work: bool,
-    /// When to look again if nothing happens before.
+    /// When [`Peers::on_timer`] is due if no event comes before.
     next_timer: Timestamp,
 }
 
 impl<S: System> Peers<S> {
-    /// Where it listens for other nodes.
+    /// The address at which this node listens for other nodes.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.address()
     }
 
-    /// Whether there is anything to do in this iteration of the event loop; in most there is not.
+    /// Whether this iteration of the event loop has work for the cluster; most iterations have none.
     pub fn is_due(&self, now: Timestamp) -> bool {
         self.has_work || now >= self.next_timer
     }
 
-    /// When to call [`Peers::on_timer`] again although nothing came.
+    /// When to call [`Peers::on_timer`] again if no event comes before; time 0 means at once.
     pub fn next_timer(&self) -> Timestamp {
         if self.has_work { Timestamp(0) } else { self.next_timer }
     }
 
-    /// Does what is due by now.
+    /// Makes connections and closes those that have timed out, passes due timers to the consensus, and
+    /// submits the next record of the log.
     pub fn on_timer(&mut self, now: Timestamp) {
         self.connect_due(now);
         self.close_timed_out(now);
@@ -148,7 +159,8 @@
         self.log_writer.submit_next(now);
     }
 
-    /// The next task of the node. Once there is none, all messages and records are on their way.
+    /// Carries out the pending commands of the consensus up to the next one that is a task for the event
+    /// loop, and returns that task. Once it returns none, all messages and records are queued.
     pub fn next_task(&mut self, now: Timestamp, counters: &mut Counters) -> Option<Task> {
         while let Some(command) = self.commands.pop_front() {
             match command {
@@ -161,7 +173,10 @@
                     return Some(Task::Validate { validation, content, force });
                 }
                 Command::Committed { version, .. } => {
-                    tracing::info!(version, "the fleet has agreed on a version");
+                    tracing::info!(
+                        version,
+                        "cluster: a version of the agreed settings was committed; this node applies it once it holds a lease for it"
+                    );
                     self.update_peers(now);
                 }
                 Command::Answer { ticket, result } => return Some(Task::Answer { ticket, result }),
@@ -170,7 +185,7 @@
         None
     }
 
-    /// The worker that writes the log has reported.
+    /// Handles an event of the worker that writes the consensus log.
     pub fn on_log_written(&mut self, now: Timestamp, counters: &mut Counters) {
         self.has_work = true;
         self.log_writer.on_ready();
@@ -180,7 +195,8 @@
         }
     }
 
-    /// Ends an iteration of the event loop: writes what the sockets take.
+    /// Writes queued messages as far as the sockets accept them; called at the end of an iteration of the
+    /// event loop.
     pub fn flush(&mut self, now: Timestamp) {
         if !self.is_due(now) {
             return;
@@ -196,6 +212,7 @@
         timers.min().unwrap_or(now)
     }
 
+    /// Passes an event to the consensus state machine and queues the commands that it returns.
     fn step(&mut self, now: Timestamp, event: Event) {
         self.has_work = true;
         let mut commands = Vec::new();
--- a/crates/node/src/peers/open_attempts.rs
+++ b/crates/node/src/peers/open_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that this node has open: by gateway for its limits, by version for operators.
+//! Open attempts of this node, counted by gateway for the gateways' limits and by version for operators.
 
 use super::Peers;
 use crate::io::System;
@@ -7,23 +7,24 @@
 use gaugestand_cluster::Version;
 use std::collections::BTreeMap;
 
-/// An open attempt.
+/// An attempt that has not ended, and when it arrived.
 #[derive(Clone, Copy, Debug)]
 struct OpenAttempt {
-    /// The version in effect when it came.
+    /// The version that was in effect when the attempt arrived; 0 if there was none.
     version: Version,
     gateway: u64,
     since: Timestamp,
 }
 
-/// All open attempts.
+/// All open attempts of this node.
 #[derive(Debug, Default)]
 pub(super) struct OpenAttempts {
     by_id: BTreeMap<RequestId, OpenAttempt>,
     by_gateway: BTreeMap<u64, usize>,
 }
 
-/// Open attempts that came under one version.
+/// The open attempts that arrived while one version was in effect: their number, and the age of the oldest in
+/// milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OpenUnderVersion {
     pub count: usize,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// How many attempts of this gateway are open.
+    /// The number of open attempts of a gateway.
     pub fn of_gateway(&self, gateway: u64) -> usize {
         self.by_gateway.get(&gateway).copied().unwrap_or(0)
     }
@@ -65,13 +66,13 @@
 }
 
 impl<S: System> Peers<S> {
-    /// An attempt came in.
+    /// Counts a new attempt, under the version that is in effect now.
     pub fn attempt_started(&mut self, now: Timestamp, id: RequestId, gateway: u64) {
         let version = self.applied.version.unwrap_or(0);
         self.attempts.start(now, id, gateway, version);
     }
 
-    /// Nothing of an attempt is left.
+    /// Removes an attempt that has ended completely: this node holds no more state of it.
     pub fn attempt_finished(&mut self, id: RequestId) {
         self.attempts.finish(id);
     }
--- a/crates/node/src/peers/proposals.rs
+++ b/crates/node/src/peers/proposals.rs
@@ -1,4 +1,5 @@
-//! Operators' proposals, and this node's part in those of others. Results come as [`Task`](super::Task).
+//! Operators' proposals, and this node's part in the proposals of other nodes. Results are returned as a
+//! [`Task`](super::Task).
 
 use super::Peers;
 use crate::io::System;
@@ -9,7 +10,9 @@
 use std::rc::Rc;
 
 impl<S: System> Peers<S> {
-    /// An operator proposes a content for the next version.
+    /// Proposes a content for the next version, for an operator's call. `ticket` is repeated in the answer.
+    /// The proposal fails if `expected_version` is given and is not the last committed version; `force`
+    /// accepts a content that starves a class of requests with idempotency keys.
     pub fn propose(
         &mut self,
         now: Timestamp,
@@ -21,12 +24,12 @@
         self.step(now, Event::Propose { ticket, content, expected_version, force });
     }
 
-    /// An operator requests a change of the membership.
+    /// Proposes a change of the membership, for an operator's call. `ticket` is repeated in the answer.
     pub fn change_membership(&mut self, now: Timestamp, ticket: u64, change: MembershipChange) {
         self.step(now, Event::ChangeMembership { ticket, change });
     }
 
-    /// Result of a [`Task::Validate`](super::Task::Validate).
+    /// Handles the result of a [`Task::Validate`](super::Task::Validate).
     pub fn on_validated(
         &mut self,
         now: Timestamp,
@@ -36,18 +39,18 @@
         self.step(now, Event::Validated { validation, result });
     }
 
-    /// This node is about to leave service: another node has to lead.
+    /// Tells the consensus that this node is about to leave service, so that another node becomes the leader.
     pub fn start_drain(&mut self, now: Timestamp) {
         self.step(now, Event::Draining);
     }
 
-    /// The number of the node of this name.
+    /// The number of the member with this name; none if there is no such member.
     pub fn node_by_name(&self, name: &str) -> Option<NodeId> {
         let members = self.consensus.membership().members();
         members.iter().find(|member| member.name == name).map(|member| member.id)
     }
 
-    /// The content of a committed version, if it is kept.
+    /// The content of a committed version; none if it is not kept any more or was never committed.
     pub fn content(&self, version: Version) -> Option<Rc<[u8]>> {
         self.consensus.content(version)
     }
--- a/crates/node/src/peers/startup.rs
+++ b/crates/node/src/peers/startup.rs
@@ -1,4 +1,5 @@
-//! Start: this node's number, the checks of its `fleet(...)` setting, and the log on disk.
+//! Joining the cluster at the start: finds this node's number, checks the `fleet(...)` setting and opens the
+//! consensus log.
 
 use super::active_version::AppliedVersion;
 use super::log_writer::LogWriter;
@@ -19,69 +20,73 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// FNV-1a, 64 bits.
+/// Parameters of the FNV-1a hash with 64 bits.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Why a node cannot take part in its cluster.
+/// Why a node cannot take part in its cluster. The error ends the start of the process.
 #[derive(Debug, thiserror::Error)]
 pub enum PeersError {
-    /// A number is configured for a node that is among the first members.
-    #[error("fleet: `number` is for a node that joins; {0:?} is one of `members`")]
+    /// A `number` is configured for the node with this name, which is a founding member.
+    #[error(
+        "fleet: `number` is set, but {0:?} is one of `members`; set `number` only for a node that joined later"
+    )]
     NumberOfFirstMember(String),
-    /// A node that joins has no address of its own configured.
-    #[error("fleet: `listen` has to be there beside `number`")]
+    /// A node that joined later has no `listen` address configured.
+    #[error("fleet: `listen` is missing; a node with a `number` has to set it")]
     NoListenAddress,
-    /// The node is not among the first members, and no number is configured for it.
+    /// The node with this name is not among the founding members, and no valid `number` is configured for it.
     #[error(
-        "fleet: `members` has no {0:?}, which is this node's name; a node that joins needs the `number` \
-         that 'gaugestand fleet join' told"
+        "fleet: `members` has no {0:?}, which is this node's name; a node that joined later needs the \
+         `number` that 'gaugestand fleet join' printed"
     )]
     UnknownNode(String),
-    /// The lease times are invalid.
-    #[error("fleet: its times make no sense: {0}")]
+    /// The lease duration or the bound on clock drift is invalid.
+    #[error("fleet: `contradict_ms` or `drift_ppm` is invalid: {0}")]
     Lease(#[from] LeaseConfigError),
-    /// The first members are invalid.
+    /// The configured founding members are invalid.
     #[error("fleet: `members`: {0}")]
     Members(#[from] MembershipError),
-    /// The environment names a defect that there is not.
+    /// The environment variable GAUGESTAND_PLANTED names no known defect.
     #[cfg(feature = "injected-defects")]
-    #[error("GAUGESTAND_PLANTED: there is no defect {name:?}; there are {known}")]
+    #[error("GAUGESTAND_PLANTED: unknown defect {name:?}; expected one of {known}")]
     UnknownDefect {
-        /// The name.
+        /// The name in the environment variable.
         name: String,
-        /// Names of all defects.
+        /// The names of all defects, separated by commas.
         known: String,
     },
-    /// The log cannot be opened, as the file's owner, lock or format say.
+    /// The consensus log cannot be opened; for example its file belongs to another node, is locked, or has
+    /// another format.
     #[error(transparent)]
     OpenLog(#[from] OpenError),
-    /// The log's content cannot be used.
+    /// The consensus log was opened, but its content cannot be used.
     #[error("agreed log {}: {error}; nothing was changed", path.display())]
     Log {
-        /// The log's file.
+        /// The file of the consensus log.
         path: PathBuf,
-        /// What is wrong with it.
+        /// What is wrong with the content.
         error: ConsensusError,
     },
-    /// The address for other nodes cannot be listened at.
-    #[error("fleet: {address}: {error}")]
+    /// The system refuses to listen at the address for other nodes.
+    #[error("fleet: cannot listen at {address}: {error}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
         /// The system's error.
         error: std::io::Error,
     },
 }
 
-/// Which node this is, and where others reach it.
+/// This node's number, and the address at which other nodes reach it.
 struct Identity {
     node_id: NodeId,
     own_address: SocketAddr,
 }
 
 impl Identity {
-    /// By name among the first members; a node that joins later has its number configured.
+    /// Finds the identity of the node with this name: a founding member is numbered by its position among
+    /// `members`, a node that joined later has its number configured.
     fn find(settings: &Fleet, name: &str) -> Result<Self, PeersError> {
         let place = settings.members.iter().position(|(member, _)| member == name);
         match (place, settings.number) {
@@ -105,8 +110,9 @@
     }
 }
 
-/// Fingerprint of what all nodes have to configure alike: names in their order, lease times, lists. It finds mistakes in
-/// configurations; it is no protection against an attacker.
+/// Fingerprint of the settings that have to be the same on all nodes: the members' names in their order, the
+/// lease times and the lists. It detects mistakes in the configuration; it does not protect against an
+/// attacker.
 fn config_fingerprint(settings: &Fleet) -> u64 {
     let names: Vec<&str> = settings.members.iter().map(|(name, _)| name.as_str()).collect();
     let shared = json!([names, settings.contradict_ms, settings.drift_ppm, settings.lists]).to_string();
@@ -121,7 +127,7 @@
     Ok(lease)
 }
 
-/// The lease rules with the defect that the environment names.
+/// Returns the lease rules with the defect that the environment variable GAUGESTAND_PLANTED names.
 #[cfg(feature = "injected-defects")]
 fn with_injected_defect(lease: LeaseConfig) -> Result<LeaseConfig, PeersError> {
     use gaugestand_cluster::lease::Defect;
@@ -130,12 +136,16 @@
         let known: Vec<&str> = Defect::BY_NAME.iter().map(|(name, _)| *name).collect();
         return Err(PeersError::UnknownDefect { name, known: known.join(", ") });
     };
-    tracing::warn!(name, "a defect is planted: this build is for checks alone");
+    tracing::warn!(
+        name,
+        "cluster: GAUGESTAND_PLANTED injects a defect into the lease rules; use this build for tests only"
+    );
     Ok(lease.with_defect(defect))
 }
 
 impl<S: System> Peers<S> {
-    /// Opens the log and listens; connections are made by [`Peers::on_timer`].
+    /// Opens the consensus log and listens for other nodes; connections are made by [`Peers::on_timer`].
+    /// `name` is this node's name, and `seed` is for the jitter of reconnects.
     ///
     /// # Errors
     /// The cluster settings are invalid or do not name this node, the log cannot be opened
--- a/crates/node/src/peers/status.rs
+++ b/crates/node/src/peers/status.rs
@@ -1,4 +1,5 @@
-//! Reports for operators, as JSON. `gaugestand fleet` prints them, also as they are with `--json`: keys keep their names.
+//! Reports for operators, as JSON. `gaugestand fleet` prints them, with `--json` unchanged, so the keys keep
+//! their names.
 
 use super::Peers;
 use crate::io::System;
@@ -8,7 +9,7 @@
 use serde_json::{Value, json};
 
 impl<S: System> Peers<S> {
-    /// The state of the cluster, as this node sees it.
+    /// The state of the cluster as this node knows it, for the call FLEET STATUS.
     pub fn status(&self, now: Timestamp) -> Value {
         let membership = self.consensus.membership();
         let members: Vec<Value> =
@@ -61,7 +62,8 @@
         status.collect()
     }
 
-    /// Committed versions that are kept, oldest first, with their sizes.
+    /// The committed versions that are kept, oldest first, with the sizes of their contents in bytes, for the
+    /// call FLEET HISTORY.
     pub fn history(&self) -> Value {
         let versions = self.consensus.committed_versions();
         versions.map(|(version, content)| json!({"version": version, "bytes": content.len()})).collect()
