--- a/crates/node/src/connections/idle.rs
+++ b/crates/node/src/connections/idle.rs
@@ -4,7 +4,7 @@
 //! | --- | --- | --- |
 //! | idle, and the engine has set an idle timeout | that timeout | lingering close |
 //! | no complete request has ever arrived | [`INCOMPLETE_TIMEOUT`] | lingering close |
-//! | a record or request is incomplete | [`INCOMPLETE_TIMEOUT`] | request fails with 408; pending answers are sent |
+//! | an incomplete record or request | [`INCOMPLETE_TIMEOUT`] | request fails: 408; other answers are sent |
 //! | the other side reads none of its answers | [`WRITE_STALL_TIMEOUT`] | without a lingering close |
 //!
 //! All connections are checked every [`TIMEOUT_CHECK_INTERVAL`], so each timeout may take effect that much
--- a/crates/node/src/idempotency_store/postgres_link.rs
+++ b/crates/node/src/idempotency_store/postgres_link.rs
@@ -146,7 +146,10 @@
             .as_ref()
             .is_some_and(|(last, at)| *last == error && now.since(*at) < REPEAT_LOG_INTERVAL);
         if !is_logged {
-            tracing::error!(fault = %error, "idempotency store: closing the connection to the database after a fault; connecting again");
+            tracing::error!(
+                fault = %error,
+                "idempotency store: closing the database connection after a fault; connecting again"
+            );
             self.last_error = Some((error, now));
         }
         self.session = None;
--- a/crates/node/src/peers/active_version.rs
+++ b/crates/node/src/peers/active_version.rs
@@ -62,17 +62,14 @@
         match result {
             Ok(content) => {
                 self.applied = AppliedVersion { version: Some(version), content, unusable: None };
-                tracing::info!(
-                    version,
-                    "cluster: a version of the agreed settings is in effect on this node"
-                );
+                tracing::info!(version, "cluster: a version is in effect on this node");
             }
             Err(error) => {
                 let problem = error.to_string();
                 tracing::error!(
                     version,
                     problem,
-                    "cluster: the active version of the agreed settings cannot be put into effect; this node acts as if it held no lease"
+                    "cluster: the active version cannot be put into effect; acting as without a lease"
                 );
                 self.applied.unusable = Some(UnusableVersion { version, reason: problem });
             }
--- a/crates/node/src/peers/links.rs
+++ b/crates/node/src/peers/links.rs
@@ -185,7 +185,7 @@
         peer.connection = None;
         tracing::warn!(
             fellow = peer.name,
-            "cluster: the connection with a peer was lost; the peer may still be running, and the connection is made again"
+            "cluster: lost the connection with a peer, which may still run; a new one will be made"
         );
         self.step(now, Event::LinkDown(node));
     }
@@ -247,7 +247,10 @@
         }
         if self.last_warning.is_none_or(|last| now.since(last) >= WARNING_INTERVAL) {
             self.last_warning = Some(now);
-            tracing::warn!(problem = %error, "cluster: a message from another node was rejected; closing its connection");
+            tracing::warn!(
+                problem = %error,
+                "cluster: rejected a message of another node; closing the connection"
+            );
         }
         self.disconnect(now, index);
     }
@@ -283,7 +286,7 @@
         if self.removed_by.replace(version).is_none() {
             tracing::error!(
                 version,
-                "cluster: this node was removed from the cluster and reports itself as out of service; stop it, or let it join again"
+                "cluster: this node was removed and is out of service; stop it, or let it join again"
             );
         }
     }
--- a/crates/node/src/peers/log_writer.rs
+++ b/crates/node/src/peers/log_writer.rs
@@ -73,7 +73,10 @@
                 // writing it once.
                 Outcome::NotDone(cause) | Outcome::Unknown(cause) => {
                     if self.retry_at <= now {
-                        tracing::error!(%cause, "consensus log: a record cannot be written; the write is repeated, and this node accepts no version until it succeeds");
+                        tracing::error!(
+                            %cause,
+                            "consensus log: write failed, retrying; no version is accepted until it succeeds"
+                        );
                     }
                     self.retry_at = now.plus(RETRY_DELAY);
                 }
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -108,8 +108,8 @@
     /// The address of this node as the others know it.
     own_address: SocketAddr,
     peers: BTreeMap<NodeId, Peer>,
-    /// Set once this node was removed from the cluster: a version that was committed after the removal or
-    /// with it.
+    /// Set once this node was removed from the cluster, to a version that was committed with the removal or
+    /// after it.
     removed_by: Option<Version>,
     enabled_lists: EnabledLists,
     lease_duration: Micros,
@@ -175,7 +175,7 @@
                 Command::Committed { version, .. } => {
                     tracing::info!(
                         version,
-                        "cluster: a version of the agreed settings was committed; this node applies it once it holds a lease for it"
+                        "cluster: a version was committed; this node applies it once it holds a lease"
                     );
                     self.update_peers(now);
                 }
--- a/crates/node/src/peers/startup.rs
+++ b/crates/node/src/peers/startup.rs
@@ -29,7 +29,7 @@
 pub enum PeersError {
     /// A `number` is configured for the node with this name, which is a founding member.
     #[error(
-        "fleet: `number` is set, but {0:?} is one of `members`; set `number` only for a node that joined later"
+        "fleet: `number` is set, but {0:?} is one of `members`; set it only for a node that joined later"
     )]
     NumberOfFirstMember(String),
     /// A node that joined later has no `listen` address configured.
