--- a/crates/admission/src/engine/admit.rs
+++ b/crates/admission/src/engine/admit.rs
@@ -68,7 +68,7 @@
         let deadline: Micros = settings.deadline.into();
         let timeout = arrival.caller_timeout.map_or(deadline, |timeout| timeout.min(deadline));
         let repeat_key: Option<Rc<str>> = match settings.effect {
-            Effect::Keyed => arrival.repeat_key.as_deref().map(Rc::from),
+            Effect::Keyed => arrival.idempotency_key.as_deref().map(Rc::from),
             _ => None,
         };
         let fingerprint = repeat_key.as_ref().map_or(0, |_| self.idempotency.fingerprint(arrival.body));
--- a/crates/admission/src/engine/events.rs
+++ b/crates/admission/src/engine/events.rs
@@ -13,7 +13,7 @@
     /// Index of its class in the settings.
     pub class: usize,
     /// The idempotency key that all attempts of one request share; ignored for classes that are not keyed.
-    pub repeat_key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Its body; all attempts of one request carry the same.
     pub body: &'a [u8],
     /// Time since it reached the machine.
--- a/crates/admission/tests/engine.rs
+++ b/crates/admission/tests/engine.rs
@@ -60,7 +60,7 @@
         let mut arrival = Arrival {
             id: RequestId(id),
             class,
-            repeat_key: Some("k".to_string()),
+            idempotency_key: Some("k".to_string()),
             body: b"body",
             age: Micros::millis(age),
             ingress: self.moment().wall.minus(Micros::millis(age)),
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -155,7 +155,7 @@
                 let arrival = Arrival {
                     id: RequestId(id),
                     class: 0,
-                    repeat_key: Some("k".to_string()),
+                    idempotency_key: Some("k".to_string()),
                     body: b"body",
                     age: Micros(0),
                     ingress: self.now.wall,
--- a/crates/node/src/event_loop/requests.rs
+++ b/crates/node/src/event_loop/requests.rs
@@ -146,7 +146,7 @@
         let arrival = Arrival {
             id: params.id,
             class: params.class,
-            repeat_key: params.repeat_key,
+            idempotency_key: params.repeat_key,
             body: &body,
             age: self.clock.age(params.ingress),
             ingress: params.ingress,
