--- a/crates/admission/src/classes.rs
+++ b/crates/admission/src/classes.rs
@@ -1,41 +1,43 @@
-//! Slots: the indices under which open requests know their classes while the settings change.
+//! Class slots: stable indices by which open requests refer to their classes while the settings change.
 //!
-//! An operator may change, remove or add classes while requests are open. A request keeps the class that it arrived with:
-//! its slot is not reused while any request refers to it.
+//! An operator may change, remove or add classes while requests are open. A request keeps the class with
+//! which it arrived: the slot of that class is not reused while any request refers to it.
 
 use crate::interface::Class;
 use std::collections::BTreeSet;
 
-/// The names of the classes by slot, and which slots accept requests.
+/// The name of the class in each slot, and whether the slot accepts requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClassSlots {
     names: Vec<String>,
     open: Vec<bool>,
 }
 
-/// The slots after a change of the settings.
+/// The assignment of classes to slots after a change of the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlotPlan {
-    /// The slots from then on.
+    /// The names of the classes by slot, and which slots accept requests, after the change.
     pub slots: ClassSlots,
-    /// The class in each slot.
+    /// The settings of the class in each slot.
     pub classes: Vec<Class>,
-    /// The slot whose learned state (service times, retries) each slot inherits; none begins anew.
+    /// For each slot, the previous slot whose learned state (service times, retries) it inherits; `None` if
+    /// the class starts without learned state.
     pub inherits_from: Vec<Option<usize>>,
 }
 
 impl ClassSlots {
-    /// The classes of the first settings, in their order.
+    /// Creates one slot for each class of the first settings, in their order. All slots accept requests.
     pub fn new(names: &[String]) -> Self {
         ClassSlots { names: names.to_vec(), open: vec![true; names.len()] }
     }
 
-    /// The slots of another process that this one takes over from.
+    /// Restores the slots of the process that this one takes over from.
     pub fn from_parts(names: Vec<String>, open: Vec<bool>) -> Self {
         ClassSlots { names, open }
     }
 
-    /// The slot of the class of this name: the one that accepts requests, else the last that did.
+    /// The slot of the class `name`: the slot that accepts requests if there is one, else the last slot of
+    /// that name.
     pub fn find(&self, name: &str) -> Option<usize> {
         let has_name = |slot: &usize| self.names.get(*slot).is_some_and(|known| known == name);
         let open = (0..self.names.len()).filter(has_name).find(|slot| self.is_open(*slot));
@@ -47,12 +49,12 @@
         self.names.get(slot).map_or("", String::as_str)
     }
 
-    /// All names, by slot.
+    /// The name of the class in each slot.
     pub fn names(&self) -> &[String] {
         &self.names
     }
 
-    /// Which slots accept requests.
+    /// For each slot, whether it accepts requests.
     pub fn open(&self) -> &[bool] {
         &self.open
     }
@@ -61,10 +63,11 @@
         self.open.get(slot).copied().unwrap_or(false)
     }
 
-    /// The slots once the settings define the classes `new_classes` under `new_names`.
+    /// Assigns slots to the classes `new_classes` with the names `new_names`, as new settings define them.
     ///
-    /// `classes` are those in the slots now, and `in_use` the slots that open requests refer to. A class that did not change
-    /// keeps its slot; each other one gets a slot that no request refers to, or a new one.
+    /// `classes` are the classes that are in the slots now, and `in_use` are the slots that open requests
+    /// refer to. A class that did not change keeps its slot. Every other class gets a slot that no request
+    /// refers to, or a new slot if there is none.
     pub fn plan(
         &self,
         classes: &[Class],
@@ -77,7 +80,7 @@
             classes: classes.to_vec(),
             inherits_from: (0..classes.len()).map(Some).collect(),
         };
-        // Unchanged classes come first, so that no changed one takes their slot.
+        // Assigns the unchanged classes first, so that no changed class takes their slots.
         let mut changed = Vec::new();
         for (name, class) in new_names.iter().zip(new_classes) {
             match self.unchanged_slot(&plan.slots, classes, name, class) {
@@ -86,12 +89,13 @@
             }
         }
         for (name, class) in changed {
-            plan.place(name, class, self.find(name), in_use);
+            plan.assign_slot(name, class, self.find(name), in_use);
         }
         plan
     }
 
-    /// The slot that holds exactly this class and is not taken in `planned`; one that accepts requests comes first.
+    /// The slot that holds exactly this class and is not yet assigned in `planned`; slots that accept
+    /// requests are preferred.
     fn unchanged_slot(
         &self,
         planned: &ClassSlots,
@@ -107,8 +111,14 @@
 }
 
 impl SlotPlan {
-    /// Puts a class that is new or changed into a free slot.
-    fn place(&mut self, name: &str, class: &Class, inherits_from: Option<usize>, in_use: &BTreeSet<usize>) {
+    /// Assigns a new or changed class to a free slot, or to a new slot if none is free.
+    fn assign_slot(
+        &mut self,
+        name: &str,
+        class: &Class,
+        inherits_from: Option<usize>,
+        in_use: &BTreeSet<usize>,
+    ) {
         let is_free = |slot: &usize| !self.slots.open[*slot] && !in_use.contains(slot);
         match (0..self.slots.names.len()).find(is_free) {
             Some(slot) => {
--- a/crates/admission/src/engine/actions.rs
+++ b/crates/admission/src/engine/actions.rs
@@ -1,4 +1,4 @@
-//! The controller's actions, carried out: starting and stopping runs, outbound calls, keys and timers.
+//! Execution of the controller's actions: runs, outbound calls, idempotency keys and timers.
 
 use super::attempts::RunState;
 use super::{Engine, EngineCommand};
@@ -6,8 +6,8 @@
 use crate::interface::{Action, Event, Outcome, RequestId};
 use crate::time::{Micros, Moment, Timestamp};
 
-/// How long a key is kept past its class's window. Callers and other nodes measure the window by their own clocks; the
-/// margin covers a small difference between these and this machine's.
+/// How long an idempotency key is kept past the window of its class. Callers and other nodes measure the
+/// window by their own clocks; the margin covers a small difference between those clocks and this machine's.
 const WINDOW_MARGIN: Micros = Micros::millis(100);
 
 impl<T: IdempotencyTable> Engine<T> {
@@ -47,12 +47,13 @@
         }
     }
 
-    /// Starts a run once the idempotency table permits it, so that no key runs twice in its window.
+    /// Starts the run of an attempt once the idempotency table permits it, so that no key runs twice within
+    /// its window.
     ///
-    /// The window counts from the ingress of the attempt that runs: repeats do not extend it.
+    /// The window counts from the ingress of the attempt that runs; repeats do not extend it.
     fn start_run(&mut self, now: Moment, id: RequestId, commands: &mut Vec<EngineCommand>) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
-        let permit = attempt.repeat_key.as_ref().map_or(RunPermit::Granted, |key| {
+        let permit = attempt.idempotency_key.as_ref().map_or(RunPermit::Granted, |key| {
             let window = self.settings.classes[attempt.class].dedup_window.into();
             let until = attempt.ingress.plus(window).plus(WINDOW_MARGIN);
             self.idempotency.begin_run(now, key, id, attempt.ingress, until)
@@ -63,7 +64,7 @@
                 commands.push(EngineCommand::Run(id));
             }
             RunPermit::Pending => attempt.run = RunState::AwaitingDurableIntent,
-            // Guards against a second run of the key, whatever the controller decided.
+            // Guards against a second run of the key, whatever the controller has decided.
             RunPermit::Denied => {
                 self.controller_events.push(Event::RunEnded(id, Outcome::NeverStarted));
                 self.fail(now, id, commands);
@@ -71,24 +72,26 @@
         }
     }
 
-    /// Stops a run; one that still waits for its durable intent has not begun and is withdrawn instead.
+    /// Stops the run of an attempt. A run that still waits for its durable intent has not begun, so its
+    /// intent is withdrawn instead.
     fn preempt(&mut self, now: Moment, id: RequestId, commands: &mut Vec<EngineCommand>) {
         let waiting = self.attempts.get_mut(id).filter(|attempt| attempt.is_awaiting_durable_intent());
         let Some(attempt) = waiting else {
             return commands.push(EngineCommand::Preempt(id));
         };
         attempt.abandon_intent();
-        if let Some(key) = attempt.repeat_key.clone() {
+        if let Some(key) = attempt.idempotency_key.clone() {
             let released = self.idempotency.release(now, &key, id);
             self.answer_waiters(released.waiters, None, commands);
         }
         self.controller_events.push(Event::RunEnded(id, Outcome::Cancelled));
-        self.close(id, commands);
+        self.forget_if_finished(id, commands);
     }
 
-    /// Gives a repeat the result of the attempt that has its key, now or when that ends.
+    /// Answers a repeat with the result of the attempt that holds its idempotency key, or with a failure if
+    /// that attempt has none: at once if its run has ended, else when it ends.
     fn coalesce(&mut self, id: RequestId, commands: &mut Vec<EngineCommand>) {
-        let key = self.attempts.get(id).and_then(|attempt| attempt.repeat_key.as_ref());
+        let key = self.attempts.get(id).and_then(|attempt| attempt.idempotency_key.as_ref());
         match key.map_or(JoinOutcome::Failed, |key| self.idempotency.join(key, id)) {
             JoinOutcome::Pending => {}
             JoinOutcome::Replay(result) => self.answer_waiters(vec![id], Some(&result), commands),
@@ -96,23 +99,25 @@
         }
     }
 
-    /// Records the attempt as the one that has its key.
+    /// Records the attempt as the holder of its idempotency key until `until`. Attempts that waited for the
+    /// previous holder fail.
     fn reserve_key(&mut self, id: RequestId, until: Moment, commands: &mut Vec<EngineCommand>) {
         let Some(attempt) = self.attempts.get(id) else { return };
-        if let Some(key) = &attempt.repeat_key {
+        if let Some(key) = &attempt.idempotency_key {
             let waiters = self.idempotency.reserve(key, id, attempt.fingerprint, until);
             self.answer_waiters(waiters, None, commands);
         }
     }
 
-    /// Frees the key of an attempt that did not run. One that runs or has run keeps it for the whole window: the
-    /// idempotency table sees to that.
+    /// Frees the idempotency key of an attempt that did not run. A key whose run was started stays for its
+    /// whole window: this method keeps it while the run is pending or running, and the idempotency table
+    /// ignores a release after that.
     fn release_key(&mut self, now: Moment, id: RequestId, commands: &mut Vec<EngineCommand>) {
         let Some(attempt) = self.attempts.get(id) else { return };
         if attempt.is_running() || attempt.is_awaiting_durable_intent() {
             return;
         }
-        let Some(key) = &attempt.repeat_key else { return };
+        let Some(key) = &attempt.idempotency_key else { return };
         let released = self.idempotency.release(now, key, id);
         self.answer_waiters(released.waiters, None, commands);
     }
--- a/crates/admission/src/engine/admit.rs
+++ b/crates/admission/src/engine/admit.rs
@@ -1,4 +1,5 @@
-//! Admission of an arrival: which attempts reach the controller, and which are answered without it.
+//! Admission of arriving attempts: decides which of them are passed to the controller and which are rejected
+//! without it.
 
 use super::attempts::{Attempt, RunState};
 use super::{AdmitError, Arrival, Engine, EngineCommand};
@@ -7,29 +8,30 @@
 use crate::time::{Micros, Moment};
 use std::rc::Rc;
 
-/// What becomes of an arrival.
+/// How the engine treats an arriving attempt.
 enum Admission {
-    /// The controller decides on it as on the first attempt of its request.
+    /// The attempt is passed to the controller as the first attempt of its request.
     First,
-    /// The controller decides on it as on a repeat of this attempt.
+    /// The attempt is passed to the controller as a repeat of the given attempt.
     RepeatOf(RequestId),
-    /// It is rejected without the controller.
+    /// The attempt is rejected and is not passed to the controller.
     Reject {
-        /// Advice to the caller; zero gives none.
+        /// How long the caller is asked to wait before a retry; zero if the answer carries no retry-after.
         retry_after: Micros,
     },
 }
 
 impl<T: IdempotencyTable> Engine<T> {
-    /// Admits one attempt: appends the commands that follow for it and for others.
+    /// Admits the attempt `arrival`, which was read at `now`, and appends the commands that follow for this
+    /// attempt and for others.
     ///
-    /// An attempt that fails here has had no effect on the engine. Each other one is answered exactly once, now or by
-    /// later calls.
+    /// After an error the state of the engine is unchanged. Otherwise the attempt is answered exactly once,
+    /// by this call or a later one, unless its caller has gone.
     ///
     /// # Errors
-    /// [`AdmitError::DuplicateId`] if an attempt with this id is still known, and [`AdmitError::KeyConflict`]
-    /// if its idempotency key belongs to a request with another body. The caller has to answer the attempt
-    /// itself, as no command is given for it.
+    /// [`AdmitError::DuplicateId`] if the engine still knows an attempt with this id, and
+    /// [`AdmitError::KeyConflict`] if the idempotency key belongs to a request with another body. The host
+    /// has to answer the attempt itself, as the engine gives no command for it.
     pub fn admit(
         &mut self,
         now: Moment,
@@ -41,7 +43,7 @@
             return Err(AdmitError::DuplicateId);
         }
         if self.controller.is_none() {
-            // Nothing can run before the backend is up, so this attempt has not.
+            // Nothing runs before the backend has started, so a rejection is correct: this attempt never ran.
             reject_unadmitted(id, self.max_retry_after(), commands);
             return Ok(());
         }
@@ -60,21 +62,22 @@
         Ok(())
     }
 
-    /// An attempt that awaits its answer by the earlier of its class's deadline and its caller's timeout.
+    /// Creates the entry of an attempt that has no run yet. The attempt is due at the earlier of its class's
+    /// deadline and its caller's timeout, but not before `now`.
     fn new_attempt(&self, now: Moment, arrival: &Arrival<'_>) -> Attempt {
         let class = arrival.class.min(self.settings.classes.len() - 1);
         let settings = &self.settings.classes[class];
         let ingress = Moment { mono: now.mono.minus(arrival.age), wall: arrival.ingress };
         let deadline: Micros = settings.deadline.into();
         let timeout = arrival.caller_timeout.map_or(deadline, |timeout| timeout.min(deadline));
-        let repeat_key: Option<Rc<str>> = match settings.effect {
+        let idempotency_key: Option<Rc<str>> = match settings.effect {
             Effect::Keyed => arrival.idempotency_key.as_deref().map(Rc::from),
             _ => None,
         };
-        let fingerprint = repeat_key.as_ref().map_or(0, |_| self.idempotency.fingerprint(arrival.body));
+        let fingerprint = idempotency_key.as_ref().map_or(0, |_| self.idempotency.fingerprint(arrival.body));
         Attempt {
             class,
-            repeat_key,
+            idempotency_key,
             fingerprint,
             ingress,
             due: ingress.mono.plus(timeout).max(now.mono),
@@ -84,31 +87,35 @@
         }
     }
 
-    /// Decides whether the controller hears of an attempt.
+    /// Decides whether the attempt is passed to the controller, and whether as a first attempt or as a
+    /// repeat.
     fn classify(&mut self, now: Moment, attempt: &Attempt) -> Result<Admission, AdmitError> {
-        let lookup = match &attempt.repeat_key {
+        let lookup = match &attempt.idempotency_key {
             Some(key) => self.idempotency.lookup(now, key, attempt.fingerprint, attempt.ingress),
             None => Lookup::Vacant,
         };
         match lookup {
             Lookup::BodyMismatch => Err(AdmitError::KeyConflict),
             Lookup::Original(original) => Ok(Admission::RepeatOf(original)),
-            // Its key cannot be recorded, so that a retry could run it twice: it does not run.
-            Lookup::Unavailable(advice) => {
-                Ok(Admission::Reject { retry_after: advice.min(self.max_retry_after()) })
+            // The key cannot be recorded, so a retry of the request could run a second time: this attempt
+            // must not run.
+            Lookup::Unavailable(retry_after) => {
+                Ok(Admission::Reject { retry_after: retry_after.min(self.max_retry_after()) })
             }
             Lookup::Vacant => Ok(self.classify_first(attempt)),
         }
     }
 
-    /// A first attempt may run unless the grace period is over or its class is closed. Repeats are exempt from both: they
-    /// get the result of a run that was admitted before.
+    /// Accepts a first attempt unless the grace period of a drain is over or the class is closed. Repeats are
+    /// exempt from both conditions, as they get the result of a run that was admitted before.
     fn classify_first(&self, attempt: &Attempt) -> Admission {
-        // The controller counts the grace period from when it is told of the drain, which is later than the notice.
+        // The engine checks the grace period itself, as the controller counts it from when it is told of the
+        // drain, which is later than the notice.
         if self.drain.is_some_and(|drain| attempt.ingress.mono > drain.last_ingress) {
             return Admission::Reject { retry_after: self.max_retry_after() };
         }
-        // The operators removed the class: no retry will succeed either, so there is no advice on when.
+        // The operators removed the class. A later retry cannot succeed either, so the answer carries no
+        // retry-after.
         if !self.open_classes.get(attempt.class).copied().unwrap_or(false) {
             return Admission::Reject { retry_after: Micros(0) };
         }
@@ -139,7 +146,7 @@
     }
 }
 
-/// Rejects an attempt that the controller never hears of.
+/// Rejects an attempt that is not passed to the controller.
 fn reject_unadmitted(id: RequestId, retry_after: Micros, commands: &mut Vec<EngineCommand>) {
     commands.push(EngineCommand::Reject { id, retry_after, no_retry_elsewhere: false });
     commands.push(EngineCommand::Forget(id));
--- a/crates/admission/src/engine/attempts.rs
+++ b/crates/admission/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that the engine has admitted, and which of them still await an answer.
+//! The table of the attempts that the engine has admitted, and of the answers that are still due.
 
 use crate::interface::RequestId;
 use crate::time::{Micros, Moment, Timestamp};
@@ -6,35 +6,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// How far the run of an attempt has come.
+/// The progress of an attempt's run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunState {
-    /// It has not been started, or its intent could not be made durable.
+    /// The run has not been started, or its intent could not be made durable.
     NotStarted,
-    /// The controller wants it to run, and the idempotency table is making its intent durable first.
+    /// The controller has started the run, and the idempotency table is first making the intent durable.
     AwaitingDurableIntent,
-    /// It was started and has not ended.
+    /// The run was started and has not ended.
     Running,
-    /// It was started and has ended.
+    /// The run was started and has ended.
     Ended,
 }
 
-/// What the engine knows of one attempt.
+/// The engine's state for one attempt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(into = "StoredAttempt", from = "StoredAttempt")]
 pub(super) struct Attempt {
     pub class: usize,
-    /// The idempotency key; only attempts of keyed classes have one.
-    pub repeat_key: Option<Rc<str>>,
-    /// Fingerprint of the body; zero without a key.
+    /// The idempotency key; `None` for attempts of classes that are not keyed.
+    pub idempotency_key: Option<Rc<str>>,
+    /// The fingerprint of the request body; zero for attempts without an idempotency key.
     pub fingerprint: u128,
-    /// When it reached the machine.
+    /// When the attempt reached the machine.
     pub ingress: Moment,
-    /// Monotonic time by which it must be answered.
+    /// The monotonic time by which the attempt must be answered.
     pub due: Timestamp,
     pub awaiting_answer: bool,
     pub run: RunState,
-    /// Its run waits for an outbound call.
+    /// Whether the run waits for an outbound call.
     pub awaiting_call: bool,
 }
 
@@ -47,12 +47,13 @@
         self.run == RunState::AwaitingDurableIntent
     }
 
-    /// Whether its run was ever started; such an attempt must not be answered as one that never ran.
+    /// Whether the run was ever started. Such an attempt must not be answered with a rejection, which states
+    /// that it never ran.
     pub fn was_started(&self) -> bool {
         matches!(self.run, RunState::Running | RunState::Ended)
     }
 
-    /// Gives up waiting for the durable intent; false if it did not wait.
+    /// Stops waiting for the durable intent. Returns whether the attempt was waiting for it.
     pub fn abandon_intent(&mut self) -> bool {
         let waited = self.is_awaiting_durable_intent();
         if waited {
@@ -61,17 +62,19 @@
         waited
     }
 
-    /// Nothing more can happen to it.
+    /// Whether the attempt has been answered and has no run that is pending or running.
     fn is_finished(&self) -> bool {
         !self.awaiting_answer && !self.is_running() && !self.is_awaiting_durable_intent()
     }
 }
 
-/// An attempt as the hand-over link carries it. Names and order are the protocol's: see `docs/design/operation.md`.
+/// The serialised form of an attempt on the hand-over link. The names and the order of the fields are part of
+/// the hand-over protocol, see `docs/design/operation.md`.
 #[derive(Serialize, Deserialize)]
 struct StoredAttempt {
     class: usize,
-    repeat_key: Option<Rc<str>>,
+    #[serde(rename = "repeat_key")]
+    idempotency_key: Option<Rc<str>>,
     #[serde(rename = "print")]
     fingerprint: u128,
     ingress: Moment,
@@ -94,7 +97,7 @@
             running: attempt.is_running(),
             started: attempt.was_started(),
             class: attempt.class,
-            repeat_key: attempt.repeat_key,
+            idempotency_key: attempt.idempotency_key,
             fingerprint: attempt.fingerprint,
             ingress: attempt.ingress,
             due: attempt.due,
@@ -114,7 +117,7 @@
         };
         Attempt {
             class: stored.class,
-            repeat_key: stored.repeat_key,
+            idempotency_key: stored.idempotency_key,
             fingerprint: stored.fingerprint,
             ingress: stored.ingress,
             due: stored.due,
@@ -125,11 +128,11 @@
     }
 }
 
-/// Attempts by id, indexed by due time while they await an answer.
+/// All attempts that the engine knows, and an index of those that await an answer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AttemptTable {
     pub by_id: BTreeMap<RequestId, Attempt>,
-    /// Due times of the attempts that await an answer.
+    /// The attempts that await an answer, ordered by due time.
     pub pending_answers: BTreeSet<(Timestamp, RequestId)>,
 }
 
@@ -151,7 +154,8 @@
         self.by_id.insert(id, attempt);
     }
 
-    /// Marks the attempt as answered; false if it awaited no answer, so that nothing is answered twice.
+    /// Marks the attempt as answered. Returns false if the attempt awaits no answer; the caller must not
+    /// answer it then, as it would be answered twice.
     pub fn mark_answered(&mut self, id: RequestId) -> bool {
         let Some(attempt) = self.by_id.get_mut(&id).filter(|attempt| attempt.awaiting_answer) else {
             return false;
@@ -161,7 +165,7 @@
         true
     }
 
-    /// Removes the attempt if nothing more can happen to it; returns whether it did.
+    /// Removes the attempt if it is finished. Returns whether it was removed.
     pub fn remove_finished(&mut self, id: RequestId) -> bool {
         let finished = self.get(id).is_some_and(Attempt::is_finished);
         if finished {
@@ -170,12 +174,14 @@
         finished
     }
 
-    /// The earliest due time of an attempt that awaits an answer.
+    /// The earliest due time of the attempts that await an answer.
     pub fn earliest_due(&self) -> Option<Timestamp> {
         self.pending_answers.first().map(|(due, _)| *due)
     }
 
-    /// Takes the attempt that is due first out of the index of pending answers, if it is `grace` past its due time.
+    /// Removes the attempt with the earliest due time from the index of pending answers and returns its id,
+    /// if at least `grace` has passed since that time. The attempt itself stays in the table and still awaits
+    /// its answer.
     pub fn pop_overdue(&mut self, now: Timestamp, grace: Micros) -> Option<RequestId> {
         let (due, id) = *self.pending_answers.first()?;
         if due.plus(grace) > now {
--- a/crates/admission/src/engine/commands.rs
+++ b/crates/admission/src/engine/commands.rs
@@ -1,66 +1,75 @@
-//! What the engine tells the front and the link to the backend to do.
+//! The commands that the engine gives to its host: to the front, which answers callers, and to the link to
+//! the backend, which executes runs.
 
 use crate::interface::RequestId;
 use crate::time::Micros;
 use std::rc::Rc;
 
-/// What the front or the link to the backend is to do.
+/// A command that the front or the link to the backend has to carry out, in the order in which the engine
+/// appends them.
 ///
-/// Each attempt that was admitted gets exactly one answer: `Reject`, `Fail`, `Serve` or `Replay`.
+/// Each admitted attempt gets exactly one answer command, `Reject`, `Fail`, `Serve` or `Replay`, unless its
+/// caller has gone before.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineCommand {
-    /// Start its run.
+    /// Start the run of this attempt.
     Run(RequestId),
-    /// Stop its run.
+    /// Stop the run of this attempt.
     Preempt(RequestId),
-    /// Make the outbound call that its run waits for; it times out after this long.
+    /// Make the outbound call that the run of this attempt waits for. The call times out after the given
+    /// time, in microseconds.
     Call(RequestId, Micros),
-    /// Let its run go on without the outbound call that it waits for.
+    /// Let the run of this attempt continue without the outbound call that it waits for.
     SkipCall(RequestId),
-    /// Abandon its outbound call; its reply is ignored.
+    /// Abandon the outbound call of this attempt and ignore its reply.
     DropCall(RequestId),
-    /// Answer that it never ran.
+    /// Answer the attempt with a rejection: it never ran.
     Reject {
-        /// The attempt.
+        /// The attempt to answer.
         id: RequestId,
-        /// How long the caller is to wait before a retry; zero gives no advice.
+        /// How long the caller is asked to wait before a retry; zero if the answer carries no retry-after.
         retry_after: Micros,
-        /// Asks the caller not to retry at another node either.
+        /// Whether the answer asks the caller not to retry at another node either.
         no_retry_elsewhere: bool,
     },
-    /// Answer that it failed, and may have run.
+    /// Answer the attempt with a failure: it may have run.
     Fail {
-        /// The attempt.
+        /// The attempt to answer.
         id: RequestId,
-        /// How long the caller is to wait before a retry; zero gives no advice.
+        /// How long the caller is asked to wait before a retry; zero if the answer carries no retry-after.
         retry_after: Micros,
-        /// Asks the caller not to retry at another node either.
+        /// Whether the answer asks the caller not to retry at another node either.
         no_retry_elsewhere: bool,
     },
-    /// Answer with the result of its own run.
+    /// Answer the attempt with the result of its own run.
     Serve(RequestId, Rc<[u8]>),
-    /// Answer with the result of another attempt of the same request.
+    /// Answer the attempt with the result of another attempt of the same request.
     Replay(RequestId, Rc<[u8]>),
-    /// No command follows for this attempt; what is kept of it can be dropped.
+    /// No further command follows for this attempt; the host can drop everything that it keeps for it.
     Forget(RequestId),
-    /// Ask the backend for its gauges.
+    /// Ask the backend for its gauges, and report them with [`EngineEvent::GaugesRead`].
+    ///
+    /// [`EngineEvent::GaugesRead`]: super::EngineEvent::GaugesRead
     ReadGauges,
-    /// Close connections that are idle for this long.
+    /// Close gateway connections once they have been idle for this long, from now on.
     SetIdleTimeout(Micros),
 }
 
 impl EngineCommand {
-    /// A failure without advice on retries.
+    /// A failure answer that carries no retry-after.
     pub(super) fn fail(id: RequestId) -> Self {
         EngineCommand::Fail { id, retry_after: Micros(0), no_retry_elsewhere: false }
     }
 }
 
-/// Why an attempt is not admitted. The engine keeps nothing of it and gives no command for it.
+/// Why [`Engine::admit`] refuses an attempt. The engine keeps no state for the attempt and gives no command
+/// for it, so the host has to answer it.
+///
+/// [`Engine::admit`]: super::Engine::admit
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmitError {
-    /// An attempt with this id is known already.
+    /// The engine already knows an attempt with this id.
     DuplicateId,
-    /// Its key belongs to a request with another body.
+    /// The attempt's idempotency key belongs to a request with another body.
     KeyConflict,
 }
--- a/crates/admission/src/engine/deadlines.rs
+++ b/crates/admission/src/engine/deadlines.rs
@@ -1,42 +1,44 @@
-//! The controller's timers, and the gauges that the controller needs when they fire.
+//! The controller's timers, and the backend gauges that the controller reads when they fire.
 //!
-//! A timer fires with a fresh reading of the backend's gauges. The reading is requested once the timer is due; if it
-//! does not arrive within [`GAUGE_TIMEOUT`], the timer fires without it.
+//! A timer fires with a fresh reading of the backend's gauges. The engine requests the reading when the timer
+//! is due; if the reading does not arrive within [`GAUGE_TIMEOUT`], the timer fires without gauges.
 
 use crate::interface::{Event, Gauges};
 use crate::time::{Micros, Timestamp};
 use std::collections::BTreeSet;
 
-/// How long a due timer waits for the backend's gauges. Deadlines are checked when timers fire, so that a slow or
-/// broken link to the backend must not hold them up.
+/// How long a timer that is due waits for the backend's gauges. The controller checks deadlines when timers
+/// fire, so a slow or broken link to the backend must not delay them for longer.
 pub(super) const GAUGE_TIMEOUT: Micros = Micros::millis(30);
 
-/// How long past its due time an attempt may remain unanswered before the engine fails it by itself. The controller
-/// answers in time; this guards against an attempt that it has lost. The protocol tolerates four times as much.
+/// How long past its due time an attempt may remain unanswered before the engine fails it. The controller
+/// normally answers in time; this limit guards against an attempt that the controller has lost. The protocol
+/// tolerates four times this delay.
 pub(super) const OVERDUE_GRACE: Micros = Micros::millis(20);
 
-/// What the engine is to do about timers that are due.
+/// What the engine has to do about timers that are due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DueTimers {
-    /// None is due, or the gauges were requested and can still arrive.
+    /// No timer is due, or the gauges were requested and can still arrive in time.
     Wait,
-    /// The gauges are to be requested.
+    /// The engine has to request the gauges.
     RequestGauges,
-    /// They fire without gauges: the link is down, or the reading is late.
+    /// The timers have to fire without gauges: the link to the backend is down, or the reading is late.
     FireWithoutGauges,
 }
 
-/// The controller's timers. Each has a number that the controller chose.
+/// The controller's timers, each with the id that the controller gave it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ControllerTimers {
     pub scheduled: BTreeSet<(Timestamp, u64)>,
-    /// Timers that are due and wait for the gauges.
+    /// Ids of the timers that are due and wait for the gauges.
     pub due: Vec<u64>,
     gauges_requested_at: Option<Timestamp>,
 }
 
 impl ControllerTimers {
-    /// Timers as another process had them, with no reading of the gauges under way.
+    /// Restores the timers of another process. The request for gauges is not restored: it was made on that
+    /// process's own link.
     pub fn restored(scheduled: BTreeSet<(Timestamp, u64)>, due: Vec<u64>) -> Self {
         ControllerTimers { scheduled, due, gauges_requested_at: None }
     }
@@ -45,15 +47,16 @@
         self.scheduled.insert((at, timer));
     }
 
-    /// Moves the timers that are due by now to those that wait for the gauges.
-    pub fn expire(&mut self, now: Timestamp) {
+    /// Moves the timers that are due at `now` to the list of timers that wait for the gauges.
+    pub fn collect_due(&mut self, now: Timestamp) {
         while let Some((at, timer)) = self.scheduled.first().copied().filter(|(at, _)| *at <= now) {
             self.scheduled.remove(&(at, timer));
             self.due.push(timer);
         }
     }
 
-    /// What to do about the timers that are due; remembers when the gauges were requested.
+    /// Returns what to do about the timers that are due. If the gauges are to be requested, records `now` as
+    /// the time of the request.
     pub fn poll(&mut self, now: Timestamp, backend_linked: bool) -> DueTimers {
         if self.due.is_empty() {
             return DueTimers::Wait;
@@ -68,18 +71,18 @@
         }
     }
 
-    /// The events of all timers that are due, with this reading.
+    /// Removes all timers that are due and returns their events, each with the reading `gauges`.
     pub fn fire(&mut self, gauges: Gauges) -> impl Iterator<Item = Event> {
         self.gauges_requested_at = None;
         self.due.drain(..).map(move |timer| Event::Timer(timer, gauges))
     }
 
-    /// The request for the gauges was lost with the link that it was sent on.
+    /// Forgets the request for gauges: it was lost with the link on which it was sent.
     pub fn forget_gauge_request(&mut self) {
         self.gauges_requested_at = None;
     }
 
-    /// When to look again although nothing happens.
+    /// The earliest time at which a timer is due or the request for gauges times out.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         let scheduled = self.scheduled.first().map(|(at, _)| *at);
         let gauge_timeout = self.gauges_requested_at.map(|since| since.plus(GAUGE_TIMEOUT));
--- a/crates/admission/src/engine/events.rs
+++ b/crates/admission/src/engine/events.rs
@@ -1,107 +1,111 @@
-//! What the engine is told: arrivals, and everything that happens to an attempt later.
+//! The engine's input: arriving attempts, and the later events that concern them or the process.
 
 use crate::interface::{Gauges, RequestId};
 use crate::time::{Micros, Timestamp, UnixTime};
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// One attempt of a request, as the front has read it.
+/// One attempt of a request, as read by the front.
 #[derive(Clone, Debug)]
 pub struct Arrival<'a> {
-    /// Its id; never used before.
+    /// The id of the attempt; no two attempts share one.
     pub id: RequestId,
-    /// Index of its class in the settings.
+    /// The class slot, an index into [`Settings::classes`](crate::Settings::classes).
     pub class: usize,
-    /// The idempotency key that all attempts of one request share; ignored for classes that are not keyed.
+    /// The idempotency key, which all attempts of one request share; ignored for classes that are not keyed.
     pub idempotency_key: Option<String>,
-    /// Its body; all attempts of one request carry the same.
+    /// The request body, which is the same in all attempts of one request.
     pub body: &'a [u8],
-    /// Time since it reached the machine.
+    /// The time since the attempt reached the machine.
     pub age: Micros,
-    /// Unix time at which it reached the machine, as the request itself states.
+    /// The Unix time at which the attempt reached the machine, as the request states it.
     pub ingress: UnixTime,
-    /// Expected work on one core.
+    /// The expected work on one core, where the request states it.
     pub work_hint: Option<Micros>,
-    /// Memory that it takes while queued, in kilobytes.
+    /// The memory that the attempt takes while it is queued, in kilobytes.
     pub queued_kb: f64,
-    /// Position in the shedding order, from 0 to below 1.
+    /// The position in the shedding order, from 0 to below 1; lower values are shed first.
     pub shed_order: f64,
-    /// Number of its caller.
+    /// The number that identifies the caller.
     pub caller: u64,
-    /// How long its caller waits, counted from `ingress`, where the caller says so. The class's deadline is the upper
-    /// bound. An attempt whose timeout has passed when it is read is rejected at once.
+    /// How long the caller waits, counted from `ingress`; `None` if the caller does not state it. The class's
+    /// deadline is the upper bound. An attempt that is read after this timeout is rejected at once.
     pub caller_timeout: Option<Micros>,
-    /// The caller marked it as a retry or a hedged copy.
+    /// Whether the caller marked the attempt as a retry or a hedged copy.
     pub is_retry: bool,
-    /// The resource that a read is about, where the caller says so.
+    /// The resource that the request reads, where the caller states it; equal numbers stand for the same
+    /// resource.
     pub resource_key: Option<u64>,
 }
 
-/// How a run ended.
+/// How the run of an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It succeeded with this result.
+    /// The run succeeded with this result.
     Succeeded(Rc<[u8]>),
-    /// It failed, and may have had its effect.
+    /// The run failed, and may have had its effect.
     Failed,
-    /// It was preempted, or ended at an outbound call because no caller waits any more.
+    /// The run was preempted, or ended at an outbound call because no caller waits any more.
     Cancelled,
-    /// It never began: it is safe to run the request elsewhere.
+    /// The run never began, so the request can safely run elsewhere.
     NeverRan,
 }
 
-/// How an outbound call of a run ended.
+/// How an outbound call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallOutcome {
-    /// The reply was handed to the run.
+    /// The call succeeded and its reply was handed to the run.
     #[serde(rename = "Good")]
     Succeeded,
-    /// The other service rejected it: it never ran.
+    /// The called service rejected the call, which never ran there.
     #[serde(rename = "Busy")]
     Overloaded,
-    /// No connection could be made: it never ran.
+    /// No connection to the called service could be made, so the call never ran there.
     Unreachable,
-    /// It failed, and may have had its effect.
+    /// The call failed, and may have had its effect.
     Failed,
-    /// It timed out, and may have had its effect.
+    /// The call timed out, and may have had its effect.
     #[serde(rename = "Late")]
     TimedOut,
-    /// The connection broke during the call, which proves neither that it ran nor that it did not.
+    /// The connection broke during the call, so it is unknown whether the call ran.
     Broken,
 }
 
-/// Something that happened outside the engine.
+/// An event outside the engine that the host reports with [`Engine::on_event`].
+///
+/// [`Engine::on_event`]: super::Engine::on_event
 #[derive(Clone, Debug)]
 pub enum EngineEvent {
     /// The backend has started.
     BackendStarted {
-        /// Whether its caches are cold, so that it is slow at first.
+        /// Whether the backend's caches are cold, so that it is slow at first.
         cold: bool,
-        /// Time since it started.
+        /// The time since the backend started.
         age: Micros,
     },
-    /// The link to the backend is up or down; runs continue meanwhile.
+    /// The link to the backend went up (`true`) or down (`false`). Runs continue while it is down.
     BackendLink(bool),
-    /// A run is over.
+    /// The run of this attempt ended.
     RunEnded(RequestId, RunOutcome),
-    /// A run waits for an outbound call.
+    /// The run of this attempt asks for an outbound call and waits for it.
     CallRequested(RequestId),
-    /// An outbound call ended, this long after it was made.
+    /// The outbound call of this attempt ended, the given time after it was made.
     CallEnded(RequestId, CallOutcome, Micros),
-    /// The backend cannot let this run go on without its call, as [`EngineCommand::SkipCall`] asked.
+    /// The backend cannot let the run of this attempt continue without its outbound call, as
+    /// [`EngineCommand::SkipCall`] asked.
     ///
     /// [`EngineCommand::SkipCall`]: super::EngineCommand::SkipCall
     CallNotSkippable(RequestId),
     /// The caller no longer waits for this attempt.
     CallerGone(RequestId),
-    /// The process was asked to stop.
+    /// The process received the notice to stop.
     Drain {
-        /// Monotonic time of the notice; the grace period counts from then.
+        /// The monotonic time of the notice, from which the grace period counts.
         notice: Timestamp,
-        /// Monotonic time at which the process is stopped.
+        /// The monotonic time at which the process is stopped.
         stop: Timestamp,
     },
-    /// The gauges that [`EngineCommand::ReadGauges`] asked for.
+    /// The backend's gauges, as requested by [`EngineCommand::ReadGauges`].
     ///
     /// [`EngineCommand::ReadGauges`]: super::EngineCommand::ReadGauges
     GaugesRead(Gauges),
--- a/crates/admission/src/engine/mod.rs
+++ b/crates/admission/src/engine/mod.rs
@@ -1,17 +1,22 @@
-//! The engine: the controller with everything that it needs of a host, behind three calls.
+//! The engine: the [`Controller`] together with the parts that connect it to a host process: the table of
+//! attempts, the idempotency table and the controller's timers. The host drives it through three calls.
 //!
-//! A front passes each attempt of a request to [`Engine::admit`], everything that happens later to
-//! [`Engine::on_event`], and lets time pass with [`Engine::on_timer`]; each appends [`EngineCommand`]s. The engine knows
-//! no protocol, does no I/O and reads no clock.
+//! The front (the code that reads requests and writes answers) passes each attempt of a request to
+//! [`Engine::admit`] and each later event to [`Engine::on_event`], and calls [`Engine::on_timer`] whenever a
+//! timer is due. Each of these appends the [`EngineCommand`]s that the host has to carry out. The engine
+//! knows no wire protocol, does no I/O and reads no clock.
 //!
-//! It guarantees, whatever the controller decides:
+//! The engine guarantees, whatever the controller decides:
 //!
-//! - each admitted attempt is answered exactly once, at most 20 ms (`OVERDUE_GRACE`) after its due time if
-//!   [`Engine::on_timer`] is called when it asks to be;
-//! - an attempt whose run was started is never answered as one that never ran;
-//! - a run begins only with the idempotency table's permit, so that no key runs twice in its window.
+//! - each admitted attempt is answered exactly once, unless its caller has gone, and at most 20 ms
+//!   (`OVERDUE_GRACE`) after its due time if the host calls [`Engine::on_timer`] at the times that it
+//!   returns;
+//! - an attempt whose run was started is never answered with a rejection, which states that it never ran;
+//! - a run begins only after the idempotency table has permitted it, so that no idempotency key runs twice
+//!   within its window.
 //!
-//! It does not make anything durable: the table behind [`IdempotencyTable`] does, and the engine waits for it.
+//! The engine itself writes nothing to storage. The implementation of [`IdempotencyTable`] makes intents and
+//! results durable, and the engine waits until it reports that they are.
 
 mod actions;
 mod admit;
@@ -35,41 +40,44 @@
 use deadlines::{ControllerTimers, DueTimers, OVERDUE_GRACE};
 use std::collections::BTreeSet;
 
-/// When the process stops, in monotonic time.
+/// The time limits of a drain, in monotonic time. The engine sets them when it is told of the drain notice.
 #[derive(Clone, Copy, Debug)]
 struct Drain {
-    /// The end of the grace period: first attempts that reach the machine later are rejected.
+    /// The end of the grace period, which counts from the drain notice. First attempts that reach the machine
+    /// later are rejected.
     last_ingress: Timestamp,
-    /// All answers are out by then.
+    /// The time at which the process is stopped. The controller answers all attempts before it.
     stop: Timestamp,
 }
 
-/// The controller with its timers, the table of attempts and the idempotency table; see the module's page.
+/// The controller, its timers, the table of attempts and the idempotency table `T`. The module documentation
+/// states what the engine guarantees.
 #[derive(Debug)]
 pub struct Engine<T> {
     settings: Settings,
-    /// Which classes, by slot, accept requests.
+    /// For each class slot, whether the class accepts first attempts.
     open_classes: Vec<bool>,
     seed: u64,
-    /// None until the backend is up.
+    /// The controller; `None` until the backend has started.
     controller: Option<Controller>,
     attempts: AttemptTable,
     idempotency: T,
     timers: ControllerTimers,
     backend_linked: bool,
-    /// The capacity that the controller announced last.
+    /// The capacity that the controller announced last; `None` before its first announcement.
     capacity: Option<f64>,
     controller_healthy: bool,
     drain: Option<Drain>,
-    /// Events that the controller has yet to hear, in order.
+    /// Events that have not yet been passed to the controller, in the order in which they occurred.
     controller_events: Vec<Event>,
 }
 
 impl<T: IdempotencyTable> Engine<T> {
-    /// An engine for a process that has just started, with its idempotency table; unsound settings are an error.
+    /// Creates an engine for a process that has just started. The controller gets `seed` for random choices;
+    /// the engine asks `idempotency` before it runs an attempt with an idempotency key.
     ///
     /// # Errors
-    /// The settings are unusable for a controller, for the reasons that [`Controller::new`] names.
+    /// The controller cannot work with `settings`; [`Controller::new`] lists the reasons.
     pub fn new(settings: Settings, seed: u64, idempotency: T) -> Result<Self, SettingsError> {
         Controller::new(settings.clone(), seed)?;
         Ok(Engine {
@@ -88,7 +96,7 @@
         })
     }
 
-    /// Handles an event: appends the commands that follow.
+    /// Handles `event`, which occurred at `now`, and appends the commands that follow from it.
     pub fn on_event(&mut self, now: Moment, event: EngineEvent, commands: &mut Vec<EngineCommand>) {
         match event {
             EngineEvent::BackendStarted { cold, age } => return self.start(now, cold, age, commands),
@@ -100,7 +108,7 @@
             EngineEvent::CallRequested(id) => self.controller_events.push(Event::CallRequested(id)),
             EngineEvent::CallEnded(id, end, latency) => self.call_ended(id, end, latency),
             EngineEvent::CallNotSkippable(id) => {
-                // Its run would wait for a call that nobody makes.
+                // The run would wait for ever for an outbound call that nobody makes.
                 self.controller_events.push(Event::CallerGone(id));
                 self.fail(now, id, commands);
             }
@@ -115,11 +123,12 @@
         self.step(now, commands);
     }
 
-    /// Handles what is due by now: appends the commands that follow, and returns when to call again.
+    /// Handles everything that is due at `now` and appends the commands that follow. Returns the monotonic
+    /// time at which the host has to call again at the latest; `None` if nothing is scheduled.
     ///
-    /// Also to be called after each change to the idempotency table.
+    /// The host also calls this after each change to the idempotency table.
     pub fn on_timer(&mut self, now: Moment, commands: &mut Vec<EngineCommand>) -> Option<Timestamp> {
-        self.timers.expire(now.mono);
+        self.timers.collect_due(now.mono);
         match self.timers.poll(now.mono, self.backend_linked) {
             DueTimers::Wait => {}
             DueTimers::RequestGauges => commands.push(EngineCommand::ReadGauges),
@@ -133,14 +142,15 @@
         wakeups.into_iter().flatten().min()
     }
 
-    /// The backend is up: creates the controller, unless it has one.
+    /// Creates the controller when the backend has started, unless there is one already. `age` is the time
+    /// since the backend started; the controller's first step is at that time, `now` minus `age`.
     fn start(&mut self, now: Moment, cold: bool, age: Micros, commands: &mut Vec<EngineCommand>) {
         self.backend_linked = true;
         if self.controller.is_some() {
             return;
         }
         let settings = Settings { cold, ..self.settings.clone() };
-        // `new` has built the same controller before; settings that it accepted once are accepted again.
+        // `Engine::new` has built a controller from these settings before, so they are accepted again.
         let Ok(mut controller) = Controller::new(settings, self.seed) else { return };
         let mut actions = Vec::new();
         controller.step(now.mono.minus(age).time(), &[], &mut actions);
@@ -152,7 +162,8 @@
         self.step(now, commands);
     }
 
-    /// Passes the waiting events to the controller until its actions cause no more.
+    /// Passes the pending events to the controller and executes its actions, until the actions cause no
+    /// further events.
     fn step(&mut self, now: Moment, commands: &mut Vec<EngineCommand>) {
         loop {
             let events = std::mem::take(&mut self.controller_events);
@@ -170,62 +181,66 @@
         self.controller_events.extend(self.timers.fire(gauges));
     }
 
-    /// The longest advice on retries that the settings allow; zero gives none.
+    /// The longest retry-after that the settings allow in an answer; zero means that answers carry none.
     fn max_retry_after(&self) -> Micros {
         self.settings.max_retry_after.unwrap_or_default().into()
     }
 
-    /// The idempotency table, for whoever makes its writes durable. Call [`Engine::on_timer`] after any change to it.
+    /// The idempotency table, for the host code that makes its writes durable. The host calls
+    /// [`Engine::on_timer`] after each change to the table.
     pub fn idempotency(&mut self) -> &mut T {
         &mut self.idempotency
     }
 
-    /// The capacity that goes with every answer and health check, once the controller has announced one.
+    /// The capacity that the node sends with answers and health checks; `None` until the controller has
+    /// announced one.
     pub fn capacity(&self) -> Option<f64> {
         self.capacity
     }
 
-    /// Whether the backend has started, so that requests can be decided on.
+    /// Whether the backend has started. Until then [`Engine::admit`] rejects every attempt.
     pub fn is_started(&self) -> bool {
         self.controller.is_some()
     }
 
-    /// Whether health checks report this node as in service.
+    /// Whether health checks report this node as in service: the backend has started, the controller reports
+    /// good health, no drain has begun, and the idempotency table is ready.
     pub fn is_healthy(&self) -> bool {
         self.is_started() && self.controller_healthy && self.drain.is_none() && self.idempotency.is_ready()
     }
 
-    /// The number of attempts that await an answer.
+    /// The number of admitted attempts that have not been answered.
     pub fn pending_answers(&self) -> usize {
         self.attempts.pending_answers.len()
     }
 
-    /// Attempts whose run was started and has not ended.
+    /// The ids of the attempts whose run was started and has not ended.
     pub fn running_attempts(&self) -> Vec<RequestId> {
         self.attempts.running()
     }
 
-    /// The classes, by slot.
+    /// The settings of each class, indexed by class slot.
     pub fn classes(&self) -> &[Class] {
         &self.settings.classes
     }
 
-    /// The slots of the classes that some attempt belongs to.
+    /// The class slots that at least one attempt in the engine belongs to.
     pub fn classes_in_use(&self) -> BTreeSet<usize> {
         self.attempts.classes_in_use()
     }
 
-    /// Which classes, by slot, are keyed.
+    /// For each class slot, whether requests of the class carry an idempotency key ([`Effect::Keyed`]).
     pub fn keyed_classes(&self) -> Vec<bool> {
         self.settings.classes.iter().map(|class| class.effect == Effect::Keyed).collect()
     }
 
-    /// The longest deadline of any class.
+    /// The longest deadline of any class, counted from the ingress of an attempt.
     pub fn longest_deadline(&self) -> Micros {
         self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default().into()
     }
 
-    /// Replaces the settings, with their classes in slots as planned; admitted attempts keep their class.
+    /// Replaces the settings. `plan` assigns the new classes to slots; admitted attempts keep the class that
+    /// they were admitted with. Whether the backend started cold does not change.
     pub fn update_settings(&mut self, settings: Settings, plan: &SlotPlan) {
         self.settings = Settings { classes: plan.classes.clone(), cold: self.settings.cold, ..settings };
         self.open_classes = plan.slots.open().to_vec();
@@ -234,7 +249,8 @@
         }
     }
 
-    /// Notes that the link to the backend is up or down, before this engine has a controller.
+    /// Records whether the link to the backend is up. The host uses this when it takes over from another
+    /// process: the link may have changed state before this engine had a controller.
     pub fn set_backend_linked(&mut self, up: bool) {
         self.backend_linked = up;
     }
--- a/crates/admission/src/engine/outcomes.rs
+++ b/crates/admission/src/engine/outcomes.rs
@@ -1,4 +1,5 @@
-//! Ends of runs and calls, what the idempotency table has made durable since, and the answers that follow.
+//! Handling of ended runs, ended outbound calls and settlements of the idempotency table, and the answers
+//! that follow from them.
 
 use super::attempts::RunState;
 use super::{CallOutcome, Engine, EngineCommand, RunOutcome};
@@ -8,7 +9,7 @@
 use std::rc::Rc;
 
 impl<T: IdempotencyTable> Engine<T> {
-    /// A run ended. A second notice of the same end has no effect.
+    /// Handles the end of a run. A second notice of the same end has no effect.
     pub(super) fn run_ended(
         &mut self,
         now: Moment,
@@ -21,7 +22,7 @@
         if std::mem::take(&mut attempt.awaiting_call) {
             commands.push(EngineCommand::DropCall(id));
         }
-        let key = attempt.repeat_key.clone();
+        let key = attempt.idempotency_key.clone();
         let (outcome, result) = match end {
             RunOutcome::Succeeded(result) => (Outcome::Ok, RunResult::Succeeded(result)),
             RunOutcome::Failed => (Outcome::Error, RunResult::NoResult),
@@ -37,15 +38,16 @@
         match completion {
             Completion::Settled(waiters, result) => {
                 self.answer_waiters(waiters, result.as_ref(), commands);
-                self.answer_own_run(id, result, commands);
+                self.answer_with_own_result(id, result, commands);
             }
-            // It is served once its result is durable, or fails at its due time.
+            // The attempt is served when its result is durable, or fails at its due time.
             Completion::AwaitingDurable => {}
         }
-        self.close(id, commands);
+        self.forget_if_finished(id, commands);
     }
 
-    /// An outbound call ended. The reply to a call that was dropped has no effect.
+    /// Handles the end of an outbound call, `latency` after it was made. The reply to a dropped call has no
+    /// effect.
     pub(super) fn call_ended(&mut self, id: RequestId, end: CallOutcome, latency: Micros) {
         let Some(attempt) = self.attempts.get_mut(id).filter(|attempt| attempt.awaiting_call) else { return };
         attempt.awaiting_call = false;
@@ -60,7 +62,7 @@
         self.controller_events.push(Event::CallEnded(id, outcome, latency.span()));
     }
 
-    /// The caller no longer waits: its attempt counts as answered.
+    /// Handles a caller that no longer waits: its attempt counts as answered.
     pub(super) fn caller_gone(&mut self, now: Moment, id: RequestId, commands: &mut Vec<EngineCommand>) {
         if self.attempts.mark_answered(id) {
             self.controller_events.push(Event::CallerGone(id));
@@ -68,19 +70,19 @@
         }
     }
 
-    /// Carries out what the idempotency table has settled since the last call.
+    /// Handles everything that the idempotency table has settled since the last call.
     pub(super) fn apply_settlements(&mut self, now: Moment, commands: &mut Vec<EngineCommand>) {
         let mut settlements = Vec::new();
         self.idempotency.drain_settled(now, &mut settlements);
         for settlement in settlements {
             match settlement {
                 Settlement::IntentDurable(id) => self.intent_durable(id, commands),
-                Settlement::IntentFailed(id, waiters, advice) => {
-                    self.intent_failed(now, id, waiters, advice, commands);
+                Settlement::IntentFailed(id, waiters, retry_after) => {
+                    self.intent_failed(now, id, waiters, retry_after, commands);
                 }
                 Settlement::ResultDurable(id, waiters, result) => {
-                    self.answer_own_run(id, Some(result.clone()), commands);
-                    self.close(id, commands);
+                    self.answer_with_own_result(id, Some(result.clone()), commands);
+                    self.forget_if_finished(id, commands);
                     self.answer_waiters(waiters, Some(&result), commands);
                 }
             }
@@ -95,16 +97,17 @@
         }
     }
 
-    /// The intent could not be recorded: neither the attempt nor those that waited for its result ever ran.
+    /// Rejects an attempt whose intent could not be recorded, and the repeats that waited for its result:
+    /// none of them ever ran.
     fn intent_failed(
         &mut self,
         now: Moment,
         id: RequestId,
         waiters: Vec<RequestId>,
-        advice: Micros,
+        retry_after: Micros,
         commands: &mut Vec<EngineCommand>,
     ) {
-        let retry_after = advice.min(self.max_retry_after());
+        let retry_after = retry_after.min(self.max_retry_after());
         for id in std::iter::once(id).chain(waiters) {
             let waited = self.attempts.get_mut(id).is_some_and(|attempt| attempt.abandon_intent());
             let outcome = if waited { Outcome::NeverStarted } else { Outcome::Error };
@@ -113,8 +116,8 @@
         }
     }
 
-    /// Rejects an attempt. A rejection promises that the attempt never ran; one that was started gets a failure with the
-    /// same advice instead.
+    /// Rejects an attempt. A rejection states that the attempt never ran, so an attempt whose run was started
+    /// gets a failure with the same retry-after instead.
     pub(super) fn answer_rejection(
         &mut self,
         now: Moment,
@@ -140,7 +143,8 @@
         self.release_attempt(now, id, commands);
     }
 
-    /// Fails attempts that are past their due time. Guards against one that the controller has lost.
+    /// Fails the attempts that are more than `OVERDUE_GRACE` past their due time. Guards against an attempt
+    /// that the controller has lost.
     pub(super) fn fail_overdue(&mut self, now: Moment, commands: &mut Vec<EngineCommand>) {
         while let Some(id) = self.attempts.pop_overdue(now.mono, super::deadlines::OVERDUE_GRACE) {
             self.controller_events.push(Event::CallerGone(id));
@@ -148,7 +152,7 @@
         }
     }
 
-    /// Answers repeats that waited for another attempt's result; without one they fail.
+    /// Answers the repeats that waited for the result of another attempt; without a result they fail.
     pub(super) fn answer_waiters(
         &mut self,
         waiters: Vec<RequestId>,
@@ -164,12 +168,17 @@
                     None => EngineCommand::fail(id),
                 });
             }
-            self.close(id, commands);
+            self.forget_if_finished(id, commands);
         }
     }
 
-    /// Answers an attempt with what its own run came to.
-    fn answer_own_run(&mut self, id: RequestId, result: Option<Rc<[u8]>>, commands: &mut Vec<EngineCommand>) {
+    /// Answers an attempt with the result of its own run; without a result it fails.
+    fn answer_with_own_result(
+        &mut self,
+        id: RequestId,
+        result: Option<Rc<[u8]>>,
+        commands: &mut Vec<EngineCommand>,
+    ) {
         if self.attempts.mark_answered(id) {
             commands.push(match result {
                 Some(result) => EngineCommand::Serve(id, result),
@@ -178,21 +187,22 @@
         }
     }
 
-    /// Frees the key of an attempt that was answered, unless its run goes on; repeats that waited for it fail.
+    /// Frees the idempotency key of an attempt that was answered, unless its run continues. Repeats that
+    /// waited for the attempt fail.
     fn release_attempt(&mut self, now: Moment, id: RequestId, commands: &mut Vec<EngineCommand>) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
-        if let (Some(key), false) = (attempt.repeat_key.clone(), attempt.is_running()) {
+        if let (Some(key), false) = (attempt.idempotency_key.clone(), attempt.is_running()) {
             let released = self.idempotency.release(now, &key, id);
             if attempt.abandon_intent() || released.intent_withdrawn {
                 self.controller_events.push(Event::RunEnded(id, Outcome::NeverStarted));
             }
             self.answer_waiters(released.waiters, None, commands);
         }
-        self.close(id, commands);
+        self.forget_if_finished(id, commands);
     }
 
-    /// Forgets an attempt to which nothing more can happen.
-    pub(super) fn close(&mut self, id: RequestId, commands: &mut Vec<EngineCommand>) {
+    /// Forgets the attempt if it was answered and has no run that is pending or running.
+    pub(super) fn forget_if_finished(&mut self, id: RequestId, commands: &mut Vec<EngineCommand>) {
         if self.attempts.remove_finished(id) {
             commands.push(EngineCommand::Forget(id));
         }
--- a/crates/admission/src/engine/snapshot.rs
+++ b/crates/admission/src/engine/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state that an engine passes on when another process takes over its service.
+//! The engine's state as it is handed over to another process that takes over the service.
 
 use super::Engine;
 use super::attempts::{Attempt, AttemptTable};
@@ -12,12 +12,13 @@
 
 /// The state of an engine without its idempotency table, which is replicated separately.
 ///
-/// Times are those of the clock that the snapshot was made under. Field names and their order are part of the hand-over
-/// protocol: a renamed field keeps its name there by `#[serde(rename)]`.
+/// Monotonic times are those of the process that made the snapshot. The names and the order of the fields are
+/// part of the hand-over protocol: a field that is renamed in the code keeps its protocol name by
+/// `#[serde(rename)]`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct EngineSnapshot {
     settings: Settings,
-    /// Which classes, by slot, accept requests.
+    /// For each class slot, whether the class accepts first attempts.
     #[serde(rename = "open")]
     pub open_classes: Vec<bool>,
     controller: Option<Controller>,
@@ -34,7 +35,7 @@
 }
 
 impl<T: IdempotencyTable> Engine<T> {
-    /// The state of this engine without its idempotency table.
+    /// Returns the state of this engine without its idempotency table.
     pub fn snapshot(&self) -> EngineSnapshot {
         EngineSnapshot {
             settings: self.settings.clone(),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Continues from another engine's state.
+    /// Replaces this engine's state by that of another engine. The idempotency table stays.
     pub fn restore(&mut self, snapshot: EngineSnapshot) {
         self.settings = snapshot.settings;
         self.open_classes = snapshot.open_classes;
@@ -60,7 +61,8 @@
         self.controller_healthy = snapshot.healthy;
     }
 
-    /// Drops all state but the idempotency table: another engine has taken over.
+    /// Drops the controller, all attempts and all timers, as another process has taken over. The idempotency
+    /// table stays.
     pub fn retire(&mut self) {
         self.controller = None;
         self.attempts.clear();
--- a/crates/admission/src/handover.rs
+++ b/crates/admission/src/handover.rs
@@ -1,22 +1,26 @@
 //! The hand-over of service between two processes of one node, as a state machine.
 //!
-//! The process that holds the service lock is the active one: it accepts connections, admits requests, runs them and
-//! reports to the membership service. The operating system releases the lock when its holder dies. When a process is
-//! asked to stop while another one waits, it sends its whole state to that successor and releases the lock.
+//! The process that holds the service lock is the active one: it accepts connections, admits requests, runs
+//! them and reports to the membership service. The operating system releases the lock when the process that
+//! holds it dies. When the active process is asked to stop while a successor is linked to it, it sends its
+//! whole state to the successor and releases the lock.
 //!
-//! The machine guarantees, in any order of messages, deaths and timeouts (checked in `tests/handover.rs`):
+//! The state machine guarantees, in any order of messages, deaths and timeouts (checked in
+//! `tests/handover.rs`):
 //!
 //! - at most one process is active, and it holds the lock;
 //! - no idempotency key runs in both processes;
 //! - a process whose successor does not take over reclaims the lock, resumes service and drains.
 //!
-//! It does no I/O and reads no clock: [`Handover::on_event`] is told what happened and returns [`Action`]s. The driver is
-//! `node::event_loop::handover`; it closes a link that it refuses by itself, and knows of a predecessor that drains (its `Hello`
-//! says so): that one hands over nothing but keys, and its successor serves once it has exited.
+//! The state machine does no I/O and reads no clock: its driver reports each event to [`Handover::on_event`]
+//! and carries out the [`Action`]s that this returns. The driver is `node::event_loop::handover`. It handles
+//! two cases itself. It closes the link of a second successor without reporting it. And it knows from a
+//! predecessor's `Hello` whether that process is already draining; such a predecessor hands over nothing but
+//! its idempotency keys, and the successor serves once the predecessor has exited.
 //!
 //! | role | event | actions | next role |
 //! | --- | --- | --- | --- |
-//! | any but `Alone` | `Linked` (the driver refuses the link before that) | `RefuseLink` | the same |
+//! | any except `Alone` | `Linked` (not reported by the driver, which refuses the link) | `RefuseLink` | the same |
 //! | `Alone` | `Linked` | `Replicate` | `Predecessor` |
 //! | `Alone` | `Terminate` | `Drain` | `Alone` |
 //! | `Predecessor` | `Unlinked` | `StopReplicating` | `Alone` |
@@ -26,8 +30,8 @@
 //! | `HandingOver` | `LockUnavailable` | | `HandingOver`, for another 1 s |
 //! | `HandingOver` | `Unlinked` | `AcquireLock` | `SuccessorLost` |
 //! | `SuccessorLost` | `TakenOver` | `Retire` | `Retired` |
-//! | `SuccessorLost` | `Unlinked`; `Tick`, each 5 ms | `AcquireLock` | `SuccessorLost` |
-//! | `SuccessorLost` | `LockUnavailable`, less than 2 s after the state was sent | | `SuccessorLost` |
+//! | `SuccessorLost` | `Unlinked`, or `Tick` every 5 ms | `AcquireLock` | `SuccessorLost` |
+//! | `SuccessorLost` | `LockUnavailable`, less than 2 s after `since` | | `SuccessorLost` |
 //! | `SuccessorLost` | `LockUnavailable`, later | `Retire`, `Exit` | `Retired` |
 //! | `HandingOver`, `SuccessorLost` | `LockAcquired` | `ReadSuccessor` | `Reclaimed` |
 //! | `Reclaimed` | `TakenOver` | `Retire`, `Exit` | `Retired` |
@@ -42,121 +46,131 @@
 //! | `TakingOver` | `StateOutdated` | `Serve` without all keys | `Alone` |
 //! | `TakingOver` | `LockUnavailable` | `SearchAgain` | `Successor`, without keys |
 //! | `PredecessorLost` | `LockAcquired` | `Serve` | `Alone` |
-//! | `PredecessorLost` | `Tick`, each 5 ms | `AcquireLock` | `PredecessorLost` |
+//! | `PredecessorLost` | `Tick`, every 5 ms | `AcquireLock` | `PredecessorLost` |
 //! | `PredecessorLost` | `LockUnavailable`, 1 s after the link was lost or later | `SearchAgain` | `Successor`, without keys |
 //!
-//! Events that a role has no row for change nothing.
+//! An event that has no row for a role does not change the role and causes no action.
 
 use crate::time::{Micros, Timestamp};
 
-/// How long a successor has to take over once all state was sent. It only has to acquire a free lock and say so; while
-/// it does not, callers wait for both processes.
+/// How long a successor has for taking over after the whole state was sent to it. The successor only has to
+/// acquire a free lock and confirm; until it does, neither process serves and callers wait.
 const TAKEOVER_TIMEOUT: Micros = Micros::millis(1_000);
 
-/// How long the lock may remain held after the link to its holder broke: the operating system closes a dying process's
-/// descriptors one by one. If it is still held later, its holder lives, or a third process has it.
+/// How long the lock may remain held after the link to the process that holds it broke: the operating system
+/// closes the descriptors of a dying process one by one. If the lock is still held after this time, that
+/// process is alive, or a third process holds the lock.
 const LOCK_RELEASE_GRACE: Micros = Micros::millis(1_000);
 
-/// Time between two attempts to acquire the lock: nobody serves meanwhile.
+/// The time between two attempts to acquire the lock. It is short because no process serves in the meantime.
 const LOCK_RETRY_INTERVAL: Micros = Micros::millis(5);
 
-/// The role of a process among those of its node.
+/// The role of a process among the processes of its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// Active, and no other process is linked.
+    /// This process is active, and no successor is linked to it.
     Alone,
-    /// Active, and a successor is linked that its keys are replicated to.
+    /// This process is active, and a successor is linked to it, to which it replicates its idempotency keys.
     Predecessor,
-    /// All state was sent and the lock was released; the successor is linked and has not confirmed.
+    /// This process has sent its whole state and released the lock. The successor is linked and has not
+    /// confirmed that it took over.
     HandingOver {
-        /// When the state was sent, or when the lock was last found held since.
+        /// When the state was sent, or when this process last found that the lock is held by another process,
+        /// whichever is later.
         since: Timestamp,
     },
-    /// As `HandingOver`, but the link to the successor is lost: it may have taken over, or died.
+    /// Like `HandingOver`, but the link to the successor is lost: the successor may have taken over, or died.
     SuccessorLost {
-        /// As in `HandingOver`.
+        /// As in `HandingOver`: when the state was sent, or when the lock was last found held before the link
+        /// was lost.
         since: Timestamp,
-        /// When the lock was last attempted.
+        /// When this process last tried to acquire the lock.
         last_attempt: Timestamp,
     },
-    /// The lock was reclaimed; messages that the successor sent before are still to be read.
+    /// This process has reclaimed the lock and still has to read the messages that the successor sent before.
     Reclaimed,
-    /// Another process has taken over; only outbound calls that were made here continue.
+    /// Another process has taken over from this one; only outbound calls that this process made continue
+    /// here.
     Retired,
-    /// Another process is active; this one receives its keys and waits for its state.
+    /// Another process is active; this one receives its idempotency keys and waits for its state.
     Successor {
-        /// All keys of the predecessor have arrived.
+        /// Whether all idempotency keys of the predecessor have arrived.
         keys_complete: bool,
     },
-    /// The predecessor's whole state has arrived; the lock is being acquired.
+    /// This process has received the predecessor's whole state and tries to acquire the lock.
     TakingOver,
-    /// The link to the predecessor was lost before its state was complete; it may still hold the lock.
+    /// The link to the predecessor was lost before its whole state arrived; the predecessor may still hold
+    /// the lock.
     PredecessorLost {
         /// When the link was lost.
         since: Timestamp,
-        /// All keys of the predecessor had arrived.
+        /// Whether all idempotency keys of the predecessor had arrived.
         keys_complete: bool,
-        /// When the lock was last attempted.
+        /// When this process last tried to acquire the lock.
         last_attempt: Timestamp,
     },
 }
 
-/// Something that happened to a process.
+/// An event that the driver reports to the state machine of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Another process has connected.
+    /// Another process has connected to this one as its successor.
     Linked,
     /// The link to the other process is lost.
     Unlinked,
-    /// What the predecessor sent cannot be read: it is another version, or the bytes are damaged.
+    /// The data from the predecessor cannot be decoded: the predecessor has another version, or the data are
+    /// damaged.
     Unreadable,
-    /// The successor says that it took over.
+    /// The successor confirms that it took over.
     TakenOver,
-    /// The predecessor says that all its keys were sent.
+    /// The predecessor states that it has sent all its idempotency keys.
     KeysComplete,
-    /// The predecessor says that its whole state was sent and the lock is free.
+    /// The predecessor states that it has sent its whole state and released the lock.
     StateComplete,
     /// The process was asked to stop.
     Terminate,
-    /// An attempt to acquire the lock succeeded.
+    /// This process tried to acquire the lock and got it.
     LockAcquired,
-    /// An attempt to acquire the lock failed: another process holds it.
+    /// This process tried to acquire the lock, but another process holds it.
     LockUnavailable,
-    /// The lock was acquired, but the predecessor had reclaimed it after it sent its state: that is out of date.
+    /// This process acquired the lock, but the predecessor had reclaimed the lock after it sent its state, so
+    /// that state is out of date.
     StateOutdated,
-    /// Everything that the successor ever sent has been read.
+    /// All messages that the successor ever sent have been read.
     SuccessorRead,
-    /// Time has passed.
+    /// Time has passed; reported at the time that [`Handover::next_wakeup`] returns, or at any other time.
     Tick,
 }
 
-/// What a process is to do.
+/// An action that the driver has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Send all keys to the new link, then each change of a key before the command that it is about.
+    /// Send all idempotency keys to the newly linked successor, and from then on send each change of a key
+    /// before the command to the kernel that the change belongs to.
     Replicate,
-    /// Close the link to the successor and replicate no longer.
+    /// Close the link to the successor and stop replicating idempotency keys.
     StopReplicating,
     /// Close the link that was just made.
     RefuseLink,
-    /// Stop all work, send the whole state, then release the lock.
+    /// Stop all work, send the whole state to the successor, then release the lock.
     HandOver,
-    /// Try to acquire the lock, and report the outcome as an event.
+    /// Try to acquire the lock, and report the result as an event.
     AcquireLock,
-    /// Add a generation mark to the lock, so that the state that was sent is out of date; then read everything that the
-    /// successor has sent, and report it.
+    /// Add a generation mark to the lock, which marks the state that was sent as out of date. Then read all
+    /// messages of the successor and report them.
     ReadSuccessor,
-    /// Resume the work that was stopped for the hand-over.
+    /// Resume the work that was stopped by [`Action::HandOver`].
     ResumeService,
-    /// Drain, as a process that leaves service.
+    /// Begin a drain, as this process is leaving service.
     Drain,
-    /// Drop all state but outbound calls.
+    /// Drop all state except outbound calls.
     Retire,
-    /// Tell the predecessor first, then continue from its state.
+    /// Confirm to the predecessor that this process takes over, then continue from the predecessor's state.
     TakeOver,
-    /// Serve without the predecessor's state.
+    /// Begin to serve without the predecessor's state.
     Serve {
-        /// All keys of the predecessor have arrived; without them some runs may be unknown here.
+        /// Whether all idempotency keys of the predecessor have arrived. If not, keys may have run that are
+        /// unknown to this process.
         keys_complete: bool,
     },
     /// Drop everything that came from the predecessor, and search for an active process again.
@@ -172,17 +186,17 @@
 }
 
 impl Handover {
-    /// A process that holds the lock.
+    /// Creates the state machine of a process that holds the lock.
     pub fn active() -> Self {
         Handover { role: Role::Alone }
     }
 
-    /// A process that has found an active one.
+    /// Creates the state machine of a process that has found another, active process.
     pub fn successor() -> Self {
         Handover { role: Role::Successor { keys_complete: false } }
     }
 
-    /// Its role now.
+    /// The present role of this process.
     pub fn role(&self) -> Role {
         self.role
     }
@@ -192,7 +206,7 @@
         matches!(self.role, Role::Alone | Role::Predecessor)
     }
 
-    /// Whether this process waits to become active.
+    /// Whether this process waits for its turn to become the active one.
     pub fn is_standby(&self) -> bool {
         matches!(self.role, Role::Successor { .. } | Role::TakingOver | Role::PredecessorLost { .. })
     }
@@ -202,7 +216,7 @@
         self.role == Role::Retired
     }
 
-    /// When to report [`Event::Tick`] although nothing happens.
+    /// The time at which [`Event::Tick`] has to be reported; `None` if no timeout is running.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         match self.role {
             Role::HandingOver { since } => Some(since.plus(TAKEOVER_TIMEOUT)),
@@ -213,11 +227,11 @@
         }
     }
 
-    /// Handles an event; returns what is to be done about it, in order.
+    /// Handles `event`, which occurred at `now`. Returns the actions to carry out, in order.
     pub fn on_event(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         match self.role {
             Role::Alone => self.on_event_alone(event),
-            // There is room for one other process at a time.
+            // Only one other process can be linked at a time.
             _ if event == Event::Linked => vec![Action::RefuseLink],
             Role::Predecessor => self.on_event_predecessor(now, event),
             Role::HandingOver { since } => self.on_event_handing_over(now, event, since),
@@ -256,7 +270,7 @@
             }
             Event::Tick if self.is_due(now) => vec![Action::AcquireLock],
             Event::LockAcquired => self.enter(Role::Reclaimed, vec![Action::ReadSuccessor]),
-            // The successor has the lock and will confirm, or is about to be lost.
+            // The successor holds the lock: either it will confirm, or its link is about to be lost.
             Event::LockUnavailable => self.enter(Role::HandingOver { since: now }, vec![]),
             _ => vec![],
         }
@@ -271,9 +285,10 @@
             Event::Tick if self.is_due(now) => {
                 self.enter(Role::SuccessorLost { since, last_attempt: now }, vec![Action::AcquireLock])
             }
-            // The successor may have taken over, confirmed and died, and its confirmation is unread.
+            // The successor may have taken over, confirmed and died, with its confirmation still unread.
             Event::LockAcquired => self.enter(Role::Reclaimed, vec![Action::ReadSuccessor]),
-            // A lock that outlasts its dying holder by a moment, until that time is over: then a third process has it.
+            // The successor may be dying and still hold the lock for a moment. After this time a third
+            // process holds it.
             Event::LockUnavailable if now.since(since) < TAKEOVER_TIMEOUT.plus(LOCK_RELEASE_GRACE) => vec![],
             Event::LockUnavailable => self.enter(Role::Retired, vec![Action::Retire, Action::Exit]),
             _ => vec![],
@@ -282,7 +297,7 @@
 
     fn on_event_reclaimed(&mut self, event: Event) -> Vec<Action> {
         match event {
-            // What the successor ran is not known here.
+            // The successor may have run requests that this process does not know.
             Event::TakenOver => self.enter(Role::Retired, vec![Action::Retire, Action::Exit]),
             Event::SuccessorRead => {
                 let actions = vec![Action::StopReplicating, Action::ResumeService, Action::Drain];
@@ -302,7 +317,8 @@
     fn on_event_successor(&mut self, now: Timestamp, event: Event, keys_complete: bool) -> Vec<Action> {
         match event {
             Event::KeysComplete => self.enter(Role::Successor { keys_complete: true }, vec![]),
-            // Leaves the lock that the predecessor has released to the predecessor, which knows the whole state.
+            // Does not try to acquire the lock that the predecessor has released: the predecessor knows the
+            // whole state and reclaims the lock.
             Event::Unreadable => self.search_again(),
             Event::StateComplete => self.enter(Role::TakingOver, vec![Action::AcquireLock]),
             Event::Unlinked => {
@@ -317,7 +333,8 @@
     fn on_event_taking_over(&mut self, event: Event) -> Vec<Action> {
         match event {
             Event::LockAcquired => self.enter(Role::Alone, vec![Action::TakeOver]),
-            // What the predecessor ran after it reclaimed the lock is not known here.
+            // The predecessor may have run requests after it reclaimed the lock, which this process does not
+            // know.
             Event::StateOutdated => self.enter(Role::Alone, vec![Action::Serve { keys_complete: false }]),
             Event::LockUnavailable => self.search_again(),
             _ => vec![],
@@ -333,7 +350,7 @@
     ) -> Vec<Action> {
         match event {
             Event::LockAcquired => self.enter(Role::Alone, vec![Action::Serve { keys_complete }]),
-            // The predecessor lives: only the link was lost.
+            // The predecessor is alive; only the link to it was lost.
             Event::LockUnavailable if now.since(since) >= LOCK_RELEASE_GRACE => self.search_again(),
             Event::Tick if self.is_due(now) => {
                 let lost = Role::PredecessorLost { since, keys_complete, last_attempt: now };
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,10 +1,11 @@
-//! Server-side admission control: what a worker runs, queues and rejects.
+//! Server-side admission control: decides which requests a worker runs, queues and rejects.
 //!
-//! A [`Controller`] lives inside one worker. Each control period it resets a concurrency limit (MPL) from the
-//! running requests, their latency and the arrival rate; requests above it are rejected at once while the cores
-//! are busy. It keeps no clock, thread or socket of its own: the worker hands it batches of [`Event`]s and carries
-//! out the [`Action`]s it gets back. The simulator's adapter does that itself; the booking node has the [`engine`]
-//! do it, and sees neither.
+//! One [`Controller`] belongs to one worker. In each control period it resets the worker's concurrency limit
+//! (MPL) from the number of running requests, their latency and the arrival rate; while the cores are busy,
+//! requests above the limit are rejected at once. The controller has no clock, thread or socket of its own:
+//! the worker passes it batches of [`Event`]s and carries out the [`Action`]s that it returns. The
+//! simulator's adapter does this directly. The booking node uses the [`engine`], which passes the events and
+//! carries out the actions for it.
 //!
 //! ```
 //! use gaugestand_admission::*;
--- a/crates/admission/src/time.rs
+++ b/crates/admission/src/time.rs
@@ -1,21 +1,24 @@
-//! Time, as the decisions take it: always an argument, never read from a clock here.
+//! The types for points in time and lengths of time. This crate reads no clock: the time is always passed as
+//! an argument.
 //!
-//! Two units stand side by side. The node, the engine and all that is stored or sent count whole microseconds; the
-//! controller computes in nanoseconds, as the simulator's wire does. Points and lengths are types of their own, and so
-//! are the points of the two clocks, so that none can be taken for another:
+//! Two units are in use. The node, the engine and all stored or sent data use whole microseconds; the
+//! controller computes in nanoseconds, as the simulator's protocol does. Points in time and lengths of time
+//! have separate types, and so have points on the two clocks, so that the compiler rejects mixing them:
 //!
 //! | | point, monotonic clock | point, wall clock | length |
 //! | --- | --- | --- | --- |
 //! | microseconds | [`Timestamp`] | [`UnixTime`] | [`Micros`] |
 //! | nanoseconds (controller) | [`Time`] | | [`Span`] |
 //!
-//! [`Moment`] is one point read on both clocks. All arithmetic saturates: a difference that would be negative is zero,
-//! a sum stops at the largest number. Each type is serialised as its plain number.
+//! A [`Moment`] is the same point in time on both clocks. All arithmetic saturates: a difference that would
+//! be negative is zero, and a sum stops at the largest number. The types in the table are serialised as plain
+//! numbers.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 
-/// A point on the controller's clock, in nanoseconds: the monotonic clock's, or the simulator's.
+/// A point on the controller's clock, in nanoseconds. In a node this is the monotonic clock; in a simulation
+/// it is the simulator's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Time(pub u64);
 
@@ -24,17 +27,17 @@
 pub struct Span(pub u64);
 
 impl Span {
-    /// A span of whole milliseconds.
+    /// A length of `ms` whole milliseconds.
     pub const fn millis(ms: u64) -> Self {
         Span(ms.saturating_mul(1_000_000))
     }
 
-    /// The span in seconds.
+    /// This length in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e9
     }
 
-    /// A span from seconds; negative and undefined values give zero.
+    /// A length of `s` seconds, rounded down to nanoseconds; negative values and NaN give zero.
     pub fn from_secs(s: f64) -> Self {
         Span((s * 1e9).max(0.0) as u64)
     }
@@ -62,12 +65,12 @@
     }
 }
 
-/// A length of time in whole microseconds. It has no method that yields a point in time.
+/// A length of time in whole microseconds. No method converts it to a point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// Whole milliseconds.
+    /// A length of `ms` whole milliseconds.
     pub const fn millis(ms: u64) -> Self {
         Micros(ms.saturating_mul(1000))
     }
@@ -77,7 +80,7 @@
         Micros(self.0.saturating_add(other.0))
     }
 
-    /// As a length of time of the controller, in nanoseconds.
+    /// This length in the controller's unit, nanoseconds.
     pub(crate) fn span(self) -> Span {
         Span(self.0.saturating_mul(1000))
     }
@@ -90,33 +93,34 @@
     }
 }
 
-/// A point on the monotonic clock, in whole microseconds. The clock can't be set. Its origin is the process's own
-/// choice, so two processes can't compare their points, except that a successor goes on with its predecessor's clock.
+/// A point on the monotonic clock, in whole microseconds. This clock cannot be set. Each process chooses its
+/// origin, so points of two processes cannot be compared, except that a successor continues its predecessor's
+/// clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// This many whole milliseconds after the clock's origin.
+    /// The point `ms` whole milliseconds after the clock's origin.
     pub const fn millis(ms: u64) -> Self {
         Timestamp(ms.saturating_mul(1000))
     }
 
-    /// This much later.
+    /// The point that is later by `by`.
     pub const fn plus(self, by: Micros) -> Self {
         Timestamp(self.0.saturating_add(by.0))
     }
 
-    /// This much earlier; the origin if that would be before it.
+    /// The point that is earlier by `by`; the clock's origin if the result would be before it.
     pub const fn minus(self, by: Micros) -> Self {
         Timestamp(self.0.saturating_sub(by.0))
     }
 
-    /// The time since `earlier`; zero if that is later.
+    /// The time from `earlier` to this point; zero if `earlier` is later.
     pub const fn since(self, earlier: Timestamp) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// As a point on the clock of the controller, in nanoseconds.
+    /// This point on the controller's clock, in nanoseconds.
     pub(crate) fn time(self) -> Time {
         Time(self.0.saturating_mul(1000))
     }
@@ -129,50 +133,52 @@
     }
 }
 
-/// A point on the wall clock, in whole microseconds since 1970-01-01 00:00 UTC. The clock can be set forward or back;
-/// it is the one that is stored, that survives a restart and that other hosts share.
+/// A point on the wall clock, in whole microseconds since 1970-01-01 00:00 UTC. The wall clock can be set
+/// forward or back. Stored times and times that other hosts see are on this clock, as its points stay valid
+/// over a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UnixTime(pub u64);
 
 impl UnixTime {
-    /// This many whole milliseconds after 1970-01-01 00:00 UTC.
+    /// The point `ms` whole milliseconds after 1970-01-01 00:00 UTC.
     pub const fn millis(ms: u64) -> Self {
         UnixTime(ms.saturating_mul(1000))
     }
 
-    /// This much later.
+    /// The point that is later by `by`.
     pub const fn plus(self, by: Micros) -> Self {
         UnixTime(self.0.saturating_add(by.0))
     }
 
-    /// This much earlier; 1970-01-01 00:00 UTC if that would be before it.
+    /// The point that is earlier by `by`; 1970-01-01 00:00 UTC if the result would be before it.
     pub const fn minus(self, by: Micros) -> Self {
         UnixTime(self.0.saturating_sub(by.0))
     }
 
-    /// The time since `earlier`; zero if that is later.
+    /// The time from `earlier` to this point; zero if `earlier` is later.
     pub const fn since(self, earlier: UnixTime) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 }
 
-/// A moment on both clocks. The monotonic one can't be set; the wall clock is the one that survives a restart.
+/// One point in time on both clocks. The monotonic clock cannot be set; points on the wall clock stay valid
+/// over a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Moment {
-    /// Monotonic time of this process.
+    /// The monotonic time of this process.
     pub mono: Timestamp,
-    /// Unix time.
+    /// The Unix time, from the wall clock.
     pub wall: UnixTime,
 }
 
 impl Moment {
-    /// This much later on both.
+    /// The moment that is later by `by` on both clocks.
     pub const fn plus(self, by: Micros) -> Self {
         Moment { mono: self.mono.plus(by), wall: self.wall.plus(by) }
     }
 
-    /// Whether this moment is before the end of a window. Either clock will do: one that was set back or forward
-    /// may lengthen a window, never shorten it.
+    /// Whether this moment is before `end`, the end of a window, on at least one of the two clocks. A clock
+    /// that was set forward or back can thus lengthen a window, but never shorten it.
     pub fn is_before(self, end: Moment) -> bool {
         self.mono < end.mono || self.wall < end.wall
     }
