--- a/crates/admission/tests/handover.rs
+++ b/crates/admission/tests/handover.rs
@@ -1,8 +1,9 @@
-//! The hand-over between two processes, model-checked by stateright in every order of messages, deaths, attempts and
-//! timeouts up to a bound.
+//! Model checks and unit tests of the hand-over state machine. Stateright explores the hand-over between two
+//! processes in every order of messages, deaths, attempts and timeouts up to a bound.
 //!
-//! Modelled around the real state machine: the service lock (released by a death), the link as two queues whose bytes
-//! outlive the death of the side that wrote them, and one idempotency key with what each process knows of it.
+//! The model runs the real state machine. It models the service lock (released when its holder dies), the
+//! link as two queues whose messages outlive the process that wrote them, and one idempotency key with each
+//! process's knowledge of it.
 
 use gaugestand_admission::handover::{Action, Event, Handover, Role};
 use gaugestand_admission::time::{Micros, Timestamp};
@@ -11,36 +12,36 @@
 
 const PREDECESSOR: usize = 0;
 const SUCCESSOR: usize = 1;
-/// The model's clock counts steps of this length.
+/// The time that one step of the model's clock stands for.
 const STEP: Micros = Micros::millis(700);
-/// Steps of the clock that are explored: enough for each timeout to pass twice.
+/// How many steps of the clock are explored: enough for each timeout to pass twice.
 const MAX_STEPS: u8 = 6;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Message {
-    /// The key ran.
+    /// The idempotency key ran.
     Ran,
     KeysComplete,
-    /// With the number of generation marks on the lock.
+    /// The whole state was sent; carries the number of generation marks on the lock.
     StateComplete(u8),
     TakenOver,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// None once the process is dead or has exited.
+    /// The state machine of each process; `None` after the process has died or exited.
     machines: [Option<Handover>; 2],
     lock_holder: Option<usize>,
     generation_marks: u8,
-    /// The number of marks that the predecessor sent with its state.
+    /// The number of generation marks that the predecessor sent with its state.
     received_marks: u8,
-    /// What is on its way to each process.
+    /// The messages on their way to each process, oldest first.
     inbox: [VecDeque<Message>; 2],
     /// Whether each process still has its end of the link.
     linked: [bool; 2],
-    /// The process knows that the key ran.
+    /// Whether each process knows that the key ran.
     knows_key: [bool; 2],
-    /// The process accepts no first attempts, as it may not know all keys.
+    /// Whether each process refuses first attempts, as it may not know all keys.
     refuses_keys: [bool; 2],
     keys_complete: bool,
     runs: u8,
@@ -50,26 +51,26 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// The predecessor has sent all keys.
+    /// The predecessor sends the rest of its keys and states that they are complete.
     CompleteKeys,
     /// A process reads the next message.
     Receive(usize),
-    /// A process sees the end of the link, after everything that was written to it.
-    SeeEndOfLink(usize),
+    /// A process detects that the link is closed, after it has read everything that was written to the link.
+    DetectClosedLink(usize),
     Terminate,
     Kill(usize),
-    /// An attempt with the key reaches a process.
+    /// An attempt with the idempotency key reaches a process.
     Attempt(usize),
-    /// What the predecessor sent last is damaged on the way.
+    /// All unread messages of the predecessor are damaged on the way.
     Damage,
-    /// The successor, which has no link, searches for the predecessor and finds nobody.
-    SearchInVain,
+    /// The successor, which has no link, searches for the predecessor and finds none.
+    FindNoPredecessor,
     /// Time passes, and each process checks its timeouts.
     Tick,
 }
 
 struct TwoProcesses {
-    /// An injected defect: keys are replicated after the command that runs them.
+    /// Injects a defect: keys are replicated after the command that runs them.
     replicates_late: bool,
 }
 
@@ -78,11 +79,11 @@
         let now = Timestamp(u64::from(self.clock) * STEP.0);
         let Some(machine) = &mut self.machines[process] else { return };
         for action in machine.on_event(now, event) {
-            self.carry_out(process, action);
+            self.execute(process, action);
         }
     }
 
-    fn carry_out(&mut self, process: usize, action: Action) {
+    fn execute(&mut self, process: usize, action: Action) {
         let other = 1 - process;
         match action {
             Action::HandOver => {
@@ -120,9 +121,9 @@
             return self.deliver(process, Event::LockUnavailable);
         }
         self.lock_holder = Some(process);
-        let is_outdated =
+        let is_state_outdated =
             self.has_role(process, Role::TakingOver) && self.received_marks != self.generation_marks;
-        self.deliver(process, if is_outdated { Event::StateOutdated } else { Event::LockAcquired });
+        self.deliver(process, if is_state_outdated { Event::StateOutdated } else { Event::LockAcquired });
     }
 
     fn die(&mut self, process: usize) {
@@ -203,7 +204,7 @@
                 steps.push(Step::Receive(process));
             }
             if state.inbox[process].is_empty() && state.linked[process] && !state.linked[1 - process] {
-                steps.push(Step::SeeEndOfLink(process));
+                steps.push(Step::DetectClosedLink(process));
             }
             steps.push(Step::Kill(process));
             if state.is_active(process) {
@@ -213,13 +214,13 @@
         if predecessor == Some(Role::Predecessor) || predecessor == Some(Role::Alone) && !state.drained {
             steps.push(Step::Terminate);
         }
-        let waits_with_keys = state.has_role(SUCCESSOR, Role::Successor { keys_complete: true });
-        if state.linked[SUCCESSOR] && waits_with_keys && !state.inbox[SUCCESSOR].is_empty() {
+        let is_waiting_with_keys = state.has_role(SUCCESSOR, Role::Successor { keys_complete: true });
+        if state.linked[SUCCESSOR] && is_waiting_with_keys && !state.inbox[SUCCESSOR].is_empty() {
             steps.push(Step::Damage);
         }
-        let waits_without_keys = state.has_role(SUCCESSOR, Role::Successor { keys_complete: false });
-        if !state.linked[SUCCESSOR] && state.machines[PREDECESSOR].is_none() && waits_without_keys {
-            steps.push(Step::SearchInVain);
+        let is_waiting_without_keys = state.has_role(SUCCESSOR, Role::Successor { keys_complete: false });
+        if !state.linked[SUCCESSOR] && state.machines[PREDECESSOR].is_none() && is_waiting_without_keys {
+            steps.push(Step::FindNoPredecessor);
         }
         if state.clock < MAX_STEPS {
             steps.push(Step::Tick);
@@ -237,7 +238,7 @@
                 state.keys_complete = true;
             }
             Step::Receive(process) => state.receive(process)?,
-            Step::SeeEndOfLink(process) => {
+            Step::DetectClosedLink(process) => {
                 state.linked[process] = false;
                 state.deliver(process, Event::Unlinked);
             }
@@ -245,7 +246,7 @@
                 state.inbox[SUCCESSOR].clear();
                 state.deliver(SUCCESSOR, Event::Unreadable);
             }
-            Step::SearchInVain => state.deliver(SUCCESSOR, Event::Unlinked),
+            Step::FindNoPredecessor => state.deliver(SUCCESSOR, Event::Unlinked),
             Step::Terminate => state.deliver(PREDECESSOR, Event::Terminate),
             Step::Kill(process) => state.die(process),
             Step::Attempt(process) => state.attempt(process, self.replicates_late),
@@ -265,23 +266,29 @@
                     .into_iter()
                     .all(|process| !state.is_active(process) || state.lock_holder == Some(process))
             }),
-            Property::always("a key runs once", |_, state: &State| state.runs <= 1),
-            Property::always("a process that hands over does not drain", |_, state: &State| {
+            Property::always("a key runs at most once", |_, state: &State| state.runs <= 1),
+            Property::always("a process does not drain while its successor is active", |_, state: &State| {
                 !(state.drained && state.is_active(SUCCESSOR) && state.machines[PREDECESSOR].is_some())
             }),
             Property::sometimes("the successor takes over", |_, state: &State| {
                 state.has_role(SUCCESSOR, Role::Alone) && state.has_role(PREDECESSOR, Role::Retired)
             }),
-            Property::sometimes("the predecessor resumes as its successor dies", |_, state: &State| {
-                state.has_role(PREDECESSOR, Role::Alone)
-                    && state.drained
-                    && state.machines[SUCCESSOR].is_none()
-            }),
-            Property::sometimes("the predecessor resumes as its successor gives way", |_, state: &State| {
-                let searches = state.has_role(SUCCESSOR, Role::Successor { keys_complete: false });
-                state.has_role(PREDECESSOR, Role::Alone) && state.drained && searches
-            }),
-            Property::sometimes("the successor serves as the predecessor dies", |_, state: &State| {
+            Property::sometimes(
+                "the predecessor resumes service after its successor has died",
+                |_, state: &State| {
+                    state.has_role(PREDECESSOR, Role::Alone)
+                        && state.drained
+                        && state.machines[SUCCESSOR].is_none()
+                },
+            ),
+            Property::sometimes(
+                "the predecessor resumes service while its successor searches again",
+                |_, state: &State| {
+                    let is_searching = state.has_role(SUCCESSOR, Role::Successor { keys_complete: false });
+                    state.has_role(PREDECESSOR, Role::Alone) && state.drained && is_searching
+                },
+            ),
+            Property::sometimes("the successor serves after the predecessor has died", |_, state: &State| {
                 state.has_role(SUCCESSOR, Role::Alone)
                     && state.machines[PREDECESSOR].is_none()
                     && state.runs == 1
@@ -291,28 +298,29 @@
     }
 }
 
-// An operator replaces the process, and either process dies, stalls or sends damaged bytes at the worst moment. Two
-// active processes would run a keyed request twice.
+// An operator replaces the process, and at any moment either process dies or stalls, or its messages are
+// damaged. Two active processes could run a request with an idempotency key twice.
 #[test]
-fn one_process_is_active_and_a_key_runs_once_whichever_process_dies_when() {
+fn at_most_one_process_is_active_and_a_key_runs_at_most_once_in_every_order_of_events() {
     let checker = TwoProcesses { replicates_late: false }.checker().spawn_bfs().join();
     checker.assert_properties();
-    assert!(checker.unique_state_count() > 300, "{}", checker.unique_state_count());
+    assert!(checker.unique_state_count() > 300, "unique states: {}", checker.unique_state_count());
 }
 
-// The check can fail: with this defect a key runs in the predecessor, which dies, and again in the successor.
+// Proves that the model check above can fail: with this defect a key runs in the predecessor, which dies, and
+// again in the successor.
 #[test]
-fn a_key_that_is_replicated_late_runs_twice() {
+fn the_model_check_finds_the_second_run_of_a_key_that_is_replicated_late() {
     let checker = TwoProcesses { replicates_late: true }.checker().spawn_bfs().join();
-    assert!(checker.discovery("a key runs once").is_some());
+    assert!(checker.discovery("a key runs at most once").is_some());
 }
 
 fn ms(ms: u64) -> Timestamp {
     Timestamp::millis(ms)
 }
 
-// The successor stalls after the state was sent. The predecessor must not take the lock back while the successor may still
-// act on the state, nor leave callers without a process for longer than a second.
+// The successor stalls after the state was sent. The predecessor must not reclaim the lock while the
+// successor may still act on the state, nor leave callers without an active process for longer than a second.
 #[test]
 fn a_predecessor_reclaims_the_lock_one_second_after_it_sent_its_state() {
     let mut machine = Handover::active();
@@ -321,7 +329,7 @@
     assert_eq!(machine.next_wakeup(), Some(ms(1_100)));
     assert_eq!(machine.on_event(ms(1_099), Event::Tick), []);
     assert_eq!(machine.on_event(ms(1_100), Event::Tick), [Action::AcquireLock]);
-    // The successor has the lock: it gets another second to confirm.
+    // The successor holds the lock: it gets another second to confirm.
     assert_eq!(machine.on_event(ms(1_100), Event::LockUnavailable), []);
     assert_eq!(machine.next_wakeup(), Some(ms(2_100)));
     assert_eq!(machine.on_event(ms(2_100), Event::Tick), [Action::AcquireLock]);
@@ -331,25 +339,27 @@
     assert!(machine.is_active());
 }
 
-// The successor dies with the lock, which the system releases a moment later; or a third process has taken it over.
+// The successor dies while it holds the lock, which the operating system releases a moment later; or a third
+// process has acquired the lock.
 #[test]
-fn a_predecessor_that_lost_its_successor_tries_the_lock_each_5_ms_until_2_s_after_it_sent_its_state() {
+fn a_predecessor_that_lost_its_successor_tries_the_lock_every_5_ms_until_2_s_after_it_sent_its_state() {
     let mut machine = Handover::active();
     machine.on_event(ms(0), Event::Linked);
     machine.on_event(ms(0), Event::Terminate);
     assert_eq!(machine.on_event(ms(500), Event::Unlinked), [Action::AcquireLock]);
     for now in (505..2_000).step_by(5) {
         assert_eq!(machine.on_event(ms(now - 1), Event::LockUnavailable), []);
-        assert_eq!(machine.on_event(ms(now - 1), Event::Tick), [], "{now}");
-        assert_eq!(machine.on_event(ms(now), Event::Tick), [Action::AcquireLock], "{now}");
+        assert_eq!(machine.on_event(ms(now - 1), Event::Tick), [], "{now} ms");
+        assert_eq!(machine.on_event(ms(now), Event::Tick), [Action::AcquireLock], "{now} ms");
     }
     assert_eq!(machine.on_event(ms(1_999), Event::LockUnavailable), []);
     assert_eq!(machine.on_event(ms(2_000), Event::LockUnavailable), [Action::Retire, Action::Exit]);
 }
 
-// The link breaks while the predecessor lives, or dies and keeps the lock for a moment.
+// The link breaks while the predecessor is alive; or the predecessor dies and its lock is released a moment
+// later.
 #[test]
-fn a_successor_that_lost_its_predecessor_tries_the_lock_each_5_ms_for_1_s_and_then_searches_again() {
+fn a_successor_that_lost_its_predecessor_tries_the_lock_every_5_ms_for_1_s_and_then_searches_again() {
     for keys_complete in [false, true] {
         let lost = || {
             let mut machine = Handover::successor();
@@ -362,20 +372,21 @@
         let mut machine = lost();
         for now in (105..1_100).step_by(5) {
             assert_eq!(machine.on_event(ms(now - 1), Event::LockUnavailable), []);
-            assert_eq!(machine.on_event(ms(now - 1), Event::Tick), [], "{now}");
-            assert_eq!(machine.on_event(ms(now), Event::Tick), [Action::AcquireLock], "{now}");
+            assert_eq!(machine.on_event(ms(now - 1), Event::Tick), [], "{now} ms");
+            assert_eq!(machine.on_event(ms(now), Event::Tick), [Action::AcquireLock], "{now} ms");
         }
         assert_eq!(machine.on_event(ms(1_099), Event::LockUnavailable), []);
         assert_eq!(machine.on_event(ms(1_100), Event::LockUnavailable), [Action::SearchAgain]);
         assert_eq!(machine.role(), Role::Successor { keys_complete: false });
-        // Where the lock is released in time, it serves with the keys that it has.
+        // If the lock is released in time, the successor serves with the keys that it has received.
         assert_eq!(lost().on_event(ms(200), Event::LockAcquired), [Action::Serve { keys_complete }]);
     }
 }
 
-// The predecessor reclaimed the lock, ran more, and died, before the successor acts on its state: what ran is unknown here.
+// The predecessor reclaimed the lock, ran further requests and died before the successor acted on its state.
+// The successor does not know what ran.
 #[test]
-fn a_successor_with_an_outdated_state_serves_without_it_and_admits_no_unknown_keys() {
+fn a_successor_with_outdated_state_serves_without_it_as_one_that_may_lack_keys() {
     let mut machine = Handover::successor();
     machine.on_event(ms(0), Event::KeysComplete);
     assert_eq!(machine.on_event(ms(10), Event::StateComplete), [Action::AcquireLock]);
@@ -384,9 +395,10 @@
     assert!(machine.is_active());
 }
 
-// A third process is started by mistake: each role that has a partner refuses it, and is not disturbed.
+// A third process is started by mistake. Each role that is linked to another process must refuse the link and
+// must not change.
 #[test]
-fn every_role_but_an_active_process_without_a_partner_refuses_a_link() {
+fn every_role_except_alone_refuses_a_link() {
     let mut predecessor = Handover::active();
     assert_eq!(predecessor.on_event(ms(0), Event::Linked), [Action::Replicate]);
     let mut handing_over = predecessor;
@@ -414,7 +426,7 @@
     ];
     for mut machine in roles {
         let role = machine.role();
-        assert_eq!(machine.on_event(ms(2), Event::Linked), [Action::RefuseLink], "{role:?}");
+        assert_eq!(machine.on_event(ms(2), Event::Linked), [Action::RefuseLink], "role {role:?}");
         assert_eq!(machine.role(), role);
     }
 }
