--- a/crates/idempotency/src/postgres/mod.rs
+++ b/crates/idempotency/src/postgres/mod.rs
@@ -372,8 +372,8 @@
                 let row = decode_row(&columns)?;
                 last_key.clone_from(&row.key);
                 *page_rows += 1;
-                recovery.found += 1;
-                if recovery.found as usize > self.max_rows {
+                recovery.row_count += 1;
+                if recovery.row_count as usize > self.max_rows {
                     recovery.rows = Vec::new();
                 } else {
                     recovery.rows.push(row);
--- a/crates/idempotency/src/postgres/startup.rs
+++ b/crates/idempotency/src/postgres/startup.rs
@@ -92,7 +92,7 @@
         page_rows: usize,
         last_key: String,
     ) -> Result<Option<Event>, SessionError> {
-        let has_too_many = recovery.found as usize > self.max_rows;
+        let has_too_many = recovery.row_count as usize > self.max_rows;
         if page_rows == PAGE_ROWS && !has_too_many {
             self.load_page(recovery, last_key)?;
             return Ok(None);
--- a/crates/idempotency/src/row.rs
+++ b/crates/idempotency/src/row.rs
@@ -188,7 +188,7 @@
     /// All rows of this node's name.
     pub rows: Vec<Row>,
     /// How many there are; more than `rows` holds if they were over the bound.
-    pub found: u64,
+    pub row_count: u64,
     /// Counts the incarnations of this node's name, this one among them.
     pub epoch: u64,
 }
--- a/crates/idempotency/src/sqlite/mod.rs
+++ b/crates/idempotency/src/sqlite/mod.rs
@@ -119,9 +119,9 @@
     /// # Errors
     /// The rows cannot be read. Without them a retry could run a second time, so the node must not serve.
     pub fn recover(&self, path: &Path, max_rows: usize) -> Result<Recovery, OpenError> {
-        let (rows, found) =
+        let (rows, row_count) =
             self.read_rows(max_rows).map_err(|error| STORE_OF_RECORD.open_error(path, &error))?;
-        Ok(Recovery { rows, found, epoch: self.epoch })
+        Ok(Recovery { rows, row_count, epoch: self.epoch })
     }
 
     fn read_rows(&self, max_rows: usize) -> rusqlite::Result<(Vec<Row>, u64)> {
--- a/crates/idempotency/src/table/durability.rs
+++ b/crates/idempotency/src/table/durability.rs
@@ -279,7 +279,7 @@
         durability.epoch = found.epoch;
         let window = durability.limits.window;
         let max_entries = durability.limits.entries;
-        let is_whole = found.found <= found.rows.len() as u64 && found.rows.len() <= max_entries;
+        let is_whole = found.row_count <= found.rows.len() as u64 && found.rows.len() <= max_entries;
         // Guards against a second run of a key that there was no room to remember.
         let bind_until = now.plus(window).mono.plus(LATE_READ_GRACE);
         durability.unread_rows_bind_until = Some(bind_until).filter(|_| !is_whole);
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -138,7 +138,7 @@
         self.epoch += 1;
         self.engine = engine();
         let rows: Vec<Row> = self.store.values().cloned().collect();
-        let found = Recovery { found: rows.len() as u64, rows, epoch: self.epoch };
+        let found = Recovery { row_count: rows.len() as u64, rows, epoch: self.epoch };
         self.engine.idempotency().load(self.now, found);
         let mut out = Vec::new();
         self.engine.on_event(self.now, EngineEvent::BackendStarted { cold: false, age: Micros(0) }, &mut out);
--- a/crates/idempotency/tests/stored_forms.rs
+++ b/crates/idempotency/tests/stored_forms.rs
@@ -123,7 +123,7 @@
     assert_eq!(sorted(seen), sorted(rows()));
     let mut store = Sqlite::open(&path, &Options::default()).expect("opened");
     let recovery = store.recover(&path, 100).expect("read");
-    assert_eq!((sorted(recovery.rows), recovery.found, recovery.epoch), (sorted(rows()), 6, 2));
+    assert_eq!((sorted(recovery.rows), recovery.row_count, recovery.epoch), (sorted(rows()), 6, 2));
     let asked = store.execute(&Work::Lookup(vec!["done".into(), "open".into(), "unknown".into()]));
     assert_eq!(asked, Outcome::Rows(vec![rows()[1].clone(), rows()[0].clone()]));
     assert_eq!(store.prune(PAST).expect("removed"), 2);
--- a/crates/idempotency/tests/stores.rs
+++ b/crates/idempotency/tests/stores.rs
@@ -131,7 +131,7 @@
         let mut store = Sqlite::open(&folder.file(), &Options::default()).expect("a store");
         let found = store.recover(&folder.file(), 10).expect("rows");
         assert_eq!(
-            (found.epoch, found.found, found.rows.len() as u64),
+            (found.epoch, found.row_count, found.rows.len() as u64),
             (incarnation, incarnation - 1, incarnation - 1)
         );
         assert_eq!(
@@ -140,19 +140,19 @@
         );
         // More rows than there is room for: their number alone.
         let found = store.recover(&folder.file(), 0).expect("rows");
-        assert_eq!((found.found, found.rows.len()), (incarnation, 0));
+        assert_eq!((found.row_count, found.rows.len()), (incarnation, 0));
     }
     let server = Postgres::start("pw").expect("it listens");
     for incarnation in 1..4u64 {
         let (mut client, found) =
             BlockingClient::take_name(server.address(), login("pw"), 2).expect("a login");
-        assert_eq!((found.epoch, found.found), (incarnation, incarnation - 1));
+        assert_eq!((found.epoch, found.row_count), (incarnation, incarnation - 1));
         assert_eq!(found.rows.len() as u64, if incarnation < 4 { incarnation - 1 } else { 0 });
         let work = Work::Commit(vec![put(&format!("k{incarnation}"), incarnation, good(b"r"))]);
         assert_eq!(client.execute(&Batch { number: 1, work }).expect("sound"), Outcome::Done);
     }
     let (_, found) = BlockingClient::take_name(server.address(), login("pw"), 2).expect("a login");
-    assert_eq!((found.found, found.rows.len()), (3, 0));
+    assert_eq!((found.row_count, found.rows.len()), (3, 0));
 }
 
 #[test]
@@ -165,7 +165,7 @@
     let (_, found) = BlockingClient::take_name(server.address(), login("pw"), 10_000).expect("a login");
     assert_eq!(found.rows.len(), 2_500);
     let other = Login { node: "n4".into(), ..login("pw") };
-    assert_eq!(BlockingClient::take_name(server.address(), other, 10_000).expect("a login").1.found, 0);
+    assert_eq!(BlockingClient::take_name(server.address(), other, 10_000).expect("a login").1.row_count, 0);
     // Looking at rows takes no name.
     assert_eq!(BlockingClient::read_only(server.address(), login("pw")).expect("a login").1.len(), 2_500);
 }
@@ -266,7 +266,7 @@
         assert!(made < 100, "the file has no bound");
     };
     assert_eq!(cause, Cause::Full);
-    assert_eq!(store.recover(&folder.file(), 100).expect("rows").found, made);
+    assert_eq!(store.recover(&folder.file(), 100).expect("rows").row_count, made);
     // Removing rows needs no room, and makes some.
     let remove = (0..3).map(|i| Write::Remove { key: format!("k{i}"), sequence: 100 }).collect();
     assert_eq!(store.execute(&Work::Commit(remove)), Outcome::Done);
--- a/crates/idempotency/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -27,8 +27,8 @@
 impl Harness {
     fn new(limits: Limits, rows: Vec<Row>) -> Self {
         let mut harness = Harness { key_table: KeyTable::durable(limits, 3), now: start() };
-        let found = rows.len() as u64;
-        harness.key_table.load(harness.now, Recovery { rows, found, epoch: 1 });
+        let row_count = rows.len() as u64;
+        harness.key_table.load(harness.now, Recovery { rows, row_count, epoch: 1 });
         harness
     }
 
@@ -133,7 +133,7 @@
                 vec![row("good", 1, RowState::Completed(b"r".to_vec())), row("doubt", 2, RowState::Intent)];
             let mut harness = Harness { key_table: KeyTable::durable(limits(), 3), now: start() };
             harness.now.wall = UnixTime(harness.now.wall.0.saturating_add_signed(set * 1000));
-            harness.key_table.load(harness.now, Recovery { rows, found: 2, epoch: 2 });
+            harness.key_table.load(harness.now, Recovery { rows, row_count: 2, epoch: 2 });
             assert_eq!(harness.key_table.metrics().in_doubt, 1);
             harness.advance(ms);
             // A clock that was set back a day has the row's own end far ahead: longer, not shorter.
@@ -159,7 +159,7 @@
 #[test]
 fn more_rows_than_the_limit_close_the_table_until_none_of_them_can_bind() {
     let mut harness = Harness { key_table: KeyTable::durable(limits(), 3), now: start() };
-    harness.key_table.load(harness.now, Recovery { rows: vec![], found: 200_000, epoch: 2 });
+    harness.key_table.load(harness.now, Recovery { rows: vec![], row_count: 200_000, epoch: 2 });
     for (ms, open) in [(0, false), (29_000, false), (15_000, true)] {
         harness.advance(ms);
         harness.settled();
--- a/crates/node/src/idempotency_store/mod.rs
+++ b/crates/node/src/idempotency_store/mod.rs
@@ -202,7 +202,7 @@
 ) -> Result<S::Worker, StartError> {
     let began = system.moment().mono;
     let (worker, found) = system.store(path, options, max_rows, key)?;
-    let rows = found.found;
+    let rows = found.row_count;
     let epoch = found.epoch;
     key_table.load(now, found);
     log_recovered(rows, epoch, key_table, system.moment().mono.since(began));
--- a/crates/node/src/idempotency_store/postgres_link.rs
+++ b/crates/node/src/idempotency_store/postgres_link.rs
@@ -123,7 +123,7 @@
                 self.epoch = self.session.as_ref().and_then(Session::epoch);
                 self.last_error = None;
                 if let Some(found) = found {
-                    let rows = found.found;
+                    let rows = found.row_count;
                     let epoch = found.epoch;
                     key_table.load(now, found);
                     log_recovered(rows, epoch, key_table, now.mono.since(since));
