--- a/crates/idempotency/src/table/durability.rs
+++ b/crates/idempotency/src/table/durability.rs
@@ -1,11 +1,12 @@
-//! Durability: the writes that the store is to make, in order, one batch at a time.
+//! The queue of writes to the idempotency store. Writes are sent in order, one batch at a time.
 //!
-//! Guarantees: writes of one key are made in the order in which they were queued; an answer to any batch but the one in
-//! flight is passed over; a batch of which it is not known whether it was made is looked up in the store, key by key,
-//! before anything else is written; while the breaker is open no run begins, and an attempt whose intent is not known to
-//! be durable is settled as one that never ran.
+//! Guarantees: the writes of one key are made in the order in which they were queued; an outcome of any batch
+//! but the one in flight is ignored; after a batch with an unknown outcome, the rows of its keys are looked
+//! up in the store before anything else is written; while the circuit breaker is open no run begins, and an
+//! attempt whose intent is not known to be durable is settled as one that never ran.
 //!
-//! It does not bound how long a write takes: the breaker opens when the oldest one is older than the stall limit.
+//! The duration of a write is not bounded: the breaker opens when the oldest write is older than the stall
+//! limit.
 
 use super::circuit_breaker::{BreakerState, CircuitBreaker, MIN_PROBE_INTERVAL};
 use super::state::{Entry, Phase};
@@ -19,28 +20,30 @@
 use std::mem;
 use std::rc::Rc;
 
-/// Least number of removals that go along with other writes; else as many as those. As many rows as are made can so be
-/// removed, and no commit more than doubles.
+/// Minimum for the limit on removals that are added to a batch of other writes; the limit is otherwise the
+/// number of those writes. Rows are thus removed as fast as they are added, and a larger batch at most
+/// doubles.
 const MIN_REMOVALS: usize = 16;
-/// Writes in a batch while the breaker is open: one shows whether the store works again.
+/// Number of writes in a batch while the breaker is open: one shows whether the store works again.
 const PROBE_BATCH: usize = 1;
-/// The epoch stands above this many bits of a sequence number; 2^40 runs in one incarnation would take centuries.
+/// Low bits of a sequence number, which count the runs of one incarnation; the epoch stands above them. 2^40
+/// runs in one incarnation would take centuries.
 const SEQUENCE_BITS: u32 = 40;
 
-/// A write and the time since which it waits.
+/// A write that is not known to be durable, and the time at which it was queued.
 #[derive(Debug)]
 struct PendingWrite {
     since: Timestamp,
     write: Write,
 }
 
-/// The batch that the store has.
+/// The batch that was sent to the store and has no outcome yet.
 #[derive(Debug)]
 struct InFlight {
     number: u64,
     since: Timestamp,
     writes: Vec<PendingWrite>,
-    /// The rows of the writes' keys are looked up; nothing is written.
+    /// Whether the batch only looks up the rows of the writes' keys, and writes nothing.
     is_lookup: bool,
 }
 
@@ -50,31 +53,32 @@
     }
 }
 
-/// The part of a table that has a store behind it.
+/// The part of a key table that decides what is written to the store, and when.
 #[derive(Debug)]
 pub(super) struct Durability {
     pub(super) limits: Limits,
-    /// What an earlier incarnation left has been read.
+    /// Whether the rows of earlier incarnations have been loaded.
     is_loaded: bool,
     is_connected: bool,
-    /// No first attempt before this: there were more rows than there is room for, and any of them may bind.
-    unread_rows_bind_until: Option<Timestamp>,
-    /// Number of this incarnation.
+    /// First attempts are rejected before this time: the store held more rows than fit in the table, and the
+    /// keys of those that were not loaded may be in their window.
+    reject_new_keys_until: Option<Timestamp>,
+    /// Number of this incarnation of the node, as the store counts them.
     epoch: u64,
-    /// Intents of this incarnation so far.
+    /// Number of intents that this incarnation has queued.
     intents: u64,
-    /// In the order in which they are to be made.
+    /// Writes that have not been sent, in the order in which they are to be made.
     queue: VecDeque<PendingWrite>,
-    /// Rows that are past their window.
+    /// Removals of rows whose window is over; they are sent when a batch has room for them.
     removals: VecDeque<Write>,
     in_flight: Option<InFlight>,
-    /// Writes of which it isn't known whether they were made; looked up before anything else is written.
+    /// Writes of a batch whose outcome is unknown; their keys are looked up before anything else is written.
     unconfirmed: Vec<PendingWrite>,
     breaker: CircuitBreaker,
-    /// When a batch was last durable.
+    /// When a batch last became durable; zero before the first.
     last_commit: Timestamp,
-    /// Number of the last batch.
-    batches: u64,
+    /// Number of the last batch that was sent; zero before the first.
+    last_batch: u64,
 }
 
 impl Durability {
@@ -83,7 +87,7 @@
             limits,
             is_loaded: false,
             is_connected: false,
-            unread_rows_bind_until: None,
+            reject_new_keys_until: None,
             epoch: 0,
             intents: 0,
             queue: VecDeque::new(),
@@ -92,7 +96,7 @@
             unconfirmed: Vec::new(),
             breaker: CircuitBreaker::new(seed),
             last_commit: Timestamp(0),
-            batches: 0,
+            last_batch: 0,
         }
     }
 
@@ -104,27 +108,27 @@
         self.breaker.state()
     }
 
-    /// Whether a run may begin.
-    pub(super) fn takes_intents(&self) -> bool {
+    /// Whether intents can be queued, so that runs can begin.
+    pub(super) fn accepts_intents(&self) -> bool {
         self.breaker.is_closed()
     }
 
-    /// Writes that wait or are in flight.
+    /// The number of writes that wait or are in flight.
     pub(super) fn writes(&self) -> usize {
         let in_flight = self.in_flight.as_ref().map_or(0, |batch| batch.writes.len());
         self.queue.len() + self.unconfirmed.len() + in_flight
     }
 
-    /// Rows that wait to be removed.
+    /// The number of rows that wait to be removed.
     pub(super) fn removals(&self) -> usize {
         self.removals.len()
     }
 
-    /// Whether a first attempt can be taken, as far as the store and its queue are concerned.
+    /// Whether the state of the store and of the queue allows one more first attempt.
     pub(super) fn has_room(&self) -> bool {
         self.breaker.is_closed()
             && self.is_loaded
-            && self.unread_rows_bind_until.is_none()
+            && self.reject_new_keys_until.is_none()
             && self.writes() < self.limits.waiting
     }
 
@@ -132,37 +136,38 @@
         self.queue.push_back(PendingWrite { since: now, write });
     }
 
-    /// Queues the removal of a row that nothing depends on any more; it goes when there is room for it.
+    /// Queues the removal of a row that nothing depends on any more. It is sent when a batch has room for it.
     pub(super) fn push_removal(&mut self, write: Write) {
         self.removals.push_back(write);
     }
 
-    /// A sequence number later than all of this and of earlier incarnations.
+    /// Returns a sequence number greater than all others of this and of earlier incarnations.
     pub(super) fn next_sequence(&mut self) -> u64 {
         self.intents += 1;
         (self.epoch << SEQUENCE_BITS) | self.intents
     }
 
-    /// How long an attempt that cannot be taken now should stay away.
+    /// Retry-after for an attempt that cannot be accepted now.
     pub(super) fn retry_after(&self, now: Timestamp) -> Micros {
-        let rows_bind = self.unread_rows_bind_until.map_or(Micros(0), |until| until.since(now));
+        let until_keys_accepted = self.reject_new_keys_until.map_or(Micros(0), |until| until.since(now));
         let probe = if self.breaker.is_closed() {
             Micros(0)
         } else {
             self.breaker.retry_at().since(now).max(MIN_PROBE_INTERVAL)
         };
-        // One probe more, since the next one may fail as well.
-        rows_bind.max(Micros(2 * probe.0)).max(MIN_RETRY_AFTER)
+        // Twice the wait for the next probe, since that probe may fail as well.
+        until_keys_accepted.max(Micros(2 * probe.0)).max(MIN_RETRY_AFTER)
     }
 
-    /// Forgets that unread rows bind once none of them can, and returns whether the store has stalled.
-    fn check(&mut self, now: Timestamp) -> bool {
-        self.unread_rows_bind_until = self.unread_rows_bind_until.filter(|until| now < *until);
-        let is_late = |since: Timestamp| now.since(since) >= self.limits.stall;
-        self.oldest_write().is_some_and(is_late) && self.breaker.is_closed()
+    /// Lets new keys in again once `reject_new_keys_until` has passed, and returns whether the store has just
+    /// stalled.
+    fn update_stall(&mut self, now: Timestamp) -> bool {
+        self.reject_new_keys_until = self.reject_new_keys_until.filter(|until| now < *until);
+        let is_overdue = |since: Timestamp| now.since(since) >= self.limits.stall;
+        self.oldest_write().is_some_and(is_overdue) && self.breaker.is_closed()
     }
 
-    /// When to look again although nothing happens: for a stall, or to retry or probe.
+    /// When the table must act although no event arrives: to detect a stall, and to retry or probe the store.
     pub(super) fn next_due(&self) -> [Option<Timestamp>; 2] {
         let oldest = self.oldest_write().filter(|_| self.breaker.is_closed());
         let stall = oldest.map(|since| since.plus(self.limits.stall));
@@ -171,7 +176,8 @@
         [stall, Some(self.breaker.retry_at()).filter(|_| may_send)]
     }
 
-    /// Since when the oldest write waits with nothing getting done: a long queue is no stall while batches come through.
+    /// The time since which the oldest write has waited without any commit: a long queue is no stall while
+    /// batches become durable.
     fn oldest_write(&self) -> Option<Timestamp> {
         let queued = self.queue.front().map(|pending| pending.since);
         let unconfirmed = self.unconfirmed.first().map(|pending| pending.since);
@@ -180,8 +186,8 @@
         Some(oldest.max(self.last_commit))
     }
 
-    /// Takes the next batch, unless one is in flight or the store is not to be tried yet. An intent that is not
-    /// `is_current` was withdrawn before it was ever sent, and need not be made.
+    /// Takes the next batch, unless one is in flight or the store must not be tried yet. An intent for which
+    /// `is_current` is false was withdrawn before it was sent, and is left out.
     fn next_batch(&mut self, now: Timestamp, is_current: impl Fn(&Row) -> bool) -> Option<Batch> {
         let may_send = self.is_loaded && self.is_connected && self.in_flight.is_none();
         if !may_send || now < self.breaker.retry_at() {
@@ -199,13 +205,14 @@
         } else {
             Work::Commit(writes.iter().map(|pending| pending.write.clone()).collect())
         };
-        self.batches += 1;
-        let number = self.batches;
+        self.last_batch += 1;
+        let number = self.last_batch;
         self.in_flight = Some(InFlight { number, since: now, writes, is_lookup });
         Some(Batch { number, work })
     }
 
-    /// The writes of the next commit: those that are queued, and removals beside them; a probe if there is nothing else.
+    /// Takes the writes of the next commit: queued writes, and removals beside them. While the breaker is
+    /// open, it takes one queued write, or a probe if none is queued.
     fn next_commit(&mut self, now: Timestamp, is_current: impl Fn(&Row) -> bool) -> Vec<PendingWrite> {
         let is_closed = self.breaker.is_closed();
         let max = if is_closed { self.limits.batch } else { PROBE_BATCH };
@@ -225,23 +232,23 @@
         let mut writes = Vec::new();
         while writes.len() < max {
             let Some(pending) = self.queue.pop_front() else { break };
-            let is_live = match &pending.write {
+            let is_needed = match &pending.write {
                 Write::Put(row) if row.state == RowState::Intent => is_current(row),
                 _ => true,
             };
-            if is_live {
+            if is_needed {
                 writes.push(pending);
             }
         }
         writes
     }
 
-    /// Puts writes back to the front of the queue, in their order.
+    /// Puts writes back at the front of the queue, in their order.
     fn requeue(&mut self, writes: impl DoubleEndedIterator<Item = PendingWrite>) {
         writes.rev().for_each(|pending| self.queue.push_front(pending));
     }
 
-    /// Takes back what was not made, or may not have been.
+    /// Keeps the writes of a failed batch: for a lookup if they may have been made, else for another try.
     fn take_back(&mut self, batch: InFlight, is_unconfirmed: bool) {
         if is_unconfirmed || batch.is_lookup {
             self.unconfirmed = batch.writes;
@@ -250,40 +257,43 @@
         }
     }
 
-    /// Writes that the store may have made already, or may make yet.
-    fn sent(&self) -> impl Iterator<Item = &Write> {
+    /// Writes that were sent and whose outcome is not known: the store may have made them, or may still make
+    /// them.
+    fn sent_writes(&self) -> impl Iterator<Item = &Write> {
         let in_flight = self.in_flight.iter().flat_map(|batch| &batch.writes);
         self.unconfirmed.iter().chain(in_flight).map(|pending| &pending.write)
     }
 
     /// The intents that are not known to be durable, by key and sequence number.
-    fn open_intents(&self) -> Vec<(String, u64)> {
+    fn pending_intents(&self) -> Vec<(String, u64)> {
         let intent = |write: &Write| match write {
             Write::Put(row) if row.state == RowState::Intent => Some((row.key.clone(), row.sequence)),
             _ => None,
         };
-        self.queue.iter().map(|pending| &pending.write).chain(self.sent()).filter_map(intent).collect()
+        self.queue.iter().map(|pending| &pending.write).chain(self.sent_writes()).filter_map(intent).collect()
     }
 }
 
 impl KeyTable {
-    /// Takes in what an earlier incarnation of this node left. Each row binds for a whole window from now on: how long
-    /// ago it was made cannot be known by a clock that may have been set meanwhile.
-    pub fn load(&mut self, now: Moment, found: Recovery) {
+    /// Loads the rows that earlier incarnations of this node left in the store; only the first call has an
+    /// effect. Each row is kept for a whole window from now on: its age cannot be told by the wall clock,
+    /// which may have been set since.
+    pub fn load(&mut self, now: Moment, recovery: Recovery) {
         let Some(durability) = &mut self.durability else { return };
         if durability.is_loaded {
             return;
         }
         durability.is_loaded = true;
         durability.is_connected = true;
-        durability.epoch = found.epoch;
+        durability.epoch = recovery.epoch;
         let window = durability.limits.window;
         let max_entries = durability.limits.entries;
-        let is_whole = found.row_count <= found.rows.len() as u64 && found.rows.len() <= max_entries;
-        // Guards against a second run of a key that there was no room to remember.
-        let bind_until = now.plus(window).mono.plus(LATE_READ_GRACE);
-        durability.unread_rows_bind_until = Some(bind_until).filter(|_| !is_whole);
-        for row in found.rows.into_iter().take(max_entries) {
+        let is_complete =
+            recovery.row_count <= recovery.rows.len() as u64 && recovery.rows.len() <= max_entries;
+        // Guards against a second run of a key whose row was not loaded for want of room.
+        let reject_until = now.plus(window).mono.plus(LATE_READ_GRACE);
+        durability.reject_new_keys_until = Some(reject_until).filter(|_| !is_complete);
+        for row in recovery.rows.into_iter().take(max_entries) {
             self.load_row(now, window, row);
         }
     }
@@ -297,7 +307,7 @@
             RowState::Completed(result) => Phase::Completed(result.into()),
             RowState::Failed => Phase::Failed,
         };
-        // The window that it was made with may have been longer than today's.
+        // The row may have been written with a longer window than the present one.
         let window = window.max(row.expires.since(row.ingress));
         let whole_window = now.plus(window);
         let wall = whole_window.wall.max(row.expires);
@@ -315,7 +325,8 @@
         self.insert(key, entry);
     }
 
-    /// The connection to the store is up or down. What was in flight on it ends with [`KeyTable::on_outcome`].
+    /// Reports that the connection to the store has come up or gone down. A batch that was in flight on it
+    /// ends with [`KeyTable::on_outcome`].
     pub fn on_link(&mut self, now: Timestamp, is_up: bool) {
         let Some(durability) = &mut self.durability else { return };
         durability.is_connected = is_up;
@@ -326,7 +337,7 @@
         }
     }
 
-    /// The next batch for the store, if there is any and the one before is over.
+    /// Takes the next batch for the store, if there is work and no batch is in flight.
     pub fn next_batch(&mut self, now: Timestamp) -> Option<Batch> {
         let keys = &self.keys;
         let is_current =
@@ -334,7 +345,7 @@
         self.durability.as_mut()?.next_batch(now, is_current)
     }
 
-    /// How a batch ended. An answer to any but the one in flight is passed over.
+    /// Reports how a batch ended. The outcome of any batch but the one in flight is ignored.
     pub fn on_outcome(&mut self, now: Timestamp, number: u64, outcome: Outcome) {
         let Some(durability) = &mut self.durability else { return };
         let Some(batch) = durability.in_flight.take_if(|batch| batch.number == number) else { return };
@@ -347,14 +358,15 @@
                 batch.writes.into_iter().for_each(|pending| self.on_durable(pending.write));
             }
             Outcome::Rows(rows) if batch.is_lookup => self.on_looked_up(batch.writes, &rows),
-            // An answer that is none to what was asked proves as little as a broken link.
+            // An outcome of the wrong kind proves as little as a broken connection.
             Outcome::Done | Outcome::Rows(_) => self.on_failed(now, batch, Cause::Other, true),
             Outcome::NotDone(cause) => self.on_failed(now, batch, cause, false),
             Outcome::Unknown(cause) => self.on_failed(now, batch, cause, true),
         }
     }
 
-    /// The rows show which writes were made; the others are made again, before all else.
+    /// Handles the rows that a lookup found. They show which writes were made; the others are sent again
+    /// before all else.
     fn on_looked_up(&mut self, writes: Vec<PendingWrite>, rows: &[Row]) {
         let Some(durability) = &mut self.durability else { return };
         let rows: HashMap<&str, &Row> = rows.iter().map(|row| (row.key.as_str(), row)).collect();
@@ -362,9 +374,9 @@
             let row = pending.write.key().and_then(|key| rows.get(key).copied());
             pending.write.is_written(row)
         };
-        let (made, missing): (Vec<_>, Vec<_>) = writes.into_iter().partition(is_written);
-        durability.requeue(missing.into_iter());
-        made.into_iter().for_each(|pending| self.on_durable(pending.write));
+        let (written, unwritten): (Vec<_>, Vec<_>) = writes.into_iter().partition(is_written);
+        durability.requeue(unwritten.into_iter());
+        written.into_iter().for_each(|pending| self.on_durable(pending.write));
     }
 
     fn on_failed(&mut self, now: Timestamp, batch: InFlight, cause: Cause, is_unconfirmed: bool) {
@@ -382,21 +394,22 @@
     }
 
     /// Opens the breaker if the oldest write has waited for too long.
-    pub(super) fn check_store(&mut self, now: Timestamp) {
-        let has_stalled = self.durability.as_mut().is_some_and(|durability| durability.check(now));
+    pub(super) fn check_for_stall(&mut self, now: Timestamp) {
+        let has_stalled = self.durability.as_mut().is_some_and(|durability| durability.update_stall(now));
         if has_stalled {
             self.open_breaker(now, Cause::Stalled);
         }
     }
 
-    /// The store is given up for now: no run that waits for its intent will begin.
+    /// Opens the circuit breaker, unless it is open. Attempts whose intents are not known to be durable are
+    /// settled as ones that never ran.
     fn open_breaker(&mut self, now: Timestamp, cause: Cause) {
         let Some(durability) = &mut self.durability else { return };
         if !durability.breaker.open(now, cause) {
             return;
         }
         self.metrics.opened += 1;
-        let intents = durability.open_intents();
+        let intents = durability.pending_intents();
         let retry_after = durability.retry_after(now);
         for (key, sequence) in intents {
             if self.keys.get(key.as_str()).is_some_and(|entry| entry.awaits_intent(sequence))
@@ -407,31 +420,32 @@
         }
     }
 
-    /// Settles an attempt whose intent cannot be written as one that never ran, with the repeats that wait for it.
+    /// Settles an attempt whose intent cannot be written as one that never ran, with the repeats that wait
+    /// for it.
     pub(super) fn settle_unwritten(&mut self, entry: Entry, retry_after: Micros) {
         self.metrics.rejected += 1;
         self.settled.push(Settlement::IntentFailed(entry.holder, entry.waiters, retry_after));
     }
 
-    /// Takes back an intent that is not known to be durable: nothing of the key is remembered, and its row, if it may
-    /// have been made or be made yet, is removed after it.
+    /// Withdraws an intent that is not known to be durable, and removes the entry of its key. If the intent
+    /// was sent, its row may be made, so the removal of that row is queued behind it.
     pub(super) fn withdraw(&mut self, now: Timestamp, key: &str) -> Option<Entry> {
         let entry = self.remove(key)?;
         if let Some(durability) = &mut self.durability {
             let is_intent =
                 |write: &Write| matches!(write, Write::Put(row) if row.sequence == entry.sequence);
-            if durability.sent().any(is_intent) {
+            if durability.sent_writes().any(is_intent) {
                 durability.push(now, Write::Remove { key: key.to_string(), sequence: entry.sequence });
             }
         }
         Some(entry)
     }
 
-    /// A write is durable: a run may begin, or its result be shown.
+    /// Handles a write that has become durable: its run may begin, or its result may be sent.
     fn on_durable(&mut self, write: Write) {
         let Write::Put(row) = write else { return };
         let Some(entry) = self.keys.get_mut(row.key.as_str()) else { return };
-        // Guards against an answer to what was withdrawn, or replaced after its window.
+        // Guards against a write whose entry was withdrawn, or replaced after its window.
         if entry.sequence != row.sequence {
             return;
         }
--- a/crates/idempotency/src/table/expiry.rs
+++ b/crates/idempotency/src/table/expiry.rs
@@ -1,35 +1,38 @@
-//! Expiry: entries are dropped some time after their deduplication window, and their rows are removed from the store.
+//! Expiry: entries are dropped some time after the end of their deduplication window, and their rows are
+//! removed from the store.
 //!
-//! An entry whose run is not over stays, however long that takes. A clock that was set back makes entries stay longer,
-//! never shorter, since the monotonic clock decides here.
+//! An entry whose run is not over stays, however long the run takes. The monotonic clock alone decides when
+//! an entry is dropped, so a wall clock that was set back can make the entry apply longer, never shorter.
 
 use super::{KeyTable, LATE_READ_GRACE};
 use crate::row::Write;
 use gaugestand_admission::time::{Micros, Timestamp};
 
-/// Most entries looked at in one sweep, so that no iteration of the event loop is long. Twenty sweeps a second drop
-/// more entries than a node can take in.
-const MAX_SWEPT: usize = 2_000;
+/// Maximum number of entries that one sweep examines, so that no iteration of the event loop takes long.
+/// Twenty sweeps a second drop more entries than a node can take in.
+const MAX_SWEEP_ENTRIES: usize = 2_000;
 /// Shortest time between two sweeps.
 const SWEEP_INTERVAL: Micros = Micros::millis(50);
 
 impl KeyTable {
-    /// When the next sweep has something to look at.
+    /// When the next sweep has an entry to examine; `None` if there is no entry.
     pub(super) fn next_sweep_due(&self) -> Option<Timestamp> {
         self.expiry.front().map(|(due, _)| (*due).max(self.next_sweep))
     }
 
-    /// Drops entries that are past their window.
+    /// Drops entries whose window and late-read grace are over. Does nothing within `SWEEP_INTERVAL` of the
+    /// last sweep.
     pub(super) fn sweep(&mut self, now: Timestamp) {
         if now < self.next_sweep {
             return;
         }
         self.next_sweep = now.plus(SWEEP_INTERVAL);
-        for _ in 0..MAX_SWEPT {
+        for _ in 0..MAX_SWEEP_ENTRIES {
             let Some((_, key)) = self.expiry.pop_front_if(|(due, _)| *due <= now) else { break };
             let Some(entry) = self.keys.get(&key) else { continue };
             let end = entry.expires.mono.plus(LATE_READ_GRACE);
-            // One that is open outlasts its window; it is looked at again a while later.
+            // An entry stays while its run is open or after its window was extended; it is examined again
+            // later.
             if entry.is_open() || end > now {
                 self.expiry.push_back((end.max(now.plus(LATE_READ_GRACE)), key));
                 continue;
--- a/crates/idempotency/src/table/mod.rs
+++ b/crates/idempotency/src/table/mod.rs
@@ -1,21 +1,25 @@
-//! The table of idempotency keys: which attempt of a key may run, what its repeats get, and what must be durable before
-//! a run begins or an answer goes out.
+//! The table of idempotency keys. It decides which attempt of a key may run, what repeats of that attempt
+//! get, and what must be durable before a run begins or an answer is sent.
 //!
-//! It guarantees, whatever a store does and in whatever order things happen:
+//! Guarantees, whatever the idempotency store does and in whatever order events arrive:
 //!
-//! - at most one run of a key in its window, over any number of restarts;
-//! - no result is shown before it is durable, and none is shown that another body's run made;
-//! - an attempt whose intent could not be written is settled as one that never ran, and it never will;
-//! - nothing is dropped: what has no room is rejected when it comes.
+//! - at most one run of a key within its deduplication window, over any number of restarts;
+//! - no result is sent before it is durable, and no result is sent to an attempt whose body differs from that
+//!   of the run;
+//! - an attempt whose intent could not be written is settled as one that never ran, and it does not run
+//!   later;
+//! - no entry is evicted to make room: an attempt whose key does not fit is rejected on arrival.
 //!
-//! It does not guarantee that a result can be shown: one whose write does not come through by the deadline of its
-//! attempts is not, and a run of which only the intent is known after a restart counts as failed.
+//! Not guaranteed: that a result can be sent. A result that does not become durable by the deadline of an
+//! attempt is not sent to that attempt, and a run of which only the intent is found after a restart counts as
+//! failed.
 //!
-//! The decision table *event × state → outcome* that this follows row by row is in `docs/design/record.md`. Time comes
-//! with each call, randomness from a seed; it owns no socket, file or thread.
+//! The code follows the decision table *event × state → outcome* in `docs/design/record.md` row by row. Each
+//! call passes the time, and a seed determines the random jitter; the table owns no socket, file or thread.
 //!
-//! `state` is one key; `durability` the writes for the store, with its `circuit_breaker`; `expiry` drops what is
-//! past its window; `replication` copies the table to the process that takes the node over.
+//! Modules: `state` holds the state of one key; `durability` queues the writes for the idempotency store,
+//! behind the `circuit_breaker`; `expiry` drops entries whose window is over; `replication` copies the table
+//! to the successor process.
 
 mod circuit_breaker;
 mod durability;
@@ -39,32 +43,34 @@
 use std::mem;
 use std::rc::Rc;
 
-/// How long after its window an entry is kept, for attempts that reached the machine before its end and are read after.
+/// Time for which an entry is kept after the end of its window, for attempts that reached the machine within
+/// the window and are read after it.
 const LATE_READ_GRACE: Micros = Micros::millis(10_000);
-/// Memory that an entry takes besides its key and its result: the table's slot, the entry and its expiry, in bytes.
-/// Measured at a million entries: 477 with a key of 32 bytes and a result of 100.
+/// Memory of an entry besides its key and its result, in bytes: the slot in the hash map, the entry itself
+/// and its place in the expiry queue. In a table of a million entries, one with a key of 32 bytes and a
+/// result of 100 takes 477.
 const ENTRY_BYTES: usize = 350;
-/// The longest result that the protocol knows, in bytes.
+/// Longest result that the protocol allows, in bytes.
 const MAX_RESULT_BYTES: usize = 4096;
-/// Shortest time that a caller is asked to stay away when there is no room: two of the shortest probe intervals.
+/// Shortest retry-after for an attempt that cannot be accepted: two of the shortest probe intervals.
 const MIN_RETRY_AFTER: Micros = Micros::millis(200);
-/// Length of the key of the fingerprints, in bytes.
+/// Length of the secret for the fingerprints of bodies, in bytes.
 const SECRET_BYTES: usize = 32;
 
-/// Bounds of a table with a store.
+/// Limits of a key table that is backed by a store. The node's settings determine them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Most keys in the table, with rows that wait to be removed.
+    /// Maximum number of keys in the table plus rows that wait to be removed from the store.
     pub entries: usize,
-    /// Most memory that the table takes, in bytes.
+    /// Maximum memory of the entries, in bytes.
     pub bytes: usize,
-    /// Most writes that wait.
+    /// Maximum number of writes that wait or are in flight. At this number, first attempts are rejected.
     pub waiting: usize,
-    /// Most writes in one batch, without the removals that go along.
+    /// Maximum number of writes in one batch, not counting the removals that are added to them.
     pub batch: usize,
-    /// A write older than this means that the store has stalled.
+    /// Age of the oldest pending write at which the store counts as stalled.
     pub stall: Micros,
-    /// The longest deduplication window of any class.
+    /// Longest deduplication window of any class.
     pub window: Micros,
 }
 
@@ -81,53 +87,57 @@
     }
 }
 
-/// Metrics of a table, for counters and logs.
+/// Metrics of a key table, for the node's counters and log lines. The last six count since the table was
+/// created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableMetrics {
     /// Keys in the table.
     pub entries: usize,
-    /// Memory that they take, in bytes.
+    /// Memory of the entries, in bytes.
     pub bytes: usize,
-    /// Writes that wait or are in flight.
+    /// Writes to the store that wait or are in flight.
     pub writes: usize,
-    /// Rows that wait to be removed.
+    /// Rows that wait to be removed from the store.
     pub removals: usize,
-    /// Batches that were durable.
+    /// Batches that became durable.
     pub commits: u64,
-    /// Writes in them.
+    /// Writes in the batches that became durable.
     pub committed: u64,
-    /// Batches that failed or proved nothing.
+    /// Batches that failed or have an unknown outcome.
     pub failures: u64,
-    /// Times that the breaker opened.
+    /// Number of times that the circuit breaker opened.
     pub opened: u64,
-    /// First attempts rejected for want of room or of a working store.
+    /// Attempts rejected because a limit was reached, the store did not work, or the keys of an earlier
+    /// process were not all known.
     pub rejected: u64,
-    /// Runs found at the start of which only the intent is known.
+    /// Runs of earlier incarnations of which only the intent was found at the start.
     pub in_doubt: u64,
 }
 
-/// The table; see the module's page.
+/// The table of idempotency keys; the [module documentation](self) says what it guarantees.
 #[derive(Debug)]
 pub struct KeyTable {
     keys: HashMap<Rc<str>, Entry>,
-    /// Keys by the time at which they are to be looked at, roughly in order.
+    /// Keys with the time at which a sweep is to examine them, roughly in ascending order of that time.
     expiry: VecDeque<(Timestamp, Rc<str>)>,
     next_sweep: Timestamp,
-    /// Key of the fingerprints where nothing survives a restart; drawn anew for each node, so that nobody can make two
-    /// bodies look alike, and the same in all processes that follow each other.
+    /// Secret that keys the fingerprints of a table without a store. It is random for each node, so that
+    /// nobody can construct two bodies with equal fingerprints, and a successor takes it over from its
+    /// predecessor.
     secret: [u8; SECRET_BYTES],
     replication: Option<ReplicationQueue>,
-    /// No first attempt before this: keys may bind that a predecessor did not replicate.
-    missing_keys_bind_until: Option<Timestamp>,
+    /// First attempts are rejected before this time: keys that a lost predecessor did not replicate may be in
+    /// their window.
+    reject_new_keys_until: Option<Timestamp>,
     settled: Vec<Settlement>,
     durability: Option<Durability>,
-    /// Most memory that the table takes where there is no store, in bytes.
+    /// Maximum memory of a table without a store, in bytes.
     max_bytes: usize,
     metrics: TableMetrics,
 }
 
 impl KeyTable {
-    /// A table that forgets with the process, as a node without a store has it.
+    /// Creates a table without a store, whose entries are kept in memory only.
     pub fn volatile() -> Self {
         KeyTable {
             keys: HashMap::new(),
@@ -135,7 +145,7 @@
             next_sweep: Timestamp(0),
             secret: random_secret(),
             replication: None,
-            missing_keys_bind_until: None,
+            reject_new_keys_until: None,
             settled: Vec::new(),
             durability: None,
             max_bytes: usize::MAX,
@@ -143,35 +153,38 @@
         }
     }
 
-    /// A table with a store behind it, which takes no key before [`KeyTable::load`]. `seed` is for the jitter of probes.
+    /// Creates a table that is backed by a store. It accepts no key before [`KeyTable::load`]. `seed`
+    /// determines the jitter of the circuit breaker's probes.
     pub fn durable(limits: Limits, seed: u64) -> Self {
         KeyTable { durability: Some(Durability::new(limits, seed)), ..KeyTable::volatile() }
     }
 
-    /// Without a store: first attempts are taken while the table, with one more result of the longest kind, takes so many
-    /// bytes at most. Guards the process's memory where a window holds more results than fit in it.
+    /// Sets the memory limit of a table without a store: first attempts are accepted only while the entries
+    /// and one more result of maximum length take at most this many bytes. Guards the process's memory where
+    /// a window holds more results than fit in it.
     pub fn set_max_bytes(&mut self, bytes: usize) {
         self.max_bytes = bytes;
     }
 
-    /// Other bounds from now on; what is over them already stays.
+    /// Replaces the limits of a table that is backed by a store. Entries and writes that exceed the new
+    /// limits stay.
     pub fn set_limits(&mut self, limits: Limits) {
         if let Some(durability) = &mut self.durability {
             durability.limits = limits;
         }
     }
 
-    /// Whether there is a store.
+    /// Whether the table is backed by a store.
     pub fn is_durable(&self) -> bool {
         self.durability.is_some()
     }
 
-    /// Whether the store is given writes; closed if there is none.
+    /// The state of the circuit breaker in front of the store; closed if there is no store.
     pub fn breaker_state(&self) -> BreakerState {
         self.durability.as_ref().map_or(BreakerState::Closed, Durability::breaker_state)
     }
 
-    /// Its metrics as they are now.
+    /// The present metrics of the table.
     pub fn metrics(&self) -> TableMetrics {
         let durability = self.durability.as_ref();
         TableMetrics {
@@ -182,25 +195,26 @@
         }
     }
 
-    /// Puts an entry under its key, where there was none, and counts its memory.
+    /// Inserts an entry under a key that has none, and counts the memory of the entry.
     fn insert(&mut self, key: Rc<str>, entry: Entry) {
         self.metrics.bytes += entry.bytes(&key);
         self.keys.insert(key, entry);
     }
 
-    /// Forgets a key, with the memory that it took. What is to become of its row is the caller's to say.
+    /// Removes the entry of a key and no longer counts its memory. The row of the key in the store is left to
+    /// the calling function.
     fn remove(&mut self, key: &str) -> Option<Entry> {
         let entry = self.keys.remove(key)?;
         self.metrics.bytes = self.metrics.bytes.saturating_sub(entry.bytes(key));
         Some(entry)
     }
 
-    /// How long an attempt that cannot be taken now should stay away.
+    /// Retry-after for an attempt that cannot be accepted now.
     fn retry_after(&self, now: Timestamp) -> Micros {
         if let Some(durability) = &self.durability {
             return durability.retry_after(now);
         }
-        // There is room when the next window is over.
+        // The next entry that expires makes room.
         let next_expiry = self.expiry.front().map_or(Micros(0), |(due, _)| due.since(now));
         next_expiry.max(MIN_RETRY_AFTER)
     }
@@ -214,7 +228,7 @@
     }
 }
 
-/// Random bytes, as the system gives them to each process.
+/// Random bytes that differ in each process, made with the random keys of the standard library's hasher.
 fn random_secret() -> [u8; SECRET_BYTES] {
     let mut secret = [0; SECRET_BYTES];
     for (i, eight_bytes) in secret.chunks_exact_mut(8).enumerate() {
@@ -225,26 +239,27 @@
 
 impl IdempotencyTable for KeyTable {
     fn fingerprint(&self, body: &[u8]) -> u128 {
-        // The same after a restart where there is a store.
+        // With a store, the fingerprint of a body must be the same after a restart, so no secret goes into
+        // it.
         let hash = match self.durability {
             None => blake3::keyed_hash(&self.secret, body),
             Some(_) => blake3::hash(body),
         };
-        // Half as long as the hash: it takes 2^64 attempts to find two bodies that look alike.
+        // Half of the hash is enough: it takes 2^64 attempts to find two bodies with equal fingerprints.
         let mut fingerprint = [0; 16];
         fingerprint.copy_from_slice(&hash.as_bytes()[..16]);
         u128::from_be_bytes(fingerprint)
     }
 
     fn lookup(&mut self, now: Moment, key: &str, fingerprint: u128, ingress: Moment) -> Lookup {
-        if let Some(entry) = self.keys.get(key).filter(|entry| entry.binds(ingress)) {
-            // Guards against a result that goes to whoever names its key: it is another request's.
+        if let Some(entry) = self.keys.get(key).filter(|entry| entry.covers(ingress)) {
+            // Guards against sending the result of another request to a sender that only names its key.
             if entry.fingerprint != fingerprint {
                 return Lookup::BodyMismatch;
             }
             return Lookup::Original(entry.holder);
         }
-        if let Some(until) = self.missing_keys_bind_until.filter(|until| now.mono < *until) {
+        if let Some(until) = self.reject_new_keys_until.filter(|until| now.mono < *until) {
             self.metrics.rejected += 1;
             return Lookup::Unavailable(until.since(now.mono));
         }
@@ -256,7 +271,7 @@
     }
 
     fn contains(&self, key: &str, ingress: Moment) -> bool {
-        self.keys.get(key).is_some_and(|entry| entry.binds(ingress))
+        self.keys.get(key).is_some_and(|entry| entry.covers(ingress))
     }
 
     fn reserve(&mut self, key: &Rc<str>, id: RequestId, fingerprint: u128, until: Moment) -> Vec<RequestId> {
@@ -290,13 +305,14 @@
             entry.phase = Phase::Running;
             return RunPermit::Granted;
         };
-        if durability.takes_intents() {
+        if durability.accepts_intents() {
             entry.sequence = durability.next_sequence();
             entry.phase = Phase::IntentPending;
             durability.push(now.mono, Write::Put(entry.row(key, RowState::Intent)));
             return RunPermit::Pending;
         }
-        // It was taken before the breaker opened, and is settled as those whose intents waited then.
+        // The attempt was accepted before the breaker opened. It is settled like those whose intents were
+        // pending at that time.
         let retry_after = durability.retry_after(now.mono);
         if let Some(entry) = self.remove(key) {
             self.settle_unwritten(entry, retry_after);
@@ -317,18 +333,24 @@
         }
     }
 
-    fn complete_run(&mut self, now: Moment, key: &Rc<str>, id: RequestId, end: RunResult) -> Completion {
+    fn complete_run(
+        &mut self,
+        now: Moment,
+        key: &Rc<str>,
+        id: RequestId,
+        run_result: RunResult,
+    ) -> Completion {
         self.mark_changed(key);
         let is_run = |entry: &&Entry| entry.holder == id && entry.phase == Phase::Running;
         if self.keys.get(key).filter(is_run).is_none() {
-            return self.end_without_entry(end);
+            return self.end_without_entry(run_result);
         }
-        match end {
+        match run_result {
             RunResult::NeverRan => self.end_never_ran(now.mono, key),
             RunResult::Succeeded(result) => self.end_with_result(now.mono, key, result),
             RunResult::NoResult => {
-                self.push_end(now.mono, key, RowState::Failed);
-                Completion::Settled(self.set_ended(key, Phase::Failed), None)
+                self.push_final_row(now.mono, key, RowState::Failed);
+                Completion::Settled(self.set_final_phase(key, Phase::Failed), None)
             }
         }
     }
@@ -337,7 +359,7 @@
         self.mark_changed(key);
         let Some(entry) = self.keys.get_mut(key) else { return Released::default() };
         if entry.holder != id {
-            entry.waiters.retain(|waiters| *waiters != id);
+            entry.waiters.retain(|waiter| *waiter != id);
             return Released::default();
         }
         match entry.phase {
@@ -355,10 +377,10 @@
         }
     }
 
-    fn drain_settled(&mut self, now: Moment, out: &mut Vec<Settlement>) {
+    fn drain_settled(&mut self, now: Moment, settlements: &mut Vec<Settlement>) {
         self.sweep(now.mono);
-        self.check_store(now.mono);
-        out.append(&mut self.settled);
+        self.check_for_stall(now.mono);
+        settlements.append(&mut self.settled);
     }
 
     fn is_ready(&self) -> bool {
@@ -371,18 +393,19 @@
     }
 }
 
-/// The ways in which a run ends.
+/// Handling of the end of a run.
 impl KeyTable {
-    /// The window of the run is over and another attempt has the key; with no store its own result still holds.
-    fn end_without_entry(&self, end: RunResult) -> Completion {
-        let result = match end {
+    /// Ends a run that no longer holds its key, as its window is over and the entry was dropped or replaced.
+    /// Without a store, the result still answers the attempt that ran.
+    fn end_without_entry(&self, run_result: RunResult) -> Completion {
+        let result = match run_result {
             RunResult::Succeeded(result) if self.durability.is_none() => Some(result),
             RunResult::Succeeded(_) | RunResult::NoResult | RunResult::NeverRan => None,
         };
         Completion::Settled(Vec::new(), result)
     }
 
-    /// Nothing is remembered of a run that never began, and its intent is removed.
+    /// Removes the entry of a run that never began, and queues the removal of its intent.
     fn end_never_ran(&mut self, now: Timestamp, key: &Rc<str>) -> Completion {
         let Some(entry) = self.remove(key) else { return Completion::Settled(Vec::new(), None) };
         if let Some(durability) = &mut self.durability {
@@ -391,25 +414,26 @@
         Completion::Settled(entry.waiters, None)
     }
 
-    /// With a store, the result may be shown once it is durable; without one, at once.
+    /// Ends a run that has a result. With a store, the result may be sent once it is durable; without one, at
+    /// once.
     fn end_with_result(&mut self, now: Timestamp, key: &Rc<str>, result: Rc<[u8]>) -> Completion {
         if self.durability.is_none() {
-            let waiters = self.set_ended(key, Phase::Completed(result.clone()));
+            let waiters = self.set_final_phase(key, Phase::Completed(result.clone()));
             return Completion::Settled(waiters, Some(result));
         }
-        self.push_end(now, key, RowState::Completed(result.to_vec()));
+        self.push_final_row(now, key, RowState::Completed(result.to_vec()));
         self.set_phase(key, Phase::ResultPending(result));
         Completion::AwaitingDurable
     }
 
-    /// Queues the row of a run that is over, if there is a store.
-    fn push_end(&mut self, now: Timestamp, key: &Rc<str>, state: RowState) {
+    /// Queues the row with the final state of a run, if there is a store.
+    fn push_final_row(&mut self, now: Timestamp, key: &Rc<str>, state: RowState) {
         if let (Some(durability), Some(entry)) = (&mut self.durability, self.keys.get(key)) {
             durability.push(now, Write::Put(entry.row(key, state)));
         }
     }
 
-    /// Sets the phase of an entry, with the memory that it takes.
+    /// Sets the phase of an entry, and updates the counted memory.
     fn set_phase(&mut self, key: &Rc<str>, phase: Phase) -> Option<&mut Entry> {
         let entry = self.keys.get_mut(key)?;
         self.metrics.bytes += entry_bytes(key, &phase) - entry.bytes(key);
@@ -417,8 +441,8 @@
         Some(entry)
     }
 
-    /// Sets the last phase of an entry, and returns the repeats that waited for it.
-    fn set_ended(&mut self, key: &Rc<str>, phase: Phase) -> Vec<RequestId> {
+    /// Sets the final phase of an entry, and returns the repeats that waited for the result.
+    fn set_final_phase(&mut self, key: &Rc<str>, phase: Phase) -> Vec<RequestId> {
         self.set_phase(key, phase).map(|entry| mem::take(&mut entry.waiters)).unwrap_or_default()
     }
 }
--- a/crates/idempotency/src/table/replication.rs
+++ b/crates/idempotency/src/table/replication.rs
@@ -1,8 +1,9 @@
-//! Replication of the table to the process that takes this node over.
+//! Replication of the key table to the successor process that takes over the node.
 //!
-//! Both processes run on one machine and have no store. The predecessor queues each key that changes and sends it as it
-//! is then, so that a key that changes often is sent once; the successor applies entries in the order in which they come.
-//! The serialised names are those of the hand-over protocol, which two versions of the program may speak to each other.
+//! Both processes run on one machine and have no store. The predecessor queues each key that changes and
+//! sends the state that the key has when it is sent, so that a key that changes often is sent once; the
+//! successor applies entries in the order in which they arrive. The serialised names are those of the
+//! hand-over protocol, which may connect two versions of the program.
 
 use super::state::{Entry, Phase};
 use super::{KeyTable, LATE_READ_GRACE};
@@ -13,11 +14,11 @@
 use std::collections::{HashSet, VecDeque};
 use std::rc::Rc;
 
-/// One key as it is in the other process.
+/// The state of one key in the predecessor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedEntry {
     key: String,
-    /// Nothing if the key is no longer remembered.
+    /// `None` if the predecessor has no entry for the key any more.
     #[serde(rename = "known")]
     state: Option<ReplicatedState>,
 }
@@ -36,7 +37,7 @@
     waiters: Vec<RequestId>,
 }
 
-/// A [`Phase`] without the steps that only a store has.
+/// A [`Phase`] without the variants that only a table with a store has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum ReplicatedPhase {
     #[serde(rename = "Held")]
@@ -102,16 +103,16 @@
 #[derive(Debug, Default)]
 pub(super) struct ReplicationQueue {
     order: VecDeque<Rc<str>>,
-    members: HashSet<Rc<str>>,
+    queued: HashSet<Rc<str>>,
 }
 
 impl ReplicationQueue {
     fn push(&mut self, key: &str) {
-        if self.members.contains(key) {
+        if self.queued.contains(key) {
             return;
         }
         let key: Rc<str> = key.into();
-        self.members.insert(key.clone());
+        self.queued.insert(key.clone());
         self.order.push_back(key);
     }
 
@@ -119,28 +120,29 @@
         let count = max.min(self.order.len());
         let keys: Vec<Rc<str>> = self.order.drain(..count).collect();
         for key in &keys {
-            self.members.remove(key);
+            self.queued.remove(key);
         }
         keys
     }
 }
 
-/// The side of the predecessor.
+/// Replication on the predecessor's side.
 impl KeyTable {
-    /// Starts to replicate, with all keys there are, or stops.
+    /// Starts replication, beginning with all keys of the table, or stops it.
     pub fn set_replicating(&mut self, on: bool) {
         self.replication = on.then(|| ReplicationQueue {
             order: self.keys.keys().cloned().collect(),
-            members: self.keys.keys().cloned().collect(),
+            queued: self.keys.keys().cloned().collect(),
         });
     }
 
-    /// The key of the fingerprints, which the successor needs to make the same.
+    /// The secret that keys the fingerprints. The successor needs it to compute equal fingerprints.
     pub fn secret(&self) -> [u8; 32] {
         self.secret
     }
 
-    /// Up to `max` keys that have changed, each as it is now; empty once the successor has been sent all.
+    /// Takes up to `max` changed keys, each with its present state. Returns none once all have been taken, or
+    /// while replication is off.
     pub fn take_replicated(&mut self, max: usize) -> Vec<ReplicatedEntry> {
         let Some(queue) = &mut self.replication else { return Vec::new() };
         let replicated = |key: Rc<str>| ReplicatedEntry {
@@ -150,12 +152,12 @@
         queue.pop(max).into_iter().map(replicated).collect()
     }
 
-    /// Whether a key has changed that the successor was not sent.
+    /// Whether any changed key has not been taken for the successor yet.
     pub fn is_replication_behind(&self) -> bool {
         self.replication.as_ref().is_some_and(|queue| !queue.order.is_empty())
     }
 
-    /// Notes that a key changes.
+    /// Queues a key whose entry changes for replication, if replication is on.
     pub(super) fn mark_changed(&mut self, key: &str) {
         if let Some(queue) = &mut self.replication {
             queue.push(key);
@@ -163,9 +165,10 @@
     }
 }
 
-/// The side of the successor.
+/// Replication on the successor's side.
 impl KeyTable {
-    /// Forgets all keys, and is a replica of another process's table from now on.
+    /// Removes all entries and adopts the fingerprint secret of the predecessor, whose table this one
+    /// replicates from now on.
     pub fn begin_replica(&mut self, secret: [u8; 32]) {
         self.keys.clear();
         self.expiry.clear();
@@ -173,7 +176,7 @@
         self.secret = secret;
     }
 
-    /// Puts an entry of the predecessor in place of what was known of its key.
+    /// Replaces the entry of a key, if there is one, with the state that the predecessor sent.
     pub fn apply_replicated(&mut self, replicated: ReplicatedEntry) {
         let key: Rc<str> = replicated.key.into();
         self.remove(&key);
@@ -182,8 +185,9 @@
         self.insert(key, Entry::from(state));
     }
 
-    /// The predecessor ended without handing over. What ran there has no result to show; what was queued there never
-    /// ran. Unless all entries came, no first attempt is taken for as long as a missing one may bind: guards against a
+    /// Handles a predecessor that ended without handing over. A run that was under way there counts as
+    /// failed; an attempt that was queued there never ran. Unless `is_complete` says that all entries were
+    /// received, first attempts are rejected until the `window` of any missing key is over: guards against a
     /// second run of a key that ran there.
     pub fn on_predecessor_lost(&mut self, now: Moment, is_complete: bool, window: Micros) {
         self.keys.retain(|_, entry| entry.phase != Phase::Queued);
@@ -193,7 +197,7 @@
                 entry.phase = Phase::Failed;
             }
         }
-        let bind_until = now.mono.plus(window).plus(LATE_READ_GRACE);
-        self.missing_keys_bind_until = Some(bind_until).filter(|_| !is_complete);
+        let reject_until = now.mono.plus(window).plus(LATE_READ_GRACE);
+        self.reject_new_keys_until = Some(reject_until).filter(|_| !is_complete);
     }
 }
--- a/crates/idempotency/src/table/state.rs
+++ b/crates/idempotency/src/table/state.rs
@@ -7,7 +7,7 @@
 use gaugestand_admission::time::UnixTime;
 use std::rc::Rc;
 
-/// How far the run of a key has come.
+/// The progress of a key, from the arrival of its first attempt to the end of its run.
 #[derive(Debug, PartialEq)]
 pub(super) enum Phase {
     /// The first attempt is in the admission queue; nothing of it is in the store.
@@ -18,9 +18,9 @@
     Running,
     /// The run is over, and this result is being written.
     ResultPending(Rc<[u8]>),
-    /// This result may be shown.
+    /// The run is over, and this result may be sent.
     Completed(Rc<[u8]>),
-    /// It ran, or may have run before a restart, and there is no result.
+    /// The attempt ran, or may have run before a restart, and there is no result.
     Failed,
 }
 
@@ -33,18 +33,20 @@
     }
 }
 
-/// What is remembered of one key.
+/// The state that the table keeps for one key.
 #[derive(Debug)]
 pub(super) struct Entry {
-    /// The attempt that has the key.
+    /// The attempt that holds the key: the only one that may run.
     pub(super) holder: RequestId,
-    /// Fingerprint of its body.
+    /// Fingerprint of the holder's body.
     pub(super) fingerprint: u128,
-    /// Wall clock at which the attempt that ran reached the machine; zero before it is admitted.
+    /// Unix time at which the holder reached the machine; zero until it is admitted.
     pub(super) ingress: UnixTime,
-    /// End of the deduplication window, on both clocks; a repeat binds until both are past it.
+    /// End of the deduplication window, on both clocks; an attempt counts as a repeat until both clocks are
+    /// past it.
     pub(super) expires: Moment,
-    /// Sequence number of the intent, by which the store orders rows of one key; zero before there is one.
+    /// Sequence number of the intent, by which the store orders the rows of one key; zero before there is an
+    /// intent.
     pub(super) sequence: u64,
     pub(super) phase: Phase,
     /// Repeats that wait for the result of the holder.
@@ -52,7 +54,7 @@
 }
 
 impl Entry {
-    /// An entry of an attempt that is still in the admission queue.
+    /// Creates the entry of an attempt that is in the admission queue.
     pub(super) fn queued(holder: RequestId, fingerprint: u128, expires: Moment) -> Self {
         Entry {
             holder,
@@ -65,17 +67,19 @@
         }
     }
 
-    /// Whether its run is still to come or not over, so that the entry must stay after its window.
+    /// Whether the run is still to begin or to end, or its result is not durable yet. The entry then stays
+    /// even after its window.
     pub(super) fn is_open(&self) -> bool {
         !matches!(self.phase, Phase::Completed(_) | Phase::Failed)
     }
 
-    /// Whether it binds an attempt that reached the machine at `ingress`.
-    pub(super) fn binds(&self, ingress: Moment) -> bool {
+    /// Whether an attempt that reached the machine at `ingress` is within the window, so that it counts as a
+    /// repeat.
+    pub(super) fn covers(&self, ingress: Moment) -> bool {
         ingress.is_before(self.expires)
     }
 
-    /// Whether the intent of this sequence number is still to become durable.
+    /// Whether the entry waits for the intent with this sequence number to become durable.
     pub(super) fn awaits_intent(&self, sequence: u64) -> bool {
         self.sequence == sequence && self.phase == Phase::IntentPending
     }
@@ -85,7 +89,7 @@
         entry_bytes(key, &self.phase)
     }
 
-    /// The row that stands for it in the store.
+    /// The row for this entry in the store, with the given state.
     pub(super) fn row(&self, key: &str, state: RowState) -> Row {
         Row {
             key: key.to_string(),
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -1,7 +1,9 @@
-//! The key table itself behind the engine, checked by stateright in every order of crashes, stalls, late successes and
-//! retries up to a bound: a state is the history of steps, replayed through the real code.
+//! Model check of the real key table behind the engine: stateright tries every order of crashes, stalls, late
+//! successes and retries up to a bound. A state is a history of steps, which is replayed through the real
+//! code.
 //!
-//! Bound: three attempts of one key, up to `depth()` steps, two crashes, two stalls, two breaks, one due time passed.
+//! Bound: three attempts of one key, up to `depth()` steps, two crashes, two stalls, two failed batches,
+//! deadlines passed once.
 
 use gaugestand_admission::engine::{Arrival, Engine, EngineCommand, EngineEvent, RunOutcome};
 use gaugestand_admission::time::Moment;
@@ -16,33 +18,36 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
+/// Maximum number of steps in a history unless `GAUGESTAND_MODEL_DEPTH` sets another one.
 const DEPTH: usize = 9;
+/// Maximum number of attempts that arrive in a history.
 const ATTEMPTS: u128 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// An attempt of the key comes; its caller is still there.
+    /// The attempt with this id arrives; its caller waits for the answer.
     Arrive(u128),
-    /// The store makes the batch durable, and its answer gets through.
+    /// The store makes the batch durable, and its answer arrives.
     Commit,
-    /// It makes it durable, and the link breaks before its answer gets through.
-    CommitUnheard,
-    /// The link breaks, and nothing was made.
-    Lost,
-    /// It answers that nothing was made.
-    Refused,
+    /// The store makes the batch durable, and the connection breaks before its answer arrives.
+    CommitWithoutAnswer,
+    /// The connection breaks, and nothing of the batch was done.
+    LoseBatch,
+    /// The store answers that nothing of the batch was done.
+    RejectBatch,
     /// The run ends with a result.
     End,
     /// Time passes, and the store stalls.
     Stall,
-    /// The due times of all that came pass.
-    Due,
-    /// The process is killed and starts again; a batch that is out has been made durable or not.
+    /// Time passes beyond the deadlines of all attempts that have arrived.
+    PassDeadlines,
+    /// The process is killed and restarted. The value says whether the batch in flight, if any, became
+    /// durable.
     Crash(bool),
 }
 
-/// What can be seen from outside, and what may still happen.
-struct World {
+/// The engine, its store and its running attempts, with what an outside observer has seen.
+struct System {
     engine: Engine<KeyTable>,
     now: Moment,
     /// Runs begun in the present incarnation that have not ended.
@@ -50,15 +55,15 @@
     runs: u32,
     result: Option<Rc<[u8]>>,
     store: BTreeMap<String, Row>,
-    out: Option<Batch>,
+    in_flight: Option<Batch>,
     epoch: u64,
     answers: BTreeMap<u128, Vec<&'static str>>,
-    /// Attempts that came in this incarnation and are owed an answer by it.
-    here: Vec<u128>,
+    /// Attempts that arrived in this incarnation, which has to answer them.
+    arrived: Vec<u128>,
     ran: Vec<u128>,
-    faults: Vec<&'static str>,
-    /// Intents are not written, as in a design that records outcomes alone.
-    no_intent: bool,
+    violations: Vec<&'static str>,
+    /// Whether the store drops intents, as in a design that records outcomes alone.
+    omits_intents: bool,
 }
 
 fn settings() -> Settings {
@@ -109,41 +114,41 @@
 
 fn engine() -> Engine<KeyTable> {
     let limits = Limits { window: Micros::millis(29_220), ..Limits::default() };
-    Engine::new(settings(), 1, KeyTable::durable(limits, 1)).expect("sound settings")
+    Engine::new(settings(), 1, KeyTable::durable(limits, 1)).expect("the settings are valid")
 }
 
-impl World {
-    fn new(no_intent: bool) -> Self {
+impl System {
+    fn new(omits_intents: bool) -> Self {
         let now = Moment { mono: Timestamp::millis(3_600_000), wall: UnixTime::millis(1_700_000_000_000) };
-        let mut world = World {
+        let mut system = System {
             engine: engine(),
             now,
             running: vec![],
             runs: 0,
             result: None,
             store: BTreeMap::new(),
-            out: None,
+            in_flight: None,
             epoch: 0,
             answers: BTreeMap::new(),
-            here: vec![],
+            arrived: vec![],
             ran: vec![],
-            faults: vec![],
-            no_intent,
+            violations: vec![],
+            omits_intents,
         };
-        world.start();
-        world
+        system.start();
+        system
     }
 
     fn start(&mut self) {
         self.epoch += 1;
         self.engine = engine();
         let rows: Vec<Row> = self.store.values().cloned().collect();
-        let found = Recovery { row_count: rows.len() as u64, rows, epoch: self.epoch };
-        self.engine.idempotency().load(self.now, found);
+        let recovery = Recovery { row_count: rows.len() as u64, rows, epoch: self.epoch };
+        self.engine.idempotency().load(self.now, recovery);
         let mut out = Vec::new();
         self.engine.on_event(self.now, EngineEvent::BackendStarted { cold: false, age: Micros(0) }, &mut out);
-        self.carry_out(out);
-        self.settle();
+        self.execute_commands(out);
+        self.run_timers();
     }
 
     #[expect(clippy::too_many_lines, reason = "one arm for each step of the model")]
@@ -151,7 +156,7 @@
         let mut out = Vec::new();
         match step {
             Step::Arrive(id) => {
-                self.here.push(id);
+                self.arrived.push(id);
                 let arrival = Arrival {
                     id: RequestId(id),
                     class: 0,
@@ -167,17 +172,18 @@
                     is_retry: false,
                     resource_key: None,
                 };
-                self.engine.admit(self.now, arrival, &mut out).expect("an id and a body that fit");
+                self.engine.admit(self.now, arrival, &mut out).expect("the arrival is accepted");
             }
-            Step::Commit | Step::CommitUnheard | Step::Lost | Step::Refused => {
-                let Some(batch) = self.out.take() else { return };
-                let made = matches!(step, Step::Commit | Step::CommitUnheard);
-                let heard = if made { self.apply(&batch.work) } else { Outcome::NotDone(Cause::Full) };
-                let unheard = matches!(step, Step::CommitUnheard | Step::Lost);
-                let outcome = if unheard { Outcome::Unknown(Cause::Link) } else { heard };
+            Step::Commit | Step::CommitWithoutAnswer | Step::LoseBatch | Step::RejectBatch => {
+                let Some(batch) = self.in_flight.take() else { return };
+                let is_written = matches!(step, Step::Commit | Step::CommitWithoutAnswer);
+                let store_outcome =
+                    if is_written { self.apply(&batch.work) } else { Outcome::NotDone(Cause::Full) };
+                let is_unanswered = matches!(step, Step::CommitWithoutAnswer | Step::LoseBatch);
+                let outcome = if is_unanswered { Outcome::Unknown(Cause::Link) } else { store_outcome };
                 let idempotency = self.engine.idempotency();
                 idempotency.on_outcome(self.now.mono, batch.number, outcome);
-                if unheard {
+                if is_unanswered {
                     idempotency.on_link(self.now.mono, false);
                     idempotency.on_link(self.now.mono, true);
                 }
@@ -193,50 +199,51 @@
                 );
             }
             Step::Stall => self.now = self.now.plus(Micros::millis(300)),
-            Step::Due => self.now = self.now.plus(Micros::millis(2_100)),
-            Step::Crash(made) => {
-                if let (Some(batch), true) = (self.out.take(), made) {
+            Step::PassDeadlines => self.now = self.now.plus(Micros::millis(2_100)),
+            Step::Crash(is_written) => {
+                if let (Some(batch), true) = (self.in_flight.take(), is_written) {
                     self.apply(&batch.work);
                 }
                 self.running.clear();
-                self.here.clear();
+                self.arrived.clear();
                 return self.start();
             }
         }
-        self.carry_out(out);
-        self.settle();
-        if step == Step::Due {
-            // Everything that came in this incarnation is over by now.
+        self.execute_commands(out);
+        self.run_timers();
+        if step == Step::PassDeadlines {
+            // Every attempt that arrived in this incarnation must be answered by now.
             let unanswered = |id: &&u128| self.answers.get(*id).is_none_or(Vec::is_empty);
-            if self.here.iter().any(|id| unanswered(&id)) {
-                self.faults.push("a try was not answered by its due time");
+            if self.arrived.iter().any(|id| unanswered(&id)) {
+                self.violations.push("an attempt was not answered by its deadline");
             }
         }
     }
 
-    /// Lets the engine and the store have their turns.
-    fn settle(&mut self) {
+    /// Runs the engine's timers and hands the next batch to the store, four times, as each round can lead to
+    /// work for the next.
+    fn run_timers(&mut self) {
         for _ in 0..4 {
             let mut out = Vec::new();
             self.engine.on_timer(self.now, &mut out);
-            self.carry_out(out);
-            if self.out.is_none() {
-                self.out = self.engine.idempotency().next_batch(self.now.mono);
+            self.execute_commands(out);
+            if self.in_flight.is_none() {
+                self.in_flight = self.engine.idempotency().next_batch(self.now.mono);
             }
         }
     }
 
-    /// What the store does with work, by the rules that the backends follow.
+    /// Does the work on the modelled store, by the rules that the backends follow.
     fn apply(&mut self, work: &Work) -> Outcome {
         match work {
-            Work::LogRecord(_) => panic!("a key table writes no log"),
+            Work::LogRecord(_) => panic!("a key table must not write a log record"),
             Work::Lookup(keys) => {
                 Outcome::Rows(keys.iter().filter_map(|k| self.store.get(k)).cloned().collect())
             }
             Work::Commit(writes) => {
                 for write in writes {
                     match write {
-                        Write::Put(row) if self.no_intent && row.state == RowState::Intent => {}
+                        Write::Put(row) if self.omits_intents && row.state == RowState::Intent => {}
                         Write::Put(row) => {
                             if self.store.get(&row.key).is_none_or(|old| row.precedence() > old.precedence())
                             {
@@ -256,9 +263,9 @@
         }
     }
 
-    fn carry_out(&mut self, verdicts: Vec<EngineCommand>) {
-        for verdict in verdicts {
-            match verdict {
+    fn execute_commands(&mut self, commands: Vec<EngineCommand>) {
+        for command in commands {
+            match command {
                 EngineCommand::Run(id) => {
                     self.runs += 1;
                     self.ran.push(id.0);
@@ -267,15 +274,15 @@
                 EngineCommand::Serve(id, result) | EngineCommand::Replay(id, result) => {
                     let stored = self.store.get("k").map(|r| r.state.clone());
                     if stored != Some(RowState::Completed(result.to_vec())) {
-                        self.faults.push("a result was shown that is not durable");
+                        self.violations.push("a result was sent that is not durable");
                     }
                     self.answer(id, "served");
                 }
                 EngineCommand::Reject { id, .. } => {
                     if self.ran.contains(&id.0) {
-                        self.faults.push("a try that ran was refused");
+                        self.violations.push("an attempt that ran was rejected");
                     }
-                    self.answer(id, "refused");
+                    self.answer(id, "rejected");
                 }
                 EngineCommand::Fail { id, .. } => self.answer(id, "failed"),
                 EngineCommand::Preempt(id) => self.running.retain(|r| *r != id),
@@ -284,135 +291,144 @@
         }
     }
 
-    fn answer(&mut self, id: RequestId, how: &'static str) {
-        self.answers.entry(id.0).or_default().push(how);
+    fn answer(&mut self, id: RequestId, kind: &'static str) {
+        self.answers.entry(id.0).or_default().push(kind);
     }
 }
 
-/// A history, told apart by what it has led to.
+/// A history of steps; two of equal length are equal if they have led to the same state of the system.
 #[derive(Clone, Debug)]
-struct Path {
+struct History {
     steps: Vec<Step>,
     runs: u32,
     answers: BTreeMap<u128, Vec<&'static str>>,
-    faults: Vec<&'static str>,
-    possible: Vec<Step>,
-    /// All of the world, as text: two histories that lead to the same go on the same.
-    world: u64,
+    violations: Vec<&'static str>,
+    next_steps: Vec<Step>,
+    /// Hash of the whole state as text: two histories that lead to the same state continue alike.
+    state_hash: u64,
 }
 
-impl PartialEq for Path {
+impl PartialEq for History {
     fn eq(&self, other: &Self) -> bool {
-        self.world == other.world && self.steps.len() == other.steps.len()
+        self.state_hash == other.state_hash && self.steps.len() == other.steps.len()
     }
 }
 
-impl Hash for Path {
+impl Hash for History {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        (self.world, self.steps.len()).hash(state);
+        (self.state_hash, self.steps.len()).hash(state);
     }
 }
 
-struct Checked {
-    no_intent: bool,
+struct TableModel {
+    omits_intents: bool,
     depth: usize,
 }
 
-impl Checked {
-    fn replay(&self, steps: Vec<Step>) -> Path {
-        let mut world = World::new(self.no_intent);
-        steps.iter().for_each(|s| world.step(*s));
+impl TableModel {
+    fn replay(&self, steps: Vec<Step>) -> History {
+        let mut system = System::new(self.omits_intents);
+        steps.iter().for_each(|s| system.step(*s));
         let count = |of: fn(&Step) -> bool| steps.iter().filter(|s| of(s)).count();
-        let mut possible = Vec::new();
+        let mut next_steps = Vec::new();
         let next = count(|s| matches!(s, Step::Arrive(_))) as u128 + 1;
-        possible.extend((next <= ATTEMPTS).then_some(Step::Arrive(next)));
-        if let Some(batch) = &world.out {
-            possible.push(Step::Commit);
-            let breaks = count(|s| matches!(s, Step::CommitUnheard | Step::Lost | Step::Refused));
-            if breaks < 2 {
-                possible.extend([Step::CommitUnheard, Step::Lost]);
-                possible.extend(matches!(batch.work, Work::Commit(_)).then_some(Step::Refused));
+        next_steps.extend((next <= ATTEMPTS).then_some(Step::Arrive(next)));
+        if let Some(batch) = &system.in_flight {
+            next_steps.push(Step::Commit);
+            let failures =
+                count(|s| matches!(s, Step::CommitWithoutAnswer | Step::LoseBatch | Step::RejectBatch));
+            if failures < 2 {
+                next_steps.extend([Step::CommitWithoutAnswer, Step::LoseBatch]);
+                next_steps.extend(matches!(batch.work, Work::Commit(_)).then_some(Step::RejectBatch));
             }
         }
-        possible.extend((!world.running.is_empty()).then_some(Step::End));
-        possible.extend((count(|s| *s == Step::Stall) < 2).then_some(Step::Stall));
-        possible.extend((count(|s| *s == Step::Due) == 0).then_some(Step::Due));
+        next_steps.extend((!system.running.is_empty()).then_some(Step::End));
+        next_steps.extend((count(|s| *s == Step::Stall) < 2).then_some(Step::Stall));
+        next_steps.extend((count(|s| *s == Step::PassDeadlines) == 0).then_some(Step::PassDeadlines));
         if count(|s| matches!(s, Step::Crash(_))) < 2 {
-            possible.push(Step::Crash(false));
-            possible.extend(world.out.is_some().then_some(Step::Crash(true)));
+            next_steps.push(Step::Crash(false));
+            next_steps.extend(system.in_flight.is_some().then_some(Step::Crash(true)));
         }
         let text = format!(
             "{:?} {:?} {:?} {:?} {:?} {:?} {:?}",
-            world.engine, world.running, world.runs, world.store, world.out, world.answers, possible
+            system.engine,
+            system.running,
+            system.runs,
+            system.store,
+            system.in_flight,
+            system.answers,
+            next_steps
         );
         let mut hasher = std::hash::DefaultHasher::new();
         text.hash(&mut hasher);
-        let (runs, answers, faults) = (world.runs, world.answers, world.faults);
-        Path { steps, runs, answers, faults, possible, world: hasher.finish() }
+        let (runs, answers, violations) = (system.runs, system.answers, system.violations);
+        History { steps, runs, answers, violations, next_steps, state_hash: hasher.finish() }
     }
 }
 
-impl Model for Checked {
-    type State = Path;
+impl Model for TableModel {
+    type State = History;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<Path> {
+    fn init_states(&self) -> Vec<History> {
         vec![self.replay(Vec::new())]
     }
 
-    fn actions(&self, state: &Path, actions: &mut Vec<Step>) {
+    fn actions(&self, state: &History, actions: &mut Vec<Step>) {
         if state.steps.len() < self.depth {
-            actions.extend(&state.possible);
+            actions.extend(&state.next_steps);
         }
     }
 
-    fn next_state(&self, last: &Path, action: Step) -> Option<Path> {
+    fn next_state(&self, last: &History, action: Step) -> Option<History> {
         let steps = last.steps.iter().copied().chain([action]).collect();
         Some(self.replay(steps))
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            // All of a history lies within one window.
-            Property::always("at most one run a window", |_, s: &Path| s.runs <= 1),
-            Property::always("one final answer", |_, s: &Path| s.answers.values().all(|a| a.len() <= 1)),
-            Property::always("a 200 is durable, refused means never ran, all is answered", |_, s: &Path| {
-                s.faults.is_empty()
-            }),
-            Property::sometimes("a result is shown after a crash", |_, s: &Path| {
+            // A whole history lies within one deduplication window.
+            Property::always("at most one run per window", |_, s: &History| s.runs <= 1),
+            Property::always("one final answer", |_, s: &History| s.answers.values().all(|a| a.len() <= 1)),
+            Property::always(
+                "a sent result is durable, a rejected attempt never ran, every attempt is answered",
+                |_, s: &History| s.violations.is_empty(),
+            ),
+            Property::sometimes("a result is sent after a crash", |_, s: &History| {
                 let crash = s.steps.iter().position(|s| matches!(s, Step::Crash(_)));
                 let last = s.steps.iter().rposition(|s| matches!(s, Step::Arrive(_)));
                 crash < last
                     && crash.is_some()
                     && s.answers.iter().next_back().is_some_and(|a| a.1 == &["served"])
             }),
-            Property::sometimes("a try is refused for the store's sake", |_, s: &Path| {
-                s.answers.values().any(|a| a == &["refused"])
+            Property::sometimes("an attempt is rejected because of the store", |_, s: &History| {
+                s.answers.values().any(|a| a == &["rejected"])
             }),
         ]
     }
 }
 
-/// As deep as asked for by GAUGESTAND_MODEL_DEPTH; 11 takes half a minute on eight cores.
+/// Maximum length of a history: `GAUGESTAND_MODEL_DEPTH`, or `DEPTH`. A depth of 11 takes half a minute on
+/// eight cores.
 fn depth() -> usize {
     std::env::var("GAUGESTAND_MODEL_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(DEPTH)
 }
 
-fn check(no_intent: bool, depth: usize) -> impl Checker<Checked> {
+fn check(omits_intents: bool, depth: usize) -> impl Checker<TableModel> {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
-    Checked { no_intent, depth }.checker().threads(threads).spawn_bfs().join()
+    TableModel { omits_intents, depth }.checker().threads(threads).spawn_bfs().join()
 }
 
 #[test]
 fn in_every_order_of_events_the_table_keeps_its_guarantees() {
     let checked = check(false, depth());
-    println!("{} histories, {} different", checked.state_count(), checked.unique_state_count());
+    println!("{} histories, {} of them distinct", checked.state_count(), checked.unique_state_count());
     checked.assert_properties();
 }
 
 #[test]
-fn without_an_intent_the_same_check_finds_a_second_run() {
+fn without_intents_the_model_check_finds_a_second_run() {
     let checked = check(true, DEPTH);
-    let found = checked.discovery("at most one run a window").expect("a second run");
+    let found = checked.discovery("at most one run per window").expect("the model check finds a second run");
     println!("{:?}", found.into_actions());
 }
