--- a/crates/idempotency/src/blocking_client.rs
+++ b/crates/idempotency/src/blocking_client.rs
@@ -1,6 +1,6 @@
-//! PostgreSQL from a command line: the same session as the node's, on a connection that blocks.
+//! PostgreSQL client for the command line: the same session as the node's, on a blocking connection.
 //!
-//! No call takes longer than `TIMEOUT` for each answer of the server.
+//! A call waits no longer than `TIMEOUT` for each answer of the server.
 
 use crate::error::SessionError;
 use crate::postgres::{Event, Login, Session};
@@ -11,12 +11,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest wait for a connection, and for anything that the server has to say: a person waits for the command.
+/// Longest wait for a connection, and for each answer of the server: a person waits for the command.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes read at a time.
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 16 * 1024;
 
-/// A connection with its session.
+/// A blocking connection and the session on it.
 #[derive(Debug)]
 pub struct BlockingClient {
     stream: TcpStream,
@@ -24,7 +24,8 @@
 }
 
 impl BlockingClient {
-    /// Connects beside a node that may be running, and reads all of its rows.
+    /// Connects without taking the node's name, so that the node may be running, and reads all of the node's
+    /// rows.
     ///
     /// # Errors
     /// [`SessionError::Connect`] if the server cannot be reached; otherwise the login fails, or the tables
@@ -34,7 +35,8 @@
         Ok((client, found.rows))
     }
 
-    /// Connects as the node itself: whoever served under its name before does so no longer.
+    /// Connects as the node itself and takes its name: a process that served under the name before is fenced
+    /// from now on. Up to `max_rows` rows are read.
     ///
     /// # Errors
     /// [`SessionError::Connect`] if the server cannot be reached; otherwise the login fails or the tables
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Sends what is to be sent, and waits for what comes of it.
+    /// Sends the output of the session and waits for its next event.
     fn next_event(&mut self) -> Result<Event, SessionError> {
         let io_error = |error: std::io::Error| SessionError::Io(error.to_string());
         let mut buffer = vec![0; READ_BYTES];
@@ -67,14 +69,14 @@
             if count == 0 {
                 return Err(SessionError::Closed);
             }
-            // One thing is in flight at a time, so one event comes.
+            // Either the start or one batch is in flight at a time, so there is at most one event.
             if let Some(event) = self.session.receive(&buffer[..count])?.into_iter().next() {
                 return Ok(event);
             }
         }
     }
 
-    /// Does one batch.
+    /// Sends one batch and waits for its outcome.
     ///
     /// # Errors
     /// The connection broke, timed out or carried an unexpected message. It is unknown whether the batch was
--- a/crates/idempotency/src/consensus_log.rs
+++ b/crates/idempotency/src/consensus_log.rs
@@ -1,8 +1,9 @@
-//! The replicated log of a cluster in one SQLite file: log records made durable whole, and what an earlier incarnation
-//! left.
+//! The consensus log of a cluster in one SQLite file. Each log record becomes durable as a whole, and the
+//! next incarnation recovers what was written.
 //!
-//! A file belongs to one node of one cluster, and says so. One that is another's, damaged or of a newer program is one
-//! clear line, and nothing is altered or deleted then. It knows nothing of consensus: all values are opaque bytes.
+//! A file belongs to one node of one cluster and names that owner. A file that belongs to another node, is
+//! damaged or was made by a newer program is reported in one line, and nothing in it is altered or deleted.
+//! This module knows nothing of consensus: all values are opaque bytes.
 
 use crate::error::OpenError;
 use crate::row::{Cause, Outcome, Work};
@@ -13,11 +14,11 @@
 use std::fs::File;
 use std::path::Path;
 
-/// What operators call a file of this kind.
+/// Name of this kind of file in messages to operators.
 pub const KIND: &str = "agreed log";
 
-/// A cluster's log; its application id reads "gsfl".
-const AGREED_LOG: FileFormat = FileFormat {
+/// Format of a consensus log's file; its application id is "gsfl" in ASCII.
+const LOG_FORMAT: FileFormat = FileFormat {
     kind: KIND,
     application_id: 0x6773_666c,
     migrations: &["
@@ -29,29 +30,31 @@
 "],
 };
 
-/// The cell of the hard state.
+/// Name of the cell with the hard state of consensus.
 const HARD_STATE: &str = "state";
-/// The cell of the snapshot.
+/// Name of the cell with the snapshot.
 const SNAPSHOT: &str = "base";
-/// A log that this process owns.
+
+/// A consensus log whose file this process has locked.
 #[derive(Debug)]
 pub struct ConsensusLog {
     connection: Connection,
-    /// Keeps other processes out.
+    /// Holds the lock that keeps other processes from opening the log.
     _lock: File,
 }
 
-/// A value with the checksum that it was written with.
+/// A value as read from the file, with its place (the name of a cell or the index of an entry) and the
+/// checksum that was written with it.
 struct Stored<K> {
     place: K,
     value: Vec<u8>,
     checksum: Checksum,
 }
 
-/// The name of a value that is not as it was written.
+/// Name of a value that does not match its checksum.
 struct DamagedValue(String);
 
-/// What shows that a value is as it was written, and where.
+/// Checksum of a value and its place. It shows that the value is as it was written, and in the same place.
 fn checksum(place: &str, value: &[u8]) -> Checksum {
     let mut hasher = blake3::Hasher::new();
     hasher.update(place.as_bytes()).update(&[0]).update(value);
@@ -59,47 +62,47 @@
 }
 
 impl ConsensusLog {
-    /// Opens the log of this owner (cluster, members and node in words), makes it if there is none, and counts one more
-    /// incarnation of it.
+    /// Opens the log of `owner`, a text that names the node, the cluster and its members. Creates the log if
+    /// there is none, and counts one more incarnation of it.
     ///
     /// # Errors
     /// [`OpenError::Owned`] if another process uses the file, [`OpenError::OtherOwner`] if it is the log of
     /// another node, and [`OpenError::DamagedLog`] if a checksum does not match; else the file cannot be
     /// opened or read. The node must not take part in the consensus without its log.
     pub fn open(path: &Path, owner: &str, options: &Options) -> Result<(Self, RecoveredLog), OpenError> {
-        let open_error = |error: rusqlite::Error| AGREED_LOG.open_error(path, &error);
-        let (connection, lock) = open_exclusive(&AGREED_LOG, path, options)?;
+        let open_error = |error: rusqlite::Error| LOG_FORMAT.open_error(path, &error);
+        let (connection, lock) = open_exclusive(&LOG_FORMAT, path, options)?;
         let old_owner: String =
             connection.query_row("SELECT owner FROM life", [], |row| row.get(0)).map_err(open_error)?;
         if !old_owner.is_empty() && old_owner != owner {
-            let file = AGREED_LOG.file(path);
+            let file = LOG_FORMAT.file(path);
             return Err(OpenError::OtherOwner { file, owner: old_owner, node: owner.to_string() });
         }
         let cells = read_cells(&connection);
         let entries = cells.and_then(|cells| Ok((cells, read_entries(&connection)?)));
         let (cells, entries) = entries.map_err(open_error)?;
         let mut recovered = verify(cells, entries)
-            .map_err(|DamagedValue(value)| OpenError::DamagedLog { file: AGREED_LOG.file(path), value })?;
+            .map_err(|DamagedValue(value)| OpenError::DamagedLog { file: LOG_FORMAT.file(path), value })?;
         let incarnation: i64 = connection
             .query_row("UPDATE life SET life = life + 1, owner = ?1 RETURNING life", [owner], |row| {
                 row.get(0)
             })
             .map_err(open_error)?;
         recovered.incarnation = incarnation as u64;
-        disable_busy_wait(&AGREED_LOG, path, &connection)?;
+        disable_busy_wait(&LOG_FORMAT, path, &connection)?;
         Ok((ConsensusLog { connection, _lock: lock }, recovered))
     }
 
-    /// Makes a log record durable, whole.
+    /// Makes a log record durable as a whole.
     pub fn write(&mut self, record: &LogRecord) -> Outcome {
         transaction(&self.connection, || self.apply(record))
     }
 
-    /// Does one piece of work.
+    /// Writes a log record; any other work fails.
     pub fn execute(&mut self, work: &Work) -> Outcome {
         match work {
             Work::LogRecord(record) => self.write(record),
-            // Rows are another file's.
+            // Rows belong to the idempotency store, which is another file.
             Work::Commit(_) | Work::Lookup(_) => Outcome::NotDone(Cause::Other),
         }
     }
@@ -130,19 +133,19 @@
 
 fn read_cells(connection: &Connection) -> rusqlite::Result<Vec<Stored<String>>> {
     let mut statement = connection.prepare("SELECT name, value, sum FROM cell")?;
-    statement.query_map([], stored)?.collect()
+    statement.query_map([], decode_stored)?.collect()
 }
 
 fn read_entries(connection: &Connection) -> rusqlite::Result<Vec<Stored<i64>>> {
     let mut statement = connection.prepare("SELECT place, value, sum FROM entry ORDER BY place")?;
-    statement.query_map([], stored)?.collect()
+    statement.query_map([], decode_stored)?.collect()
 }
 
-fn stored<K: rusqlite::types::FromSql>(columns: &rusqlite::Row<'_>) -> rusqlite::Result<Stored<K>> {
+fn decode_stored<K: rusqlite::types::FromSql>(columns: &rusqlite::Row<'_>) -> rusqlite::Result<Stored<K>> {
     Ok(Stored { place: columns.get(0)?, value: columns.get(1)?, checksum: columns.get(2)? })
 }
 
-/// What the values say, if each is as it was written; otherwise which one is not.
+/// Returns the recovered log if every value matches its checksum; otherwise the first one that does not.
 fn verify(cells: Vec<Stored<String>>, entries: Vec<Stored<i64>>) -> Result<RecoveredLog, DamagedValue> {
     let mut recovered = RecoveredLog::default();
     for cell in cells {
--- a/crates/idempotency/src/error.rs
+++ b/crates/idempotency/src/error.rs
@@ -1,4 +1,5 @@
-//! Errors at the edge of this crate: why a file cannot be opened, and why a session with a database is of no use.
+//! The errors that this crate returns: why a file cannot be opened, and why a session with a database cannot
+//! be used.
 
 use crate::postgres::ServerError;
 use std::fmt;
@@ -7,12 +8,12 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A file by its kind and path, as messages name it.
+/// Kind and path of a file, as messages name it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreFile {
-    /// What operators call this kind of file.
+    /// Name of this kind of file in messages to operators.
     pub kind: &'static str,
-    /// Where it is.
+    /// Path of the file.
     pub path: PathBuf,
 }
 
@@ -28,192 +29,199 @@
     }
 }
 
-/// Why a file cannot be opened, on one line that says what to do. The file is as it was.
+/// Why a file cannot be opened. Each message is one line that also says what to do. The file is left
+/// unchanged.
 #[derive(Debug, Error)]
 pub enum OpenError {
-    /// The folder or the file cannot be used.
-    #[error("{file}: {error}; its folder must be there and writable")]
+    /// The file or its folder does not exist or cannot be read or written.
+    #[error("{file}: {error}; its folder must exist and be writable")]
     Path {
-        /// Which file.
+        /// The file that was to be opened.
         file: StoreFile,
-        /// What the system said.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// Another process serves from it.
-    #[error("{0}: another process serves from it; stop that one first")]
+    /// Another process holds the lock of the file.
+    #[error("{0}: in use by another process; stop that process first")]
     Owned(StoreFile),
-    /// Another connection holds its lock.
-    #[error("{0}: locked by another program; end that one, nothing was changed")]
+    /// Another connection has the database locked.
+    #[error("{0}: locked by another program; end that program, nothing was changed")]
     Locked(StoreFile),
-    /// It is of another program.
+    /// The file was made by another program.
     #[error("{0}: is a file of another program; give another path, nothing was changed")]
     Foreign(StoreFile),
-    /// It was made by a newer version of this program.
+    /// The file was made by a newer version of this program.
     #[error(
-        "{file}: is of version {version}, this program knows up to {known}; use the newer program, nothing was changed"
+        "{file}: has version {version}, this program supports up to {known}; use the newer program, \
+         nothing was changed"
     )]
     Newer {
-        /// Which file.
+        /// The file that was to be opened.
         file: StoreFile,
-        /// Its version.
+        /// Version of the file.
         version: i64,
         /// The newest version that this program can read.
         known: usize,
     },
-    /// It cannot be read.
+    /// The file is not a sound SQLite database, or a row in it does not match its checksum.
     #[error(
-        "{file}: is damaged ({damage}); restore it, or move it away to start with none, nothing was changed"
+        "{file}: is damaged ({damage}); restore it, or move it away to start with an empty one, \
+         nothing was changed"
     )]
     Damaged {
-        /// Which file.
+        /// The file that was to be opened.
         file: StoreFile,
-        /// What SQLite found.
+        /// The damage, as SQLite reports it.
         damage: String,
     },
-    /// It is the log of another node.
+    /// The file is the consensus log of another node.
     #[error("{file}: belongs to {owner}, this is {node}; give each node its own path, nothing was changed")]
     OtherOwner {
-        /// Which file.
+        /// The file that was to be opened.
         file: StoreFile,
-        /// Whose it is.
+        /// Owner that is stored in the file.
         owner: String,
-        /// Who wants it.
+        /// Owner that this node would store in it.
         node: String,
     },
-    /// A value of a consensus log has another checksum than when it was written.
+    /// A value in a consensus log does not match the checksum that was written with it, or has an unknown
+    /// name.
     #[error(
-        "{file}: is damaged ({value} is not as it was written); the others can do without this node: see \
-         docs/operators/fleet.md before you move the file away, nothing was changed"
+        "{file}: is damaged ({value} differs from what was written); the cluster can go on without this \
+         node: see docs/operators/fleet.md before you move the file away, nothing was changed"
     )]
     DamagedLog {
-        /// Which file.
+        /// The file that was to be opened.
         file: StoreFile,
-        /// Which value of it.
+        /// Name of the damaged value.
         value: String,
     },
-    /// The thread that does the work cannot be started.
-    #[error("{kind}: {error}")]
+    /// The thread that works on the file cannot be started.
+    #[error("{kind}: the worker thread cannot be started: {error}")]
     Thread {
-        /// What operators call this kind of file.
+        /// Name of this kind of file in messages to operators.
         kind: &'static str,
-        /// What the system said.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The system has no disk, as in a simulation.
-    #[error("{}: there is no disk in this world yet", .0.display())]
+    /// The simulated system has no disk.
+    #[error("{}: the simulated system has no disk", .0.display())]
     NoDisk(PathBuf),
-    /// Anything else that SQLite said.
-    #[error("{file}: {error}")]
+    /// Any other error of SQLite.
+    #[error("{file}: SQLite error: {error}")]
     Other {
-        /// Which file.
+        /// The file that was to be opened.
         file: StoreFile,
-        /// What SQLite said.
+        /// The error of SQLite.
         error: String,
     },
 }
 
-/// Why a session with PostgreSQL is of no use; the outcome of what is in flight on it is unknown.
+/// Why a session with PostgreSQL cannot be used any more. The outcome of a batch in flight on it is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SessionError {
     /// The server cannot be connected to.
-    #[error("{address}: {error}")]
+    #[error("cannot connect to {address}: {error}")]
     Connect {
-        /// Where it was looked for.
+        /// Address of the server.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         error: String,
     },
     /// The connection cannot be read or written.
-    #[error("{0}")]
+    #[error("connection failed: {0}")]
     Io(String),
     /// The server closed the connection.
     #[error("the server closed the connection")]
     Closed,
-    /// The server has not answered in time.
-    #[error("no answer in time")]
+    /// The server did not answer within the time limit that the node sets.
+    #[error("the server did not answer within the time limit")]
     Timeout,
-    /// The login cannot be sent, or the server's proof is wrong.
-    #[error("login: {0}")]
+    /// The login cannot be sent, or the server failed to prove that it knows the password.
+    #[error("login failed: {0}")]
     Login(String),
     /// The server refused the login.
-    #[error("login: {0}")]
+    #[error("login rejected by the server: {0}")]
     LoginRefused(ServerError),
-    /// The server knows no method of authentication that this program uses.
-    #[error("login: the server offers no SCRAM-SHA-256")]
+    /// The server offers no method of authentication that this program supports.
+    #[error("login failed: the server does not offer SCRAM-SHA-256")]
     NoScram,
-    /// The server would have the password sent in a form that shows it.
-    #[error("login: the server asks for a password in a weak form; set scram-sha-256 for this role")]
+    /// The server asks for the password in clear text or as an MD5 hash, which would expose it.
+    #[error(
+        "login failed: the server asks for the password in clear text or as MD5; set scram-sha-256 for \
+         this role"
+    )]
     WeakPassword,
     /// The server ended the session while nothing was in flight.
-    #[error("{0}")]
+    #[error("the server ended the session: {0}")]
     Ended(ServerError),
-    /// The server refused a step of the start.
+    /// The server rejected a step of the session's start.
     #[error("{step}: {error}")]
     Refused {
-        /// What could not be done.
+        /// The step that the server rejected.
         step: StartStep,
-        /// What the server said.
+        /// The server's error response.
         error: ServerError,
     },
     /// The tables were made by a newer version of this program.
-    #[error("its tables are of version {version}, this program knows {known}; use the newer program")]
+    #[error("the tables have version {version}, this program supports {known}; use the newer program")]
     NewerTables {
-        /// Their version.
+        /// Version of the tables.
         version: i32,
-        /// The version that this program can use.
+        /// The only version that this program can use.
         known: i32,
     },
-    /// There are no tables to look at.
-    #[error("there are no tables of a store of record")]
+    /// A read-only session found no tables.
+    #[error("the database has no tables of a store of record")]
     NoTables,
-    /// The table that says which version the tables have is empty.
-    #[error("its table of versions is empty; it is no store of record")]
+    /// The table that holds the version of the tables is empty.
+    #[error("the table gaugestand_schema is empty; the database is not a store of record")]
     NoVersion,
     /// The server returned no epoch for the node's name.
-    #[error("no epoch came back")]
+    #[error("the server returned no epoch for the node's name")]
     NoEpoch,
-    /// A message cannot be read.
-    #[error("a reply that cannot be read: {0}")]
+    /// A message of the server cannot be decoded, or one to the server cannot be encoded.
+    #[error("malformed message: {0}")]
     Unreadable(String),
-    /// A message is longer than any that is expected.
-    #[error("a reply that is too long")]
+    /// A message of the server exceeds the size limit.
+    #[error("the server sent a message that exceeds the size limit")]
     TooLong,
-    /// A message that does not belong to the present step.
-    #[error("a reply out of turn")]
+    /// The server sent a message that does not belong to the present step of the session.
+    #[error("the server sent a message that does not belong to the present step")]
     OutOfTurn,
-    /// The server was ready while nothing was in flight.
-    #[error("ready out of turn")]
+    /// The server reported that it is ready although no work was in flight.
+    #[error("the server reported that it is ready although no work was in flight")]
     ReadyOutOfTurn,
-    /// A batch ended before there was one.
-    #[error("an outcome before there was work")]
+    /// A batch ended although none had been sent.
+    #[error("a batch ended although none had been sent")]
     OutcomeOutOfTurn,
-    /// A row came for a statement that returns none.
-    #[error("a row that nobody asked for")]
+    /// The server sent a row for a statement that returns none.
+    #[error("the server sent a row for a statement that returns none")]
     UnexpectedRow,
-    /// A row has other columns or other values than the tables allow.
-    #[error("a row of another form")]
+    /// A row has columns or values that the tables do not allow.
+    #[error("the server sent a row with unexpected columns or values")]
     MalformedRow,
-    /// A statement cannot be put into the protocol's form.
-    #[error("a statement that cannot be sent")]
+    /// A statement cannot be encoded, as a value is too long for the protocol.
+    #[error("a statement cannot be encoded: a value is too long for the protocol")]
     Unsendable,
 }
 
-/// A step of a session's start that the server can refuse.
+/// A step of a session's start that the server can reject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StartStep {
     /// Reading the version of the tables.
-    #[error("its tables cannot be read")]
+    #[error("cannot read the version of the tables")]
     ReadVersion,
-    /// Making the tables.
-    #[error("its tables cannot be made")]
+    /// Creating the tables.
+    #[error("cannot create the tables")]
     CreateTables,
     /// Preparing the statements.
-    #[error("its tables are not as they should be")]
+    #[error("cannot prepare the statements, as the tables have another form")]
     Prepare,
     /// Taking the node's name with a new epoch.
-    #[error("the node's name cannot be taken")]
+    #[error("cannot take the node's name")]
     TakeName,
-    /// Reading the rows of an earlier incarnation.
-    #[error("its rows cannot be read")]
+    /// Reading the rows of earlier incarnations.
+    #[error("cannot read the node's rows")]
     LoadRows,
 }
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,11 +1,13 @@
-//! Idempotency keys of a booking node: which attempt may run, and the store that keeps results over restarts.
+//! Idempotency keys of a booking node: the table that decides which attempt may run, and the stores that keep
+//! results over restarts.
 //!
-//! [`table`] decides: what must be durable before a run begins or an answer goes out, what a repeat gets, and
-//! what becomes of all that when a store stalls, breaks or comes back. It does no I/O and reads no clock.
-//! [`row`] is what it exchanges with a backend. [`sqlite`] is one backend, with [`worker`] as the thread that it blocks;
-//! [`postgres`] is the other, as bytes in and bytes out; [`blocking_client`] drives it for a command line.
-//! [`consensus_log`] keeps a cluster's replicated log, in a file of its own, behind a worker as well. [`error`] has the
-//! errors of all of them.
+//! [`table`] decides what must be durable before a run begins or an answer is sent, what a repeat gets, and
+//! what happens to pending attempts when a store stalls, breaks or recovers. It does no I/O and reads no
+//! clock. [`row`] has the types that the table exchanges with a backend. [`sqlite`] is one backend, which
+//! blocks and therefore runs on the thread of a [`worker`]; [`postgres`] is the other, a state machine that
+//! takes and returns bytes, and [`blocking_client`] drives it for the command line. [`consensus_log`] keeps a
+//! cluster's consensus log in a file of its own, also on a worker thread. [`error`] has the errors of all of
+//! them.
 #![forbid(unsafe_code)]
 
 pub mod blocking_client;
--- a/crates/idempotency/src/postgres/codec.rs
+++ b/crates/idempotency/src/postgres/codec.rs
@@ -1,4 +1,4 @@
-//! Parameters and rows in the binary form of the protocol.
+//! Encodes parameters and decodes rows in the binary format of PostgreSQL's protocol.
 
 use super::sql::Statement;
 use super::unreadable;
@@ -9,9 +9,9 @@
 use postgres_protocol::IsNull;
 use postgres_protocol::message::frontend;
 
-/// The code of the binary format, for all parameters and all columns of results.
+/// Code of the binary format, which all parameters and all columns of results use.
 const BINARY: i16 = 1;
-/// No bound on the rows of a result.
+/// No limit on the number of rows in a result.
 const ALL_ROWS: i32 = 0;
 
 /// One parameter of a statement.
@@ -23,7 +23,7 @@
     Int2(i16),
 }
 
-/// Appends a call of a prepared statement.
+/// Appends the messages that execute a prepared statement to the output.
 pub(super) fn write_call(
     statement: Statement,
     params: &[Param<'_>],
@@ -52,7 +52,7 @@
     Some(i64::from_be_bytes(bytes.try_into().ok()?))
 }
 
-/// A row of the table of keys.
+/// Decodes a row of the table `gaugestand_record`.
 pub(super) fn decode_row(columns: &[Option<&[u8]>]) -> Result<Row, SessionError> {
     let [
         Some(key),
--- a/crates/idempotency/src/postgres/mod.rs
+++ b/crates/idempotency/src/postgres/mod.rs
@@ -1,13 +1,16 @@
-//! One connection to PostgreSQL as a state machine: bytes in, bytes and events out.
+//! A session on one connection to PostgreSQL, as a state machine: bytes go in, bytes and events come out.
 //!
-//! It logs in (SCRAM-SHA-256, or whatever asks for no password), finds or makes its tables, takes this node's name
-//! with a new epoch, reads what an earlier incarnation left, and then does one piece of work at a time: pipelined
-//! prepared statements up to one Sync, which the server carries out as one transaction. It owns no socket and no clock.
+//! The session logs in (with SCRAM-SHA-256, or without a password if the server asks for none), finds or
+//! creates its tables, takes this node's name with a new epoch and reads the rows of earlier incarnations. It
+//! then does one piece of work at a time: pipelined prepared statements up to one Sync, which the server
+//! carries out as one transaction. It owns no socket and no clock.
 //!
-//! Two things make a late or second writer harmless. Each batch begins with a fence that fails unless this incarnation's
-//! epoch still holds the name; and a row only ever replaces one of an earlier sequence number or state.
+//! Two rules make a delayed or second writer harmless. Each batch of writes begins with a fence that fails
+//! unless this incarnation's epoch still holds the node's name; and a row only ever replaces one with a lower
+//! sequence number or an earlier state.
 //!
-//! It does not bound how long the server takes; after any [`SessionError`] the connection is of no use.
+//! The time that the server takes is not bounded here. After any [`SessionError`] the connection must not be
+//! used any more.
 
 mod codec;
 mod server_error;
@@ -32,64 +35,65 @@
 use std::mem;
 use std::rc::Rc;
 
-/// Longest message of the server, in bytes: a row takes under 6 KiB; a notice may be long.
+/// Longest accepted message of the server, in bytes: a row takes under 6 KiB; a notice may be long.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// Rows read in one query at the start, so that no answer takes much memory.
+/// Maximum number of rows that one query at the start reads, so that no answer takes much memory.
 const PAGE_ROWS: usize = 1_000;
-/// The version of the tables that this program makes and uses.
+/// The version of the tables that this program creates and uses.
 pub const SCHEMA_VERSION: i32 = 1;
-/// How the server reports that the fence found the node's row and changed it.
+/// The server's command tag if the fence found the node's row and changed it.
 const FENCE_PASSED: &str = "UPDATE 1";
 
-/// Who logs in, and as which node.
+/// Credentials for the database, and the node whose rows are used.
 #[derive(Clone)]
 pub struct Login {
-    /// The role.
+    /// Name of the database role.
     pub user: String,
-    /// Its password.
+    /// Password of the role.
     pub password: Vec<u8>,
-    /// The database.
+    /// Name of the database.
     pub database: String,
-    /// Whose rows they are.
+    /// Name of the node, under which its rows are kept.
     pub node: String,
 }
 
 impl fmt::Debug for Login {
-    /// Without the password, so that it gets into no log.
+    /// Leaves out the password, so that it appears in no log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Login({}@{} as {})", self.user, self.database, self.node)
     }
 }
 
-/// What came of the bytes.
+/// What the session reports after it has received bytes.
 #[derive(Debug, PartialEq)]
 pub enum Event {
-    /// Work can be done; with what was found, if this is the first connection of this incarnation.
+    /// The start is over, and work can be submitted. Has what was found, unless the session continues an
+    /// earlier connection of this incarnation.
     Ready(Option<Recovery>),
-    /// The batch of this number is over.
+    /// The batch with this number has ended.
     Outcome(u64, Outcome),
 }
 
-/// How far a session has come.
+/// The step that a session has reached.
 enum Step {
-    /// The server is to say how to log in.
+    /// The server is to choose the method of authentication.
     AwaitingAuthentication,
-    /// The proof of the password is under way.
+    /// The SCRAM exchange that proves the password is under way.
     ProvingPassword(Box<ScramSha256>),
-    /// The proof of the server was good, or none was asked for.
+    /// The server proved that it knows the password, or asked for none.
     Authenticated,
     /// The version of the tables is being read.
     ReadingVersion(Option<i32>),
-    /// The tables are being made.
+    /// The tables are being created.
     CreatingTables,
     /// Statements are being prepared.
     Preparing,
-    /// The name is being taken; the new epoch, once it has come.
+    /// The node's name is being taken; has the new epoch, once it has arrived.
     TakingName(Option<u64>),
-    /// Rows are being read.
+    /// The rows of earlier incarnations are being read, page by page.
     Loading {
         recovery: Recovery,
-        /// Rows of the present page so far.
+        /// Number of rows received of the present page.
         page_rows: usize,
         last_key: String,
     },
@@ -99,18 +103,18 @@
     Executing(BatchProgress),
 }
 
-/// A batch, and what has come of it so far.
+/// A batch in flight, and what the server has answered so far.
 struct BatchProgress {
     number: u64,
     is_lookup: bool,
-    /// Rows that were looked up.
+    /// Rows that a lookup has returned.
     rows: Vec<Row>,
-    /// The fence has not passed yet; without it nothing is known to be done.
+    /// Whether the fence has not passed yet; until it has, nothing is known to be done.
     is_unfenced: bool,
 }
 
 impl BatchProgress {
-    /// How the batch ended, if the server reported no error.
+    /// The outcome of the batch, if the server reported no error.
     fn outcome(self) -> Outcome {
         if self.is_lookup {
             Outcome::Rows(self.rows)
@@ -125,13 +129,14 @@
 /// A session on one connection.
 pub struct Session {
     login: Rc<Login>,
-    /// The epoch of this incarnation, once it has one.
+    /// The epoch of this incarnation; `None` until the node's name is taken.
     epoch: Option<u64>,
     max_rows: usize,
-    /// The name is not taken, so that a node that has it goes on undisturbed.
+    /// Whether the session only reads: it does not take the node's name, so that the node goes on
+    /// undisturbed.
     is_read_only: bool,
     step: Step,
-    /// The first error that the server reported in this step.
+    /// The first error that the server reported in the present step.
     step_error: Option<ServerError>,
     input: BytesMut,
     output: BytesMut,
@@ -143,7 +148,7 @@
     }
 }
 
-/// A message that cannot be read or written.
+/// The error for a message that cannot be decoded or encoded.
 fn unreadable(error: impl fmt::Display) -> SessionError {
     SessionError::Unreadable(error.to_string())
 }
@@ -153,8 +158,9 @@
 }
 
 impl Session {
-    /// A session on a connection that was just made. `epoch` is that of an earlier connection of this incarnation, if
-    /// there was one; else the name is taken, and up to `max_rows` rows are read.
+    /// Creates a session for a connection that was just made. `epoch` is that of an earlier connection of
+    /// this incarnation, if there was one; otherwise the session takes the node's name and reads up to
+    /// `max_rows` rows.
     ///
     /// # Errors
     /// [`SessionError::Login`] if the user or the database name cannot be sent, as it contains a zero byte.
@@ -179,7 +185,8 @@
         })
     }
 
-    /// A session that reads a node's rows beside that node, or removes old ones; it can make no batch.
+    /// Creates a session that reads a node's rows while the node may be running, or removes old rows. It must
+    /// not be given a batch of writes.
     ///
     /// # Errors
     /// [`SessionError::Login`] if the user or the database name cannot be sent, as it contains a zero byte.
@@ -187,28 +194,29 @@
         Ok(Session { is_read_only: true, ..Session::new(login, None, usize::MAX)? })
     }
 
-    /// The epoch of this incarnation, once the name is taken.
+    /// The epoch of this incarnation; `None` until the node's name is taken.
     pub fn epoch(&self) -> Option<u64> {
         self.epoch
     }
 
-    /// Takes what is to be sent.
+    /// Takes the bytes that are to be sent to the server.
     pub fn output(&mut self) -> Vec<u8> {
         self.output.split().to_vec()
     }
 
-    /// Takes in what was read.
+    /// Processes bytes that were read from the server, and returns the events that they complete.
     ///
     /// # Errors
-    /// The server refused the login or a step of the start, ended the session, or sent what cannot be read or
-    /// does not belong to the present step. The connection has to be closed; the outcome of a batch in flight
-    /// is unknown.
+    /// The server rejected the login or a step of the start, ended the session, or sent a message that cannot
+    /// be decoded or does not belong to the present step. The connection has to be closed; the outcome of a
+    /// batch in flight is unknown.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<Vec<Event>, SessionError> {
         self.input.extend_from_slice(bytes);
         let mut events = Vec::new();
         loop {
             match Header::parse(&self.input).map_err(unreadable)? {
-                // Guards against a length that would have memory set aside for what never comes.
+                // Guards against a length for which memory would be reserved although the message never
+                // arrives.
                 Some(header) if header.len().max(0) as usize > MAX_MESSAGE_BYTES => {
                     return Err(SessionError::TooLong);
                 }
@@ -222,7 +230,8 @@
         }
     }
 
-    /// Begins a batch; false if another is in flight or the session is not ready.
+    /// Begins a batch. Returns false if another one is in flight, the session is not ready, or the work is a
+    /// log record.
     ///
     /// # Errors
     /// [`SessionError::Unsendable`] if a value is longer than the protocol's length fields can say. A part of
@@ -232,7 +241,7 @@
             return Ok(false);
         }
         let is_lookup = match &batch.work {
-            // A consensus log is a file's alone.
+            // A consensus log is only kept in a file.
             Work::LogRecord(_) => return Ok(false),
             Work::Lookup(keys) => {
                 self.send_lookup(keys)?;
@@ -247,8 +256,8 @@
         Ok(true)
     }
 
-    /// Begins the removal of rows that are past their window at `now`; ends as a batch of
-    /// this number.
+    /// Begins the removal of rows whose window ended at or before `now`. It ends like a batch with this
+    /// number.
     ///
     /// # Errors
     /// [`SessionError::Unsendable`] if the node's name is longer than the protocol's length fields can say.
@@ -288,7 +297,7 @@
                 let params = [Param::Text(node), Param::Text(key), Param::Int8(*sequence as i64)];
                 self.call(Statement::Remove, &params)
             }
-            // The fence is a write, and all that a probe needs.
+            // The fence itself is a write, and a probe needs no other.
             Write::Probe => Ok(()),
         }
     }
@@ -313,7 +322,7 @@
     }
 }
 
-/// What the server sends.
+/// Handling of the server's messages.
 impl Session {
     fn on_message(&mut self, message: Message) -> Result<Option<Event>, SessionError> {
         match message {
@@ -337,7 +346,7 @@
 
     fn on_error(&mut self, error: ServerError) -> Result<(), SessionError> {
         match &self.step {
-            // The server ends the connection for a reason of its own, as nothing is in flight.
+            // Nothing is in flight, so the server ends the session for a reason of its own.
             Step::Idle => Err(SessionError::Ended(error)),
             Step::AwaitingAuthentication | Step::ProvingPassword(_) | Step::Authenticated => {
                 Err(SessionError::LoginRefused(error))
@@ -361,11 +370,11 @@
         let first = columns.first().copied().flatten();
         match &mut self.step {
             Step::ReadingVersion(version) => {
-                // This one comes as text: it was asked for with a simple query.
+                // The version arrives as text, as it was read with a simple query.
                 let text = first.and_then(|text| std::str::from_utf8(text).ok());
                 *version = text.and_then(|text| text.parse().ok());
             }
-            // The lock that is taken with the tables gives a row with nothing in it.
+            // The advisory lock that is taken before the tables are created returns a row without a value.
             Step::CreatingTables => {}
             Step::TakingName(epoch) => *epoch = first.and_then(decode_int8).map(|number| number as u64),
             Step::Loading { recovery, page_rows, last_key } => {
@@ -387,14 +396,14 @@
 
     fn on_command_complete(&mut self, body: &CommandCompleteBody) -> Result<(), SessionError> {
         if let Step::Executing(batch) = &mut self.step {
-            // The first to complete is the fence; it must have found the node's row.
+            // The fence is the first statement to complete; it must have changed the node's row.
             let tag = body.tag().map_err(unreadable)?;
             batch.is_unfenced &= tag != FENCE_PASSED;
         }
         Ok(())
     }
 
-    /// The server is through with all that was in flight.
+    /// Handles the message that the server has completed all that was in flight.
     fn on_ready(&mut self) -> Result<Option<Event>, SessionError> {
         let step = mem::replace(&mut self.step, Step::Idle);
         let error = self.step_error.take();
--- a/crates/idempotency/src/postgres/server_error.rs
+++ b/crates/idempotency/src/postgres/server_error.rs
@@ -7,17 +7,17 @@
 use postgres_protocol::message::backend::ErrorResponseBody;
 use std::fmt;
 
-/// "Undefined table": the tables have not been made yet.
+/// SQLSTATE of "undefined table": the tables have not been created yet.
 const UNDEFINED_TABLE: &str = "42P01";
-/// Most characters of a message that are kept, so that a log line stays short.
+/// Maximum number of characters kept of an error's text, so that a log line stays short.
 const MAX_TEXT_CHARS: usize = 200;
 
-/// An error response.
+/// An error response of the server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerError {
-    /// SQLSTATE.
+    /// Five-character SQLSTATE code.
     code: String,
-    /// What the server said, for people.
+    /// Message for people.
     text: String,
 }
 
@@ -39,10 +39,11 @@
         self.code == UNDEFINED_TABLE
     }
 
-    /// What it says of a batch.
+    /// The outcome of a batch that ended with this error.
     pub(super) fn outcome(&self) -> Outcome {
         let cause = self.cause();
-        // "Statement completion unknown", and a server that is going down: a commit may have gone through.
+        // After "statement completion unknown" (40003), or on a server that is shutting down, a commit may
+        // have gone through.
         if self.code == "40003" || cause == Cause::Link {
             return Outcome::Unknown(cause);
         }
@@ -57,7 +58,7 @@
             "53100" | "53200" | "53300" | "53400" => Cause::Full,
             // Read-only transaction.
             "25006" => Cause::ReadOnly,
-            // The division by zero of the fence.
+            // Division by zero, by which the fence fails.
             "22012" => Cause::Fenced,
             // Connection exceptions, and a server that is being shut down.
             code if code.starts_with("08") || code.starts_with("57P") => Cause::Link,
--- a/crates/idempotency/src/postgres/startup.rs
+++ b/crates/idempotency/src/postgres/startup.rs
@@ -1,7 +1,8 @@
-//! The start of a session: authentication, the tables, the node's name and the rows of an earlier incarnation.
+//! The start of a session: authentication, the tables, the node's name and the rows of earlier incarnations.
 //!
-//! The steps follow each other as the server answers: version, tables if there are none, prepared statements, name, rows.
-//! A session that takes over the epoch of an earlier connection needs neither name nor rows.
+//! The steps follow each other as the server answers: read the version, create the tables if there are none,
+//! prepare the statements, take the name, read the rows. A session that continues with the epoch of an
+//! earlier connection neither takes the name nor reads rows.
 
 use super::codec::Param;
 use super::sql::{self, Statement};
@@ -16,7 +17,7 @@
 use postgres_protocol::message::frontend;
 use std::mem;
 
-/// What the server answers during the start.
+/// Handling of the server's answers during the start.
 impl Session {
     pub(super) fn on_authentication(&mut self, message: Message) -> Result<(), SessionError> {
         let step = mem::replace(&mut self.step, Step::AwaitingAuthentication);
@@ -28,7 +29,7 @@
                 frontend::sasl_response(scram.message(), &mut self.output).map_err(unreadable)?;
                 Step::ProvingPassword(scram)
             }
-            // Guards against a server that does not know the password either.
+            // Guards against an impostor: a server has to prove that it knows the password as well.
             (Step::ProvingPassword(mut scram), Message::AuthenticationSaslFinal(body)) => {
                 scram.finish(body.data()).map_err(login_error)?;
                 Step::Authenticated
@@ -102,7 +103,7 @@
     }
 }
 
-/// An error that the server reported ends the start at this step.
+/// Fails with the error, if the server reported one in this step of the start.
 pub(super) fn refused(step: StartStep, error: Option<ServerError>) -> Result<(), SessionError> {
     error.map_or(Ok(()), |error| Err(SessionError::Refused { step, error }))
 }
--- a/crates/idempotency/src/row.rs
+++ b/crates/idempotency/src/row.rs
@@ -1,22 +1,22 @@
-//! What the idempotency table and its backends exchange: rows, writes, batches and how they ended.
+//! The types that the key table and its backends exchange: rows, writes, batches and outcomes.
 
 use gaugestand_admission::log_record::LogRecord;
 use gaugestand_admission::time::UnixTime;
 use std::fmt;
 
-/// What a row says of its key.
+/// State of the run of a key, as its row has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RowState {
-    /// A run was about to begin; whether it did is not known from this row.
+    /// The run was about to begin; the row does not tell whether it did.
     Intent,
-    /// It ran to this result.
+    /// The attempt ran, and this is its result.
     Completed(Vec<u8>),
-    /// It ran and has no result.
+    /// The attempt ran, or may have run, and there is no result.
     Failed,
 }
 
 impl RowState {
-    /// The number that stands for it in a store.
+    /// The number that represents the state in a store, from 0 to 2.
     pub fn code(&self) -> i16 {
         match self {
             RowState::Intent => 0,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// From its number and the stored bytes; `None` for a number that is not known.
+    /// The state for a number from a store and the stored bytes of the result; `None` for an unknown number.
     pub fn from_code(code: i64, result: Option<Vec<u8>>) -> Option<RowState> {
         match code {
             0 => Some(RowState::Intent),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The result, if there is one.
+    /// The result of a completed run; `None` for other states.
     pub fn result(&self) -> Option<&[u8]> {
         match self {
             RowState::Completed(result) => Some(result),
@@ -44,53 +44,54 @@
     }
 }
 
-/// One row: all that is kept of one key.
+/// One row of an idempotency store: all that is stored for one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// The key.
+    /// The idempotency key.
     pub key: String,
-    /// The attempt that ran, or was about to.
+    /// Request id of the attempt that ran or was about to run.
     pub holder: u128,
-    /// Fingerprint of its body.
+    /// Fingerprint of the body of that attempt (column `print`).
     pub fingerprint: u128,
     /// When that attempt reached the machine (column `ran`).
     pub ingress: UnixTime,
-    /// End of its deduplication window (column `until`).
+    /// End of the deduplication window of the key (column `until`).
     pub expires: UnixTime,
-    /// Grows with every intent of a node's name, over restarts: a late write never replaces a later one (column
-    /// `stamp`).
+    /// Sequence number of the intent (column `stamp`). It grows with every intent under a node's name, over
+    /// restarts, so that a late write never replaces a newer row.
     pub sequence: u64,
-    /// What is known of the run.
+    /// State of the run.
     pub state: RowState,
 }
 
 impl Row {
-    /// What decides which of two rows of one key stays: the sequence number, then whether the run is over.
+    /// Decides which of two rows of one key stays, the greater one: by the sequence number, then by whether
+    /// the run is over.
     pub fn precedence(&self) -> (u64, bool) {
         (self.sequence, self.state != RowState::Intent)
     }
 }
 
-/// One change to the rows.
+/// One change to the rows of a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
-    /// The row of its key from now on, unless the one that is there takes precedence: a write that a stalled store
-    /// carries out long after it was given up must not undo anything.
+    /// Stores this row, unless the stored row of its key takes precedence: a write that a stalled store
+    /// carries out long after the node gave up on it must not undo newer ones.
     Put(Row),
-    /// Of this key nothing is kept any more, unless its row has a later sequence number: the attempt never ran, or its
-    /// window is over.
+    /// Removes the row of this key, unless the row has a greater sequence number. The attempt never ran, or
+    /// its window is over.
     Remove {
-        /// The key.
+        /// Key of the row.
         key: String,
-        /// The sequence number of the row that goes.
+        /// Greatest sequence number of a row that is removed.
         sequence: u64,
     },
-    /// Changes nothing, and shows that a change would be kept.
+    /// Changes no row. If it becomes durable, the store accepts writes.
     Probe,
 }
 
 impl Write {
-    /// The key that it is about, if it is about one.
+    /// The key whose row the write changes; `None` for a probe.
     pub fn key(&self) -> Option<&str> {
         match self {
             Write::Put(row) => Some(&row.key),
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Whether a store in which this is the row of its key has made this write.
+    /// Whether a store has made this write, if `row` is what it has under the key.
     pub fn is_written(&self, row: Option<&Row>) -> bool {
         match self {
             Write::Put(new) => row.is_some_and(|row| row.precedence() >= new.precedence()),
@@ -109,47 +110,48 @@
     }
 }
 
-/// What a backend is to do next; one at a time.
+/// Work for a backend, which does one piece at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// Make all of these durable together, in this order, or none.
+    /// Make all of these writes durable together, in this order, or none of them.
     Commit(Vec<Write>),
     /// Read the rows of these keys.
     Lookup(Vec<String>),
-    /// Make this record of a consensus log durable, whole.
+    /// Make this record of a consensus log durable as a whole.
     LogRecord(LogRecord),
 }
 
-/// Work with its number, so that an answer to an earlier batch is not taken for its own.
+/// Work with a number, so that the outcome of an earlier batch is not taken for that of this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// Counts up.
+    /// Number of the batch; each batch has a greater one than the batch before.
     pub number: u64,
-    /// What to do.
+    /// The work to be done.
     pub work: Work,
 }
 
-/// Why a store did not do what it was asked.
+/// Why a store did not do its work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// Somebody else has it locked, or a deadlock was resolved against this transaction: worth a retry soon.
+    /// Another connection holds a lock, or a deadlock was resolved against this transaction: the work can be
+    /// retried soon.
     Busy,
-    /// No answer in the time allowed.
+    /// The oldest write has waited for longer than the stall limit.
     Stalled,
-    /// No room.
+    /// The store has no room, or has reached another limit of its resources.
     Full,
-    /// It can only be read.
+    /// The store is read-only.
     ReadOnly,
     /// The connection broke or could not be made.
     Link,
     /// Another process has taken this node's name.
     Fenced,
-    /// Damaged, or anything else.
+    /// The store is damaged, or has failed in another way.
     Other,
 }
 
 impl Cause {
-    /// The word for it in logs and messages.
+    /// The word for the cause in log lines and messages.
     pub fn as_str(self) -> &'static str {
         match self {
             Cause::Busy => "busy",
@@ -172,23 +174,24 @@
 /// How a batch ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// All of it is durable.
+    /// All of the batch is durable.
     Done,
-    /// None of it happened.
+    /// Nothing of the batch was done, for this cause.
     NotDone(Cause),
-    /// It may have happened or not: a broken link proves nothing.
+    /// It is not known whether the batch was done: a broken connection proves nothing.
     Unknown(Cause),
-    /// The rows that were asked for, as far as there are any.
+    /// The rows that were looked up; a key without a row is left out.
     Rows(Vec<Row>),
 }
 
-/// What a backend found at its start.
+/// What a backend found when it was opened.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Recovery {
-    /// All rows of this node's name.
+    /// All rows under this node's name; none if there are more than the limit that the node has set.
     pub rows: Vec<Row>,
-    /// How many there are; more than `rows` holds if they were over the bound.
+    /// Number of rows that were found; greater than the length of `rows` if they exceed the limit. A backend
+    /// may stop counting above the limit.
     pub row_count: u64,
-    /// Counts the incarnations of this node's name, this one among them.
+    /// Number of incarnations of this node's name, with the present one.
     pub epoch: u64,
 }
--- a/crates/idempotency/src/sqlite/file.rs
+++ b/crates/idempotency/src/sqlite/file.rs
@@ -1,4 +1,5 @@
-//! Opening an SQLite file with care: one owner, a known format and version, and no change before it was found sound.
+//! Opens SQLite files safely: one owner, a known format and version, and no change to a file before it was
+//! found sound.
 
 use crate::error::{OpenError, StoreFile};
 use rusqlite::{Connection, ErrorCode, OpenFlags};
@@ -7,43 +8,45 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long the start waits for a lock that another connection holds: longer than a backup of a small file takes.
+/// Longest wait at the start for a lock that another connection holds; a backup of a small file takes less.
 const OPEN_BUSY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Memory for pages, in KiB: half of what a node of 32 MB can spare.
+/// Size of SQLite's page cache, in KiB: half of what a node of 32 MB can spare.
 const PAGE_CACHE_KIB: i64 = 2_048;
-/// The write-ahead log is cut back to this many bytes after a checkpoint, so that a burst does not fill the disk for good.
+/// Size to which the write-ahead log is truncated after a checkpoint, in bytes, so that it does not keep the
+/// disk space that a burst of writes took.
 const MAX_WAL_BYTES: i64 = 4 << 20;
 
-/// Length of a stored checksum, in bytes: enough against damage, which is not aimed.
+/// Length of a stored checksum, in bytes: enough to detect accidental damage; forgery is not a concern.
 const CHECKSUM_BYTES: usize = 8;
 
-/// What shows that a stored value is as it was written.
+/// Checksum that shows whether a stored value is as it was written.
 pub(crate) type Checksum = [u8; CHECKSUM_BYTES];
 
-/// The checksum of what a hasher has taken in.
+/// The checksum of all data that `hasher` has been given.
 pub(crate) fn checksum_of(hasher: &blake3::Hasher) -> Checksum {
     let mut checksum = [0; CHECKSUM_BYTES];
     checksum.copy_from_slice(&hasher.finalize().as_bytes()[..CHECKSUM_BYTES]);
     checksum
 }
 
-/// What a kind of file is known by, and how it is made.
+/// How to identify, create and migrate one kind of file.
 pub(crate) struct FileFormat {
-    /// What operators call this kind of file.
+    /// Name of this kind of file in messages to operators.
     pub(crate) kind: &'static str,
-    /// SQLite's application id of its files.
+    /// SQLite's application id of this kind of file.
     pub(crate) application_id: i64,
-    /// The steps from an empty file to the present version; a file's version says how many it has taken.
+    /// SQL of the steps from an empty file to the present version. The version of a file is the number of
+    /// steps that it has been through.
     pub(crate) migrations: &'static [&'static str],
 }
 
 impl FileFormat {
-    /// The name of a file of this kind in messages.
+    /// The file at `path`, as messages name it.
     pub(crate) fn file(&self, path: &Path) -> StoreFile {
         StoreFile::new(self.kind, path)
     }
 
-    /// What an error of SQLite means for the start.
+    /// Converts an error of SQLite into the reason why the file cannot be opened.
     pub(crate) fn open_error(&self, path: &Path, error: &rusqlite::Error) -> OpenError {
         let file = self.file(path);
         match error.sqlite_error_code() {
@@ -63,24 +66,24 @@
     error.to_string().replace('\n', " ")
 }
 
-/// How far a commit goes before it counts, and bounds that tests set.
+/// When a commit counts as durable, and a bound that tests set.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// SQLite's `synchronous=EXTRA`: folders are synced too. Otherwise `FULL`.
+    /// Whether to use SQLite's `synchronous=EXTRA`, which syncs folders too, in place of `FULL`.
     pub synchronous_extra: bool,
-    /// Most pages of the file; 0 for as many as there are.
+    /// Maximum size of the file, in pages; 0 for no limit of the program's own.
     pub max_pages: u32,
 }
 
-/// The path of a file's lock file.
+/// Path of the lock file that belongs to a database file.
 fn lock_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".lock");
     name.into()
 }
 
-/// Locks a file for this process alone, for as long as the result lives; the system releases it when the process ends,
-/// however it ends.
+/// Locks a file for this process alone, for as long as the returned handle lives; the operating system
+/// releases the lock when the process ends, in whatever way.
 fn lock_exclusive(format: &FileFormat, path: &Path) -> Result<File, OpenError> {
     let path_error = |error: io::Error| OpenError::Path { file: format.file(path), error };
     let file = OpenOptions::new().create(true).truncate(false).write(true).open(lock_path(path));
@@ -92,7 +95,8 @@
     }
 }
 
-/// The number of migrations that a file has taken; changes nothing.
+/// Returns the number of migrations that a file has been through. Fails if the file was made by another
+/// program or by a newer version of this one; changes nothing.
 fn schema_version(format: &FileFormat, path: &Path, connection: &Connection) -> Result<i64, OpenError> {
     let open_error = |error: rusqlite::Error| format.open_error(path, &error);
     let pragma = |name: &str| {
@@ -113,7 +117,7 @@
     Ok(version)
 }
 
-/// Fails unless the file is consistent in itself; reads all of it.
+/// Runs SQLite's integrity check, which reads the whole file, and fails if it reports damage.
 pub(crate) fn check_integrity(
     format: &FileFormat,
     path: &Path,
@@ -128,7 +132,7 @@
     Err(OpenError::Damaged { file: format.file(path), damage: report.replace('\n', " ") })
 }
 
-/// Opens a file to read it: nothing of it can be changed, and a node may serve from it meanwhile.
+/// Opens a file read-only; a node may serve from it meanwhile.
 pub(crate) fn open_read_only(format: &FileFormat, path: &Path) -> Result<Connection, OpenError> {
     if !path.exists() {
         return Err(OpenError::Path { file: format.file(path), error: io::ErrorKind::NotFound.into() });
@@ -141,8 +145,8 @@
     Ok(connection)
 }
 
-/// Opens a file for this process alone, makes it if there is none, and brings it to the present version. The lock on it
-/// holds for as long as the second value lives.
+/// Opens a file for this process alone, creates it if there is none, and migrates it to the present version.
+/// The file is locked for as long as the returned [`File`] lives.
 pub(crate) fn open_exclusive(
     format: &FileFormat,
     path: &Path,
@@ -150,7 +154,7 @@
 ) -> Result<(Connection, File), OpenError> {
     let lock = lock_exclusive(format, path)?;
     if std::fs::metadata(path).is_ok_and(|metadata| metadata.len() > 0) {
-        // All that can be wrong with a file is found out while it cannot be changed.
+        // The file is checked through a read-only connection, so that a file with a fault is not changed.
         check_integrity(format, path, &open_read_only(format, path)?)?;
     }
     let open_error = |error: rusqlite::Error| format.open_error(path, &error);
@@ -168,7 +172,7 @@
     connection.pragma_update(None, "journal_mode", "WAL")?;
     let synchronous = if options.synchronous_extra { "EXTRA" } else { "FULL" };
     connection.pragma_update(None, "synchronous", synchronous)?;
-    // A negative size is in KiB, not in pages.
+    // SQLite reads a negative size as KiB, a positive one as pages.
     connection.pragma_update(None, "cache_size", -PAGE_CACHE_KIB)?;
     connection.pragma_update(None, "journal_size_limit", MAX_WAL_BYTES)?;
     connection.pragma_update(None, "temp_store", "MEMORY")?;
@@ -178,9 +182,9 @@
     Ok(())
 }
 
-/// Takes the migrations after the first `taken`, each whole or not at all.
-fn migrate(format: &FileFormat, connection: &mut Connection, taken: usize) -> rusqlite::Result<()> {
-    for (i, migration) in format.migrations.iter().enumerate().skip(taken) {
+/// Applies all migrations but the first `applied`, each as one transaction.
+fn migrate(format: &FileFormat, connection: &mut Connection, applied: usize) -> rusqlite::Result<()> {
+    for (i, migration) in format.migrations.iter().enumerate().skip(applied) {
         let transaction = connection.transaction()?;
         transaction.execute_batch(migration)?;
         transaction.pragma_update(None, "user_version", i as i64 + 1)?;
@@ -189,7 +193,8 @@
     Ok(())
 }
 
-/// Ends the waiting for locks: from here on the file's user retries a busy file without holding its thread.
+/// Ends the waiting for locks: from here on a busy file is an error at once, and whoever works on the file
+/// retries without blocking the thread.
 pub(crate) fn disable_busy_wait(
     format: &FileFormat,
     path: &Path,
--- a/crates/idempotency/src/sqlite/mod.rs
+++ b/crates/idempotency/src/sqlite/mod.rs
@@ -1,8 +1,9 @@
-//! Rows of one node in one SQLite file, batches as transactions.
+//! The SQLite backend: the rows of one node in one file, with each batch as one transaction.
 //!
-//! A file is only ever changed by the one process that holds its lock file, and only after it was found to be a
-//! sound store of a version that this program knows. Whatever is wrong is one clear line, and nothing is
-//! altered or deleted then. Each call blocks for as long as the disk takes: it belongs on a [`crate::worker`].
+//! A file is changed only by the process that holds its lock file, and only after the file was found to be a
+//! sound store of a version that this program supports. Any fault is reported in one line, and nothing is
+//! altered or deleted then. Each call blocks for as long as the disk takes, so it belongs on the thread of a
+//! [`crate::worker`].
 
 pub(crate) mod file;
 mod transaction;
@@ -19,11 +20,11 @@
 use std::path::Path;
 use transaction::cause;
 
-/// What operators call a file of this kind.
+/// Name of this kind of file in messages to operators.
 pub const KIND: &str = "store of record";
 
-/// A store of record; its application id reads "gstd".
-const STORE_OF_RECORD: FileFormat = FileFormat {
+/// Format of the store's file; its application id is "gstd" in ASCII.
+const STORE_FORMAT: FileFormat = FileFormat {
     kind: KIND,
     application_id: 0x6773_7464,
     migrations: &["
@@ -57,31 +58,31 @@
 const PROBE: &str = "UPDATE life SET beat = beat + 1";
 const PRUNE: &str = "DELETE FROM record WHERE until <= ?1";
 
-/// A store that this process owns.
+/// An idempotency store whose file this process has locked.
 #[derive(Debug)]
 pub struct Sqlite {
     connection: Connection,
-    /// Keeps other processes out.
+    /// Holds the lock that keeps other processes from opening the store.
     _lock: File,
     epoch: u64,
 }
 
-/// Opens a store to read it: nothing of it can be changed, and a node may serve from it meanwhile.
+/// Opens a store read-only; a node may serve from it meanwhile.
 ///
 /// # Errors
 /// [`OpenError::Path`] if there is no such file, [`OpenError::Foreign`] or [`OpenError::Newer`] if it is not
 /// a store that this version can read, or what SQLite reports.
 pub fn open_read_only(path: &Path) -> Result<Connection, OpenError> {
-    file::open_read_only(&STORE_OF_RECORD, path)
+    file::open_read_only(&STORE_FORMAT, path)
 }
 
-/// Checks a store from end to end.
+/// Checks the integrity of a whole store.
 ///
 /// # Errors
 /// [`OpenError::Damaged`] if the integrity check finds a fault; else the store cannot be opened, as in
 /// [`open_read_only`].
 pub fn check(path: &Path) -> Result<(), OpenError> {
-    file::check_integrity(&STORE_OF_RECORD, path, &open_read_only(path)?)
+    file::check_integrity(&STORE_FORMAT, path, &open_read_only(path)?)
 }
 
 /// Passes all rows to `visit`, one at a time.
@@ -99,28 +100,29 @@
 }
 
 impl Sqlite {
-    /// Opens a store, makes it if there is none, and counts one more incarnation of its node.
+    /// Opens a store, creates it if there is none, and counts one more incarnation of its node.
     ///
     /// # Errors
     /// [`OpenError::Owned`] if another process serves from the store, and [`OpenError::Damaged`],
     /// [`OpenError::Foreign`] or [`OpenError::Newer`] if it cannot be used; else the file cannot be opened or
     /// written. The node must not serve without the keys in it.
     pub fn open(path: &Path, options: &Options) -> Result<Self, OpenError> {
-        let (connection, lock) = file::open_exclusive(&STORE_OF_RECORD, path, options)?;
+        let (connection, lock) = file::open_exclusive(&STORE_FORMAT, path, options)?;
         let epoch: i64 = connection
             .query_row("UPDATE life SET epoch = epoch + 1 RETURNING epoch", [], |row| row.get(0))
-            .map_err(|error| STORE_OF_RECORD.open_error(path, &error))?;
-        file::disable_busy_wait(&STORE_OF_RECORD, path, &connection)?;
+            .map_err(|error| STORE_FORMAT.open_error(path, &error))?;
+        file::disable_busy_wait(&STORE_FORMAT, path, &connection)?;
         Ok(Sqlite { connection, _lock: lock, epoch: epoch as u64 })
     }
 
-    /// What an earlier incarnation has left; of more than `max_rows` rows none but their number.
+    /// Reads the rows that earlier incarnations have left. If there are more than `max_rows`, it returns only
+    /// their number.
     ///
     /// # Errors
     /// The rows cannot be read. Without them a retry could run a second time, so the node must not serve.
     pub fn recover(&self, path: &Path, max_rows: usize) -> Result<Recovery, OpenError> {
         let (rows, row_count) =
-            self.read_rows(max_rows).map_err(|error| STORE_OF_RECORD.open_error(path, &error))?;
+            self.read_rows(max_rows).map_err(|error| STORE_FORMAT.open_error(path, &error))?;
         Ok(Recovery { rows, row_count, epoch: self.epoch })
     }
 
@@ -134,7 +136,7 @@
         Ok((rows, count as u64))
     }
 
-    /// Does one piece of work.
+    /// Commits writes or looks up rows; a log record is not accepted.
     pub fn execute(&mut self, work: &Work) -> Outcome {
         match work {
             Work::Commit(writes) => {
@@ -144,7 +146,7 @@
                 Ok(rows) => Outcome::Rows(rows),
                 Err(error) => Outcome::NotDone(cause(&error)),
             },
-            // That is another file's.
+            // Log records belong to the consensus log, which is another file.
             Work::LogRecord(_) => Outcome::NotDone(Cause::Other),
         }
     }
@@ -187,8 +189,8 @@
         Ok(rows)
     }
 
-    /// Removes rows whose window is over by the wall clock; returns how many. Nothing
-    /// serves from the store while this process owns it.
+    /// Removes rows whose window ended at or before `now`, and returns their number. No node serves from the
+    /// store meanwhile, as this process owns it.
     ///
     /// # Errors
     /// SQLite cannot write, for example as the disk is full; no row was removed.
@@ -197,7 +199,8 @@
     }
 }
 
-/// What shows that a row is as it was written: a damaged page can hold a value that SQLite finds nothing wrong with.
+/// Checksum of a row. It shows that the row is as it was written: a damaged page can hold values that SQLite
+/// finds nothing wrong with.
 fn checksum(row: &Row) -> Checksum {
     let mut hasher = blake3::Hasher::new();
     hasher.update(row.key.as_bytes());
@@ -212,7 +215,7 @@
     checksum_of(&hasher)
 }
 
-/// A row of [`SELECT_ROWS`]; fails if it is not as it was written.
+/// Decodes a row of [`SELECT_ROWS`]; fails if the row does not match its checksum.
 fn decode_row(columns: &rusqlite::Row<'_>) -> rusqlite::Result<Row> {
     let number = |i: usize| columns.get::<_, [u8; 16]>(i).map(u128::from_be_bytes);
     let state = RowState::from_code(columns.get(6)?, columns.get(7)?)
@@ -230,6 +233,6 @@
         return Ok(row);
     }
     let corrupt = rusqlite::ffi::Error::new(rusqlite::ffi::SQLITE_CORRUPT);
-    let message = format!("the row of {} is not as it was written", row.key);
+    let message = format!("the row of key {} does not match its checksum", row.key);
     Err(rusqlite::Error::SqliteFailure(corrupt, Some(message)))
 }
--- a/crates/idempotency/src/sqlite/transaction.rs
+++ b/crates/idempotency/src/sqlite/transaction.rs
@@ -1,11 +1,11 @@
-//! Transactions on an SQLite file, and what their errors prove.
+//! Transactions on an SQLite file, and what an error of one proves about its outcome.
 
 use crate::row::{Cause, Outcome};
 use rusqlite::{Connection, ErrorCode};
 
-/// Makes changes durable, all of them or none.
+/// Runs `change` as one transaction: all that it does becomes durable, or nothing.
 pub(crate) fn transaction(connection: &Connection, change: impl FnOnce() -> rusqlite::Result<()>) -> Outcome {
-    // An immediate transaction takes the lock first: one that is busy has done nothing.
+    // An immediate transaction takes the lock first, so one that fails as busy has changed nothing.
     if let Err(error) = connection.execute_batch("BEGIN IMMEDIATE") {
         return Outcome::NotDone(cause(&error));
     }
@@ -16,17 +16,19 @@
             Err(error) => failed_commit(cause(&error)),
         },
     };
-    // Some errors have rolled back already; then this one is refused, and nothing is open either way.
+    // After some errors SQLite has rolled back already and rejects this statement; no transaction is open in
+    // either case.
     let _ = connection.execute_batch("ROLLBACK");
     outcome
 }
 
-/// What went wrong while the commit was under way may have come after the point of no return.
+/// An error during the commit may come after the changes became durable, so the outcome is unknown, save for
+/// a busy file.
 fn failed_commit(cause: Cause) -> Outcome {
     if cause == Cause::Busy { Outcome::NotDone(cause) } else { Outcome::Unknown(cause) }
 }
 
-/// What stands in the way of a write.
+/// The cause that an error of SQLite stands for.
 pub(crate) fn cause(error: &rusqlite::Error) -> Cause {
     match error.sqlite_error_code() {
         Some(ErrorCode::DatabaseBusy | ErrorCode::DatabaseLocked) => Cause::Busy,
--- a/crates/idempotency/src/worker.rs
+++ b/crates/idempotency/src/worker.rs
@@ -1,8 +1,9 @@
-//! A thread that does a file's blocking work behind bounded queues.
+//! A thread that does the blocking work on a file, behind bounded queues.
 //!
-//! The event loop submits one batch at a time and goes on; the thread does it, puts the outcome into the other queue
-//! and writes one byte to a socket that the loop's poller watches. Neither side ever waits for the other: the queues
-//! hold more than can be in flight, and a batch that finds no room is given back.
+//! The event loop submits one batch at a time and continues. The thread executes the batch, puts the outcome
+//! into a second queue and writes one byte to a socket that the loop's poller watches. Neither side ever
+//! waits for the other: the queues hold more batches than can be in flight, and a batch that does not fit is
+//! given back.
 
 use crate::consensus_log::ConsensusLog;
 use crate::row::{Batch, Outcome, Work};
@@ -12,14 +13,15 @@
 use std::os::unix::net::UnixStream;
 use std::thread::{Builder, JoinHandle};
 
-/// Batches that may be in flight; the table has one at a time, and one more whose answer no longer counts.
+/// Capacity of each queue, in batches. The key table has one batch in flight at a time, and one more whose
+/// outcome is ignored.
 const QUEUE_BATCHES: usize = 4;
-/// Stack of the thread, in bytes: SQLite needs little, and the node's memory is bounded.
+/// Stack size of the thread, in bytes: SQLite needs little, and the node's memory is bounded.
 const STACK_BYTES: usize = 512 * 1024;
 
-/// What does the work on the thread.
+/// A store that a worker's thread works on.
 pub trait Backend: Send + 'static {
-    /// Does it, however long that takes.
+    /// Does the work and returns its outcome; may block for any length of time.
     fn execute(&mut self, work: &Work) -> Outcome;
 }
 
@@ -35,17 +37,18 @@
     }
 }
 
-/// The event loop's side.
+/// The event loop's handle to the thread.
 #[derive(Debug)]
 pub struct Worker {
-    /// Dropped before the thread is woken for the last time, so that it finds the queue abandoned.
+    /// `None` once the worker is dropped: the queue is dropped before the thread is woken for the last time,
+    /// so that the thread finds it abandoned.
     batches: Option<Producer<Batch>>,
     outcomes: Consumer<(u64, Outcome)>,
     thread: JoinHandle<()>,
 }
 
 impl Worker {
-    /// Starts the thread. `wake` is written to, never blocking, when an outcome is there.
+    /// Starts the thread. It writes one byte to `wake`, without blocking, for each outcome.
     ///
     /// # Errors
     /// The system cannot start a thread, or `wake` cannot be made non-blocking. No batch can be done.
@@ -70,26 +73,27 @@
         pushed
     }
 
-    /// The next outcome with the number of its batch, if there is one.
+    /// Takes the next outcome and the number of its batch, if there is one.
     pub fn outcome(&mut self) -> Option<(u64, Outcome)> {
         self.outcomes.pop().ok()
     }
 
-    /// Whether the thread has ended by itself: a panic of the store's library.
+    /// Whether the thread has ended by itself, which a panic in the store's library can cause.
     pub fn is_dead(&self) -> bool {
         self.thread.is_finished()
     }
 }
 
 impl Drop for Worker {
-    /// Lets the thread end; it is not waited for, as it may be held by the disk.
+    /// Lets the thread end without waiting for it, as the disk may hold it up.
     fn drop(&mut self) {
         self.batches = None;
         self.thread.thread().unpark();
     }
 }
 
-/// The thread: does batches until the event loop has dropped its side and all that it submitted is done.
+/// The thread's main function: executes batches until the event loop has dropped its handle and all submitted
+/// batches are done.
 fn run(
     mut backend: impl Backend,
     mut batches: Consumer<Batch>,
@@ -101,14 +105,16 @@
             if batches.is_abandoned() {
                 return;
             }
-            // A batch that is submitted between the look and this leaves a token that ends the wait at once.
+            // A batch that is submitted between the check above and this call leaves a token that makes the
+            // call return at once.
             std::thread::park();
             continue;
         };
         let outcome = backend.execute(&batch.work);
-        // There is as much room for outcomes as for batches, so this only fails with the loop gone.
+        // The queue of outcomes is as long as that of batches, so the push fails only if the event loop has
+        // ended.
         let _ = outcomes.push((batch.number, outcome));
-        // A full socket has been written to and not yet read: the loop is woken all the same.
+        // The write fails on a full socket; the bytes in it wake the event loop all the same.
         let _ = wake.write(&[1]);
     }
 }
--- a/crates/idempotency/tests/error_texts.rs
+++ b/crates/idempotency/tests/error_texts.rs
@@ -1,5 +1,5 @@
-//! The texts of errors: operators read them, and search their logs for them. They are those of the build before the
-//! errors were typed (commit d61e325).
+//! Tests of the texts of errors. Operators read these texts and search their logs for them, so a text changes
+//! only together with its test here.
 
 mod server_messages;
 
@@ -21,19 +21,19 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_file_is_one_line_that_says_what_to_do() {
+fn errors_of_files_are_one_line_that_says_what_to_do() {
     let cases = [
         (
             OpenError::Path { file: store(), error: io::Error::other("no such folder") },
-            "store of record /d/r.db: no such folder; its folder must be there and writable",
+            "store of record /d/r.db: no such folder; its folder must exist and be writable",
         ),
         (
             OpenError::Owned(store()),
-            "store of record /d/r.db: another process serves from it; stop that one first",
+            "store of record /d/r.db: in use by another process; stop that process first",
         ),
         (
             OpenError::Locked(log()),
-            "agreed log /d/f.db: locked by another program; end that one, nothing was changed",
+            "agreed log /d/f.db: locked by another program; end that program, nothing was changed",
         ),
         (
             OpenError::Foreign(store()),
@@ -41,13 +41,13 @@
         ),
         (
             OpenError::Newer { file: store(), version: 7, known: 1 },
-            "store of record /d/r.db: is of version 7, this program knows up to 1; use the newer program, nothing was \
+            "store of record /d/r.db: has version 7, this program supports up to 1; use the newer program, nothing was \
              changed",
         ),
         (
             OpenError::Damaged { file: store(), damage: "page 3".into() },
-            "store of record /d/r.db: is damaged (page 3); restore it, or move it away to start with none, nothing was \
-             changed",
+            "store of record /d/r.db: is damaged (page 3); restore it, or move it away to start with an empty one, \
+             nothing was changed",
         ),
         (
             OpenError::OtherOwner { file: log(), owner: "node a".into(), node: "node b".into() },
@@ -55,14 +55,17 @@
         ),
         (
             OpenError::DamagedLog { file: log(), value: "entry 2".into() },
-            "agreed log /d/f.db: is damaged (entry 2 is not as it was written); the others can do without this node: see \
-             docs/operators/fleet.md before you move the file away, nothing was changed",
+            "agreed log /d/f.db: is damaged (entry 2 differs from what was written); the cluster can go on without \
+             this node: see docs/operators/fleet.md before you move the file away, nothing was changed",
         ),
         (
             OpenError::Thread { kind: "agreed log", error: io::Error::other("no memory") },
-            "agreed log: no memory",
+            "agreed log: the worker thread cannot be started: no memory",
+        ),
+        (
+            OpenError::Other { file: store(), error: "odd".into() },
+            "store of record /d/r.db: SQLite error: odd",
         ),
-        (OpenError::Other { file: store(), error: "odd".into() }, "store of record /d/r.db: odd"),
     ];
     for (error, text) in cases {
         assert_eq!(error.to_string(), text);
@@ -70,34 +73,40 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_session_is_one_line() {
-    let address: SocketAddr = "127.0.0.1:5432".parse().expect("an address");
+fn errors_of_sessions_are_one_line() {
+    let address: SocketAddr = "127.0.0.1:5432".parse().expect("the address is valid");
     let cases = [
-        (SessionError::Connect { address, error: "refused".into() }, "127.0.0.1:5432: refused"),
-        (SessionError::Io("broken pipe".into()), "broken pipe"),
+        (
+            SessionError::Connect { address, error: "refused".into() },
+            "cannot connect to 127.0.0.1:5432: refused",
+        ),
+        (SessionError::Io("broken pipe".into()), "connection failed: broken pipe"),
         (SessionError::Closed, "the server closed the connection"),
-        (SessionError::Timeout, "no answer in time"),
-        (SessionError::Login("no proof".into()), "login: no proof"),
-        (SessionError::NoScram, "login: the server offers no SCRAM-SHA-256"),
+        (SessionError::Timeout, "the server did not answer within the time limit"),
+        (SessionError::Login("no proof".into()), "login failed: no proof"),
+        (SessionError::NoScram, "login failed: the server does not offer SCRAM-SHA-256"),
         (
             SessionError::WeakPassword,
-            "login: the server asks for a password in a weak form; set scram-sha-256 for this role",
+            "login failed: the server asks for the password in clear text or as MD5; set scram-sha-256 for this role",
         ),
         (
             SessionError::NewerTables { version: 7, known: 1 },
-            "its tables are of version 7, this program knows 1; use the newer program",
-        ),
-        (SessionError::NoTables, "there are no tables of a store of record"),
-        (SessionError::NoVersion, "its table of versions is empty; it is no store of record"),
-        (SessionError::NoEpoch, "no epoch came back"),
-        (SessionError::Unreadable("odd".into()), "a reply that cannot be read: odd"),
-        (SessionError::TooLong, "a reply that is too long"),
-        (SessionError::OutOfTurn, "a reply out of turn"),
-        (SessionError::ReadyOutOfTurn, "ready out of turn"),
-        (SessionError::OutcomeOutOfTurn, "an outcome before there was work"),
-        (SessionError::UnexpectedRow, "a row that nobody asked for"),
-        (SessionError::MalformedRow, "a row of another form"),
-        (SessionError::Unsendable, "a statement that cannot be sent"),
+            "the tables have version 7, this program supports 1; use the newer program",
+        ),
+        (SessionError::NoTables, "the database has no tables of a store of record"),
+        (
+            SessionError::NoVersion,
+            "the table gaugestand_schema is empty; the database is not a store of record",
+        ),
+        (SessionError::NoEpoch, "the server returned no epoch for the node's name"),
+        (SessionError::Unreadable("odd".into()), "malformed message: odd"),
+        (SessionError::TooLong, "the server sent a message that exceeds the size limit"),
+        (SessionError::OutOfTurn, "the server sent a message that does not belong to the present step"),
+        (SessionError::ReadyOutOfTurn, "the server reported that it is ready although no work was in flight"),
+        (SessionError::OutcomeOutOfTurn, "a batch ended although none had been sent"),
+        (SessionError::UnexpectedRow, "the server sent a row for a statement that returns none"),
+        (SessionError::MalformedRow, "the server sent a row with unexpected columns or values"),
+        (SessionError::Unsendable, "a statement cannot be encoded: a value is too long for the protocol"),
     ];
     for (error, text) in cases {
         assert_eq!(error.to_string(), text);
@@ -105,40 +114,41 @@
 }
 
 #[test]
-fn an_error_of_the_server_names_the_step_that_it_ended() {
+fn an_error_of_the_server_names_the_step_that_failed() {
     let authenticated = message(b'R', &0u32.to_be_bytes());
     let ready = message(b'Z', b"I");
     let undefined_table = message(b'E', b"SERROR\0C42P01\0Mno such table\0\0");
-    let refused = message(b'E', b"SERROR\0C42501\0Mnot\x07 allowed\0\0");
-    // What the server answers, a step at a time; the error comes in place of the last one's.
+    let rejected = message(b'E', b"SERROR\0C42501\0Mnot\x07 allowed\0\0");
+    // The server's answers, one for each step; the error response takes the place of the answer in the last
+    // step.
     let steps: [(&[Vec<u8>], &str); 7] = [
-        (&[], "login: not allowed (42501)"),
-        (std::slice::from_ref(&authenticated), "its tables cannot be read: not allowed (42501)"),
-        (&[authenticated.clone(), undefined_table], "its tables cannot be made: not allowed (42501)"),
+        (&[], "login rejected by the server: not allowed (42501)"),
+        (std::slice::from_ref(&authenticated), "cannot read the version of the tables: not allowed (42501)"),
+        (&[authenticated.clone(), undefined_table], "cannot create the tables: not allowed (42501)"),
         (
             &[authenticated.clone(), data_row(b"1")],
-            "its tables are not as they should be: not allowed (42501)",
+            "cannot prepare the statements, as the tables have another form: not allowed (42501)",
         ),
         (
             &[authenticated.clone(), data_row(b"1"), vec![]],
-            "the node's name cannot be taken: not allowed (42501)",
+            "cannot take the node's name: not allowed (42501)",
         ),
         (
             &[authenticated.clone(), data_row(b"1"), vec![], data_row(&3i64.to_be_bytes())],
-            "its rows cannot be read: not allowed (42501)",
+            "cannot read the node's rows: not allowed (42501)",
         ),
         (
             &[authenticated.clone(), data_row(b"1"), vec![], data_row(&3i64.to_be_bytes()), vec![]],
-            "not allowed (42501)",
+            "the server ended the session: not allowed (42501)",
         ),
     ];
     for (answers, text) in steps {
         let login = Login { user: "u".into(), password: vec![1], database: "d".into(), node: "n".into() };
-        let mut session = Session::new(Rc::new(login), None, 10).expect("a login that can be sent");
+        let mut session = Session::new(Rc::new(login), None, 10).expect("the login can be encoded");
         for answer in answers {
             session.receive(&[answer.as_slice(), &ready].concat()).expect(text);
         }
-        let error = session.receive(&[refused.as_slice(), &ready].concat()).expect_err(text);
+        let error = session.receive(&[rejected.as_slice(), &ready].concat()).expect_err(text);
         assert_eq!(error.to_string(), text);
     }
 }
