--- a/crates/idempotency/src/blocking_client.rs
+++ b/crates/idempotency/src/blocking_client.rs
@@ -87,7 +87,7 @@
         self.next_outcome()
     }
 
-    /// Removes rows whose window ended before this point of Unix time.
+    /// Removes rows whose window ended at or before this point of Unix time.
     ///
     /// # Errors
     /// The connection broke, timed out or carried an unexpected message. It is unknown whether rows were
--- a/crates/idempotency/src/postgres/sql.rs
+++ b/crates/idempotency/src/postgres/sql.rs
@@ -40,19 +40,19 @@
 /// A statement that is prepared at the start of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Statement {
-    /// [`TAKE_NAME`]
+    /// The statement with the text [`TAKE_NAME`].
     TakeName,
-    /// [`LOAD_PAGE`]
+    /// The statement with the text [`LOAD_PAGE`].
     LoadPage,
-    /// [`FENCE`]
+    /// The statement with the text [`FENCE`].
     Fence,
-    /// [`PUT`]
+    /// The statement with the text [`PUT`].
     Put,
-    /// [`REMOVE`]
+    /// The statement with the text [`REMOVE`].
     Remove,
-    /// [`LOOKUP`]
+    /// The statement with the text [`LOOKUP`].
     Lookup,
-    /// [`PRUNE`]
+    /// The statement with the text [`PRUNE`].
     Prune,
 }
 
--- a/crates/idempotency/src/table/durability.rs
+++ b/crates/idempotency/src/table/durability.rs
@@ -20,9 +20,9 @@
 use std::mem;
 use std::rc::Rc;
 
-/// Minimum for the limit on removals that are added to a batch of other writes; the limit is otherwise the
-/// number of those writes. Rows are thus removed as fast as they are added, and a larger batch at most
-/// doubles.
+/// Minimum number of removals that may be added to a batch of other writes. A batch with more writes than
+/// this may have as many removals as other writes. Rows are thus removed as fast as they are added, and such
+/// a batch at most doubles.
 const MIN_REMOVALS: usize = 16;
 /// Number of writes in a batch while the breaker is open: one shows whether the store works again.
 const PROBE_BATCH: usize = 1;
@@ -159,7 +159,7 @@
         until_keys_accepted.max(Micros(2 * probe.0)).max(MIN_RETRY_AFTER)
     }
 
-    /// Lets new keys in again once `reject_new_keys_until` has passed, and returns whether the store has just
+    /// Allows new keys again once `reject_new_keys_until` has passed, and returns whether the store has just
     /// stalled.
     fn update_stall(&mut self, now: Timestamp) -> bool {
         self.reject_new_keys_until = self.reject_new_keys_until.filter(|until| now < *until);
@@ -290,7 +290,7 @@
         let max_entries = durability.limits.entries;
         let is_complete =
             recovery.row_count <= recovery.rows.len() as u64 && recovery.rows.len() <= max_entries;
-        // Guards against a second run of a key whose row was not loaded for want of room.
+        // Guards against a second run of a key whose row did not fit in the table.
         let reject_until = now.plus(window).mono.plus(LATE_READ_GRACE);
         durability.reject_new_keys_until = Some(reject_until).filter(|_| !is_complete);
         for row in recovery.rows.into_iter().take(max_entries) {
--- a/crates/idempotency/src/table/expiry.rs
+++ b/crates/idempotency/src/table/expiry.rs
@@ -9,7 +9,7 @@
 use gaugestand_admission::time::{Micros, Timestamp};
 
 /// Maximum number of entries that one sweep examines, so that no iteration of the event loop takes long.
-/// Twenty sweeps a second drop more entries than a node can take in.
+/// Twenty sweeps a second drop more entries than a node can add in that time.
 const MAX_SWEEP_ENTRIES: usize = 2_000;
 /// Shortest time between two sweeps.
 const SWEEP_INTERVAL: Micros = Micros::millis(50);
--- a/crates/idempotency/src/table/mod.rs
+++ b/crates/idempotency/src/table/mod.rs
@@ -48,7 +48,7 @@
 const LATE_READ_GRACE: Micros = Micros::millis(10_000);
 /// Memory of an entry besides its key and its result, in bytes: the slot in the hash map, the entry itself
 /// and its place in the expiry queue. In a table of a million entries, one with a key of 32 bytes and a
-/// result of 100 takes 477.
+/// result of 100 bytes takes 477 bytes in all.
 const ENTRY_BYTES: usize = 350;
 /// Longest result that the protocol allows, in bytes.
 const MAX_RESULT_BYTES: usize = 4096;
--- a/crates/idempotency/src/worker.rs
+++ b/crates/idempotency/src/worker.rs
@@ -85,7 +85,7 @@
 }
 
 impl Drop for Worker {
-    /// Lets the thread end without waiting for it, as the disk may hold it up.
+    /// Lets the thread end without waiting for it, as the disk may block the thread.
     fn drop(&mut self) {
         self.batches = None;
         self.thread.thread().unpark();
