--- a/crates/node/src/connections/tests.rs
+++ b/crates/node/src/connections/tests.rs
@@ -6,16 +6,16 @@
 use super::table::MAX_UNWRITTEN_BYTES;
 use super::*;
 use crate::counters::Counters;
-use crate::io::real::Real;
+use crate::io::real::OsSystem;
 use crate::io::{Stream as _, System as _};
 use gaugestand_admission::time::{Micros, Timestamp};
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
 
 /// A table with one connection, accepted at the given time with one request open, and the gateway's side of it.
-fn table_with_open_request(now: Timestamp) -> (ConnectionTable<Real>, ConnectionId, TcpStream) {
-    let system = Real::new().expect("a poller");
-    let mut table: ConnectionTable<Real> = ConnectionTable::new(1, 64);
+fn table_with_open_request(now: Timestamp) -> (ConnectionTable<OsSystem>, ConnectionId, TcpStream) {
+    let system = OsSystem::new().expect("a poller");
+    let mut table: ConnectionTable<OsSystem> = ConnectionTable::new(1, 64);
     table.listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a port"));
     let client = TcpStream::connect(table.address().expect("it listens")).expect("accepted");
     let mut counters = Counters::default();
@@ -73,7 +73,7 @@
 }
 
 /// Waits until a connection lies in the listener's queue.
-fn await_connection(system: &Real) {
+fn await_connection(system: &OsSystem) {
     let mut ready = Vec::new();
     while !ready.iter().any(|r: &crate::io::Ready| r.key == 0) {
         system.wait(Micros::millis(1_000), &mut ready).expect("the poller");
@@ -140,8 +140,8 @@
 // In a drain the listener closes while a connection with a request waits in the system's queue. Closing the listener resets it.
 #[test]
 fn connections_in_the_system_s_queue_are_accepted_before_the_listener_closes() {
-    let system = Real::new().expect("a poller");
-    let mut table: ConnectionTable<Real> = ConnectionTable::new(1, 64);
+    let system = OsSystem::new().expect("a poller");
+    let mut table: ConnectionTable<OsSystem> = ConnectionTable::new(1, 64);
     table.listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a port"));
     let mut late = TcpStream::connect(table.address().expect("it listens")).expect("accepted by the system");
     late.write_all(b"a request").expect("the system takes it");
@@ -181,12 +181,12 @@
 // those, before any that may still be used.
 #[test]
 fn a_connection_in_its_lingering_close_makes_room_first() {
-    let system = Real::new().expect("a poller");
-    let mut table: ConnectionTable<Real> = ConnectionTable::new(1, OWN_DESCRIPTORS + 3);
+    let system = OsSystem::new().expect("a poller");
+    let mut table: ConnectionTable<OsSystem> = ConnectionTable::new(1, OWN_DESCRIPTORS + 3);
     table.listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a port"));
     let at = table.address().expect("it listens");
     let mut counters = Counters::default();
-    let connect = |table: &mut ConnectionTable<Real>, now, counters: &mut Counters| {
+    let connect = |table: &mut ConnectionTable<OsSystem>, now, counters: &mut Counters| {
         let client = TcpStream::connect(at).expect("accepted");
         await_connection(&system);
         table.accept(now, counters);
--- a/crates/node/src/idempotency_store/mod.rs
+++ b/crates/node/src/idempotency_store/mod.rs
@@ -16,7 +16,7 @@
 use gaugestand_idempotency::row::{Cause, Outcome};
 use gaugestand_idempotency::sqlite::Options;
 use gaugestand_idempotency::{BreakerState, KeyTable, Limits, OpenError};
-use gaugestand_settings::{Backend, Record as Settings, Sync};
+use gaugestand_settings::{Backend, IdempotencyStoreSettings as Settings, SyncMode};
 use postgres_link::PostgresLink;
 use std::path::Path;
 use thiserror::Error;
@@ -99,7 +99,7 @@
         let mut key_table = KeyTable::durable(limits(settings, owner.window), owner.seed);
         let backend = match &settings.backend {
             Backend::Sqlite { path, sync } => {
-                let options = Options { synchronous_extra: *sync == Sync::Extra, ..Options::default() };
+                let options = Options { synchronous_extra: *sync == SyncMode::Extra, ..Options::default() };
                 let worker = open_file(path, &options, settings.entries, key, system, now, &mut key_table)?;
                 StoreBackend::Sqlite(worker)
             }
@@ -135,7 +135,7 @@
         match &mut self.backend {
             StoreBackend::None => {}
             StoreBackend::Sqlite(worker) => {
-                worker.woken();
+                worker.drain_wakeups();
                 while let Some((number, outcome)) = worker.outcome() {
                     key_table.on_outcome(now.mono, number, outcome);
                 }
@@ -201,7 +201,7 @@
     key_table: &mut KeyTable,
 ) -> Result<S::Worker, StartError> {
     let began = system.moment().mono;
-    let (worker, found) = system.store(path, options, max_rows, key)?;
+    let (worker, found) = system.open_idempotency_store(path, options, max_rows, key)?;
     let rows = found.found;
     let epoch = found.epoch;
     key_table.load(now, found);
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -1,6 +1,6 @@
 //! The seam between the node and the operating system: every call of the outside goes through the trait [`System`].
 //!
-//! [`real::Real`] is the machine that the program runs on; the simulation puts its own system in its place. The type is
+//! [`real::OsSystem`] is the machine that the program runs on; the simulation puts its own system in its place. The type is
 //! chosen where the node is started, and nothing in the node depends on which it is.
 
 pub mod clock;
@@ -80,7 +80,7 @@
     /// # Errors
     /// The file cannot be opened, is in use by another process, or is damaged (see [`OpenError`]), or the
     /// worker's thread cannot be started.
-    fn store(
+    fn open_idempotency_store(
         &self,
         path: &Path,
         options: &Options,
@@ -92,7 +92,7 @@
     /// # Errors
     /// The file cannot be opened, is in use, belongs to another owner or is damaged (see [`OpenError`]), or
     /// the worker's thread cannot be started.
-    fn consensus_log(
+    fn open_consensus_log(
         &self,
         path: &Path,
         owner: &str,
@@ -185,7 +185,7 @@
     /// Whether its thread has ended: it can do no more work.
     fn is_dead(&self) -> bool;
     /// Drains the wake-up that announced an outcome.
-    fn woken(&mut self);
+    fn drain_wakeups(&mut self);
 }
 
 /// A link to another process of this node: a stream of bytes, with sockets that are passed along.
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -26,21 +26,21 @@
 
 /// The machine.
 #[derive(Clone, Debug)]
-pub struct Real {
+pub struct OsSystem {
     poller: Rc<Poller>,
     origin: Instant,
     /// What the monotonic clock read at `origin`.
     base: Rc<Cell<Timestamp>>,
 }
 
-impl Real {
+impl OsSystem {
     /// The machine, with nothing watched yet.
     ///
     /// # Errors
     /// The system has no descriptor for a poller.
     pub fn new() -> io::Result<Self> {
         let base = Rc::new(Cell::new(super::clock::ORIGIN));
-        Ok(Real { poller: Rc::new(Poller::new()?), origin: Instant::now(), base })
+        Ok(OsSystem { poller: Rc::new(Poller::new()?), origin: Instant::now(), base })
     }
 
     /// A thread that does a file's blocking work.
@@ -52,7 +52,7 @@
     }
 }
 
-impl System for Real {
+impl System for OsSystem {
     type Stream = Watched<TcpStream>;
     type Listener = WatchedListener;
     type Datagram = Reports;
@@ -102,7 +102,7 @@
         Ok(Pipe(Watched::new(&self.poller, ours, key, true, false)?))
     }
 
-    fn store(
+    fn open_idempotency_store(
         &self,
         path: &Path,
         options: &Options,
@@ -115,7 +115,7 @@
         Ok((worker.map_err(|error| OpenError::Thread { kind: sqlite::KIND, error })?, found))
     }
 
-    fn consensus_log(
+    fn open_consensus_log(
         &self,
         path: &Path,
         owner: &str,
@@ -193,7 +193,7 @@
         self.worker.is_dead()
     }
 
-    fn woken(&mut self) {
+    fn drain_wakeups(&mut self) {
         // The bytes say nothing; only that they came matters.
         while matches!(self.woken.read(&mut [0; 64]), Ok(n) if n > 0) {}
     }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -2,7 +2,7 @@
 //!
 //! Lines that find no room are dropped and counted. At the end of the process what waits is written for a moment, no longer.
 
-use gaugestand_settings::{Form, Level, Log};
+use gaugestand_settings::{LogFormat, LogLevel, LogSettings};
 use std::fmt;
 use std::io::Write;
 use std::sync::mpsc;
@@ -35,18 +35,18 @@
     }
 }
 
-fn level_filter(level: Level) -> LevelFilter {
+fn level_filter(level: LogLevel) -> LevelFilter {
     match level {
-        Level::Error => LevelFilter::ERROR,
-        Level::Warn => LevelFilter::WARN,
-        Level::Info => LevelFilter::INFO,
-        Level::Debug => LevelFilter::DEBUG,
+        LogLevel::Error => LevelFilter::ERROR,
+        LogLevel::Warn => LevelFilter::WARN,
+        LogLevel::Info => LevelFilter::INFO,
+        LogLevel::Debug => LevelFilter::DEBUG,
     }
 }
 
 impl Logs {
     /// Starts the thread; all lines of this process go through it from now on.
-    pub fn start(settings: Log) -> Self {
+    pub fn start(settings: LogSettings) -> Self {
         let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_WAITING_LINES);
         let (writer, guard) = builder.finish(std::io::stderr());
         let dropped = writer.error_counter();
@@ -59,14 +59,14 @@
         let registry = tracing_subscriber::registry().with(level);
         // A second start in one process would keep the first one's subscriber; there is none.
         let _ = match settings.form {
-            Form::Text => registry.with(lines).try_init(),
-            Form::Json => registry.with(lines.json().flatten_event(true)).try_init(),
+            LogFormat::Text => registry.with(lines).try_init(),
+            LogFormat::Json => registry.with(lines.json().flatten_event(true)).try_init(),
         };
         Logs(Some(LineWriter { writer, dropped, guard: Some(guard), level: handle }))
     }
 
     /// From now on lines of this level and above are written.
-    pub fn set_level(&self, level: Level) {
+    pub fn set_level(&self, level: LogLevel) {
         if let Some(lines) = &self.0 {
             // It can only fail once the subscriber is gone, and then nothing is written anyway.
             let _ = lines.level.reload(level_filter(level));
--- a/crates/node/src/peers/log_writer.rs
+++ b/crates/node/src/peers/log_writer.rs
@@ -51,7 +51,7 @@
 
     /// The worker has reported through the poller.
     pub fn on_ready(&mut self) {
-        self.worker.woken();
+        self.worker.drain_wakeups();
     }
 
     /// The sequence number of the next record that has become durable.
--- a/crates/node/src/peers/startup.rs
+++ b/crates/node/src/peers/startup.rs
@@ -13,7 +13,7 @@
 use gaugestand_cluster::version_gate::EnabledLists;
 use gaugestand_cluster::wire::FrameCodec;
 use gaugestand_idempotency::OpenError;
-use gaugestand_settings::{Fleet, Lists};
+use gaugestand_settings::{ClusterSettings, Lists};
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -82,7 +82,7 @@
 
 impl Identity {
     /// By name among the first members; a node that joins later has its number configured.
-    fn find(settings: &Fleet, name: &str) -> Result<Self, PeersError> {
+    fn find(settings: &ClusterSettings, name: &str) -> Result<Self, PeersError> {
         let place = settings.members.iter().position(|(member, _)| member == name);
         match (place, settings.number) {
             (Some(place), None) => {
@@ -107,13 +107,13 @@
 
 /// Fingerprint of what all nodes have to configure alike: names in their order, lease times, lists. It finds mistakes in
 /// configurations; it is no protection against an attacker.
-fn config_fingerprint(settings: &Fleet) -> u64 {
+fn config_fingerprint(settings: &ClusterSettings) -> u64 {
     let names: Vec<&str> = settings.members.iter().map(|(name, _)| name.as_str()).collect();
     let shared = json!([names, settings.contradict_ms, settings.drift_ppm, settings.lists]).to_string();
     shared.bytes().fold(FNV_OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
 
-fn lease_config(settings: &Fleet) -> Result<LeaseConfig, PeersError> {
+fn lease_config(settings: &ClusterSettings) -> Result<LeaseConfig, PeersError> {
     let duration = Micros::millis(settings.contradict_ms);
     let lease = LeaseConfig::new(settings.members.len(), duration, settings.drift_ppm)?;
     #[cfg(feature = "injected-defects")]
@@ -143,7 +143,7 @@
     /// ([`PeersError::Listen`]). The node cannot take part in its cluster.
     pub fn start(
         system: &S,
-        settings: &Fleet,
+        settings: &ClusterSettings,
         name: &str,
         seed: u64,
         keys: PollKeys,
@@ -152,8 +152,9 @@
         let lease = lease_config(settings)?;
         let names: Vec<String> = settings.members.iter().map(|(name, _)| name.clone()).collect();
         let owner = format!("node {name} of fleet {:?} ({})", settings.name, names.join(", "));
-        let (writer, found) =
-            system.consensus_log(&settings.path, &owner, keys.log_writer).map_err(PeersError::OpenLog)?;
+        let (writer, found) = system
+            .open_consensus_log(&settings.path, &owner, keys.log_writer)
+            .map_err(PeersError::OpenLog)?;
         let address = settings.listen.unwrap_or(own_address);
         let listener =
             system.listen(address, keys.listener).map_err(|error| PeersError::Listen { address, error })?;
--- a/crates/node/src/store/tests.rs
+++ b/crates/node/src/store/tests.rs
@@ -1,7 +1,7 @@
 //! Calls over loopback connections that are never accepted.
 
 use super::*;
-use crate::io::real::Real;
+use crate::io::real::OsSystem;
 use socket2::{Domain, Socket, Type};
 
 /// A listener whose queue is full: a connection to it is neither made nor refused. The sockets keep it so.
@@ -29,7 +29,7 @@
 #[test]
 fn a_call_that_timed_out_while_connecting_counts_as_never_run() {
     let (at, _kept) = listener_with_full_queue();
-    let system = Real::new().expect("a poller");
+    let system = OsSystem::new().expect("a poller");
     let mut store = Store::new(Some(at), 1, 2, &system);
     let mut counters = Counters::default();
     let timeout = Micros::millis(100);
--- a/crates/settings/src/builtins.rs
+++ b/crates/settings/src/builtins.rs
@@ -2,7 +2,9 @@
 
 use crate::error::CallError;
 use crate::fields::{Builtin, Field, FieldType, Values};
-use crate::settings::{Backend, Fleet, Form, Level, Lists, Record, Settings, Sync};
+use crate::settings::{
+    Backend, ClusterSettings, IdempotencyStoreSettings, Lists, LogFormat, LogLevel, Settings, SyncMode,
+};
 use starlark::collections::SmallMap;
 use starlark::environment::GlobalsBuilder;
 use starlark::starlark_module;
@@ -127,20 +129,20 @@
 
 fn set_log(settings: &mut Settings, values: &Values) {
     match values.text("form") {
-        Some("json") => settings.log.form = Form::Json,
-        Some(_) => settings.log.form = Form::Text,
+        Some("json") => settings.log.form = LogFormat::Json,
+        Some(_) => settings.log.form = LogFormat::Text,
         None => {}
     }
     settings.log.level = match values.text("level") {
-        Some("error") => Level::Error,
-        Some("warn") => Level::Warn,
-        Some("debug") => Level::Debug,
-        _ => Level::Info,
+        Some("error") => LogLevel::Error,
+        Some("warn") => LogLevel::Warn,
+        Some("debug") => LogLevel::Debug,
+        _ => LogLevel::Info,
     };
 }
 
-fn fleet_settings(values: &Values) -> anyhow::Result<Fleet> {
-    Ok(Fleet {
+fn fleet_settings(values: &Values) -> anyhow::Result<ClusterSettings> {
+    Ok(ClusterSettings {
         members: members(values.required_list("members")?)?,
         name: values.required_text("name")?.to_string(),
         number: values.int("number").and_then(|number| u8::try_from(number).ok()),
@@ -178,7 +180,7 @@
 const SQLITE_FIELDS: &[&str] = &["path", "sync"];
 const POSTGRES_FIELDS: &[&str] = &["address", "database", "user", "password_file"];
 
-fn record_settings(values: &Values) -> anyhow::Result<Record> {
+fn record_settings(values: &Values) -> anyhow::Result<IdempotencyStoreSettings> {
     let is_sqlite = values.required_text("backend")? == "sqlite";
     let (foreign_fields, foreign_backend) =
         if is_sqlite { (POSTGRES_FIELDS, "postgres") } else { (SQLITE_FIELDS, "sqlite") };
@@ -187,7 +189,7 @@
     }
     let backend = if is_sqlite { sqlite_backend(values)? } else { postgres_backend(values)? };
     let int = |name: &str, default: u64| values.int(name).unwrap_or(default);
-    Ok(Record {
+    Ok(IdempotencyStoreSettings {
         backend,
         entries: int("entries", 100_000) as usize,
         memory_mb: int("memory_mb", 16) as usize,
@@ -199,7 +201,7 @@
 
 fn sqlite_backend(values: &Values) -> Result<Backend, CallError> {
     let path = values.required_text("path")?.into();
-    let sync = if values.required_text("sync")? == "extra" { Sync::Extra } else { Sync::Full };
+    let sync = if values.required_text("sync")? == "extra" { SyncMode::Extra } else { SyncMode::Full };
     Ok(Backend::Sqlite { path, sync })
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -17,4 +17,7 @@
 
 pub use error::SettingsError;
 pub use script::{evaluate, load};
-pub use settings::{Backend, Fleet, Form, Level, Lists, Log, Record, Settings, Sync};
+pub use settings::{
+    Backend, ClusterSettings, IdempotencyStoreSettings, Lists, LogFormat, LogLevel, LogSettings, Settings,
+    SyncMode,
+};
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -8,16 +8,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Settings {
     /// The durable idempotency store; `None` keeps keys in memory alone.
-    pub record: Option<Record>,
+    pub record: Option<IdempotencyStoreSettings>,
     /// The cluster that this node is a member of; `None` for a node on its own.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<ClusterSettings>,
     /// The log.
-    pub log: Log,
+    pub log: LogSettings,
 }
 
 /// A cluster of nodes that agree on settings and lists.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Fleet {
+pub struct ClusterSettings {
     /// The name of the cluster, the same at all its nodes.
     pub name: String,
     /// Name and address of each founding member, in the same order at all nodes.
@@ -52,7 +52,7 @@
 
 /// The durable idempotency store.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Record {
+pub struct IdempotencyStoreSettings {
     /// Where rows are stored.
     #[serde(flatten)]
     pub backend: Backend,
@@ -77,7 +77,7 @@
         /// The file.
         path: PathBuf,
         /// When a commit counts as durable.
-        sync: Sync,
+        sync: SyncMode,
     },
     /// In a PostgreSQL database that several nodes may share.
     Postgres {
@@ -95,7 +95,7 @@
 /// When a commit counts as durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Sync {
+pub enum SyncMode {
     /// Once the write-ahead log is on disk.
     Full,
     /// Once the directory entry of the log is on disk too.
@@ -104,23 +104,23 @@
 
 /// How the log is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Log {
+pub struct LogSettings {
     /// The format of a line.
-    pub form: Form,
+    pub form: LogFormat,
     /// The least severe level that is written.
-    pub level: Level,
+    pub level: LogLevel,
 }
 
-impl Default for Log {
+impl Default for LogSettings {
     fn default() -> Self {
-        Log { form: Form::Text, level: Level::Info }
+        LogSettings { form: LogFormat::Text, level: LogLevel::Info }
     }
 }
 
 /// The format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Form {
+pub enum LogFormat {
     /// Text for people.
     Text,
     /// One JSON object a line.
@@ -130,7 +130,7 @@
 /// The severity of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Level {
+pub enum LogLevel {
     /// Something does not work.
     Error,
     /// Something may soon stop working.
--- a/crates/settings/tests/script.rs
+++ b/crates/settings/tests/script.rs
@@ -11,7 +11,7 @@
     let s = sound(r#"record(backend = "sqlite", path = "/var/lib/gaugestand/record.db", sync = "full")"#);
     let record = s.record.expect("a store");
     let path = "/var/lib/gaugestand/record.db".into();
-    assert_eq!(record.backend, Backend::Sqlite { path, sync: Sync::Full });
+    assert_eq!(record.backend, Backend::Sqlite { path, sync: SyncMode::Full });
     assert_eq!((record.entries, record.batch, record.stall_ms), (100_000, 512, 250));
     let s = sound(
         "host = '10.0.0.7'\nrecord(backend = 'postgres', address = host + ':5432', database = 'gs', \
@@ -20,7 +20,7 @@
     let record = s.record.expect("a store");
     let Backend::Postgres { address, database, .. } = record.backend else { panic!("another backend") };
     assert_eq!((address.port(), database.as_str(), record.stall_ms), (5432, "gs", 400));
-    assert_eq!(s.log, Log { form: Form::Json, level: Level::Warn });
+    assert_eq!(s.log, LogSettings { form: LogFormat::Json, level: LogLevel::Warn });
     assert_eq!(sound(""), Settings::default());
 }
 
--- a/crates/simulation/src/system.rs
+++ b/crates/simulation/src/system.rs
@@ -54,11 +54,22 @@
         Ok(VirtualSignals { net: self.0.clone(), key })
     }
 
-    fn store(&self, path: &Path, _: &Options, _: usize, _: usize) -> Result<(NoWorker, Recovery), OpenError> {
+    fn open_idempotency_store(
+        &self,
+        path: &Path,
+        _: &Options,
+        _: usize,
+        _: usize,
+    ) -> Result<(NoWorker, Recovery), OpenError> {
         Err(OpenError::NoDisk(path.to_path_buf()))
     }
 
-    fn consensus_log(&self, path: &Path, _: &str, _: usize) -> Result<(NoWorker, RecoveredLog), OpenError> {
+    fn open_consensus_log(
+        &self,
+        path: &Path,
+        _: &str,
+        _: usize,
+    ) -> Result<(NoWorker, RecoveredLog), OpenError> {
         Err(OpenError::NoDisk(path.to_path_buf()))
     }
 
@@ -265,5 +276,5 @@
         true
     }
 
-    fn woken(&mut self) {}
+    fn drain_wakeups(&mut self) {}
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,7 +9,7 @@
 use bpaf::{OptionParser, Parser, construct, long, positional, pure};
 use gaugestand_node as node;
 use gaugestand_node::config::ConfigError;
-use gaugestand_node::io::real::Real;
+use gaugestand_node::io::real::OsSystem;
 use gaugestand_node::log::Logs;
 use idempotency_command::{Target, Task};
 use std::io::Write as _;
@@ -169,7 +169,7 @@
 fn serve(settings: Option<PathBuf>) -> Result<(), Failure> {
     let config = node::config::load(settings.as_deref())?;
     let name = config.name.clone();
-    let system = Real::new().map_err(|error| Failure::Start(format!("poller: {error}")))?;
+    let system = OsSystem::new().map_err(|error| Failure::Start(format!("poller: {error}")))?;
     let logs = Logs::start(config.operators.log);
     let mut node = node::event_loop::Node::start(system, config, logs)
         .map_err(|error| Failure::Start(error.to_string()))?;
