--- a/crates/node/src/io/handover_socket.rs
+++ b/crates/node/src/io/handover_socket.rs
@@ -1,7 +1,7 @@
-//! The hand-over link on the machine: Unix sockets in a folder that processes of one node share, descriptors that are
-//! passed along with bytes, and a locked file as the service lock.
+//! The hand-over between processes of one node on a real operating system: Unix sockets in a folder that the
+//! processes share, descriptors that are passed along with bytes, and a locked file as the service lock.
 //!
-//! Sockets, files and processes of another user are never used.
+//! Sockets, files and processes that belong to another user are refused.
 
 use super::poll::Watched;
 use super::tcp::{self, WatchedListener};
@@ -23,29 +23,31 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Descriptors that one read can receive. A sender passes one with each message, and a read may span several.
+/// Most descriptors that one read can receive. A sender passes at most one with each message, and one read
+/// may span several messages.
 const MAX_DESCRIPTORS_PER_READ: usize = 4;
-/// The flag of `open` that refuses a symbolic link as the last part of a path (Linux).
+/// Linux value of the `open` flag that refuses a symbolic link as the last part of the path.
 const O_NOFOLLOW: i32 = 0o400_000;
 
-/// A link to another process of this node.
+/// A connection to another process of this node, over a Unix socket.
 #[derive(Debug)]
 pub struct UnixHandoverLink {
     stream: Watched<UnixStream>,
     poller: Rc<Poller>,
-    /// Descriptors that were received and not yet taken, in order.
+    /// Descriptors that were received and not yet taken, in the order of arrival.
     received: VecDeque<OwnedFd>,
 }
 
 impl UnixHandoverLink {
-    /// Connects to the process that listens at this path.
+    /// Connects to the process that listens at `path`. The poller reports the connection under `key`.
     pub(super) fn connect(poller: &Rc<Poller>, path: &Path, key: usize) -> io::Result<Self> {
         check_owner(path)?;
         Self::new(poller, UnixStream::connect(path)?, key)
     }
 
     fn new(poller: &Rc<Poller>, stream: UnixStream, key: usize) -> io::Result<Self> {
-        // Guards against a process of another user at a socket that this one may connect to.
+        // The owner of the socket file says nothing about the process at the other end: a process of another
+        // user may use a socket that this process may use too.
         if sockopt::socket_peercred(&stream)?.uid != geteuid() {
             return Err(foreign_owner());
         }
@@ -81,7 +83,7 @@
             return Err(io::ErrorKind::InvalidInput.into());
         }
         match sendmsg(self.stream.as_fd(), &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL) {
-            // The system limits the descriptors in flight: the other side has to read first.
+            // Linux limits the number of descriptors in flight: the other process has to read some first.
             Err(rustix::io::Errno::TOOMANYREFS) => Err(io::ErrorKind::WouldBlock.into()),
             other => Ok(other?),
         }
@@ -97,7 +99,7 @@
                 self.received.extend(descriptors);
             }
         }
-        // Guards against taking one connection for another after the system dropped descriptors.
+        // The system dropped descriptors: the remaining ones would be matched to the wrong connections.
         if received.flags.contains(ReturnFlags::CTRUNC) {
             return Err(io::ErrorKind::InvalidData.into());
         }
@@ -119,7 +121,7 @@
     }
 }
 
-/// A Unix socket that other processes of this node connect to.
+/// A listening Unix socket that other processes of this node connect to.
 #[derive(Debug)]
 pub struct UnixHandoverListener {
     listener: Watched<UnixListener>,
@@ -127,7 +129,8 @@
 }
 
 impl UnixHandoverListener {
-    /// Listens at this path, in place of a socket that an earlier process has left there.
+    /// Listens at `path`, in place of a socket file that an earlier process left there. The poller reports
+    /// the listener under `key`.
     pub(super) fn bind(poller: &Rc<Poller>, path: &Path, key: usize) -> io::Result<Self> {
         match check_owner(path) {
             Ok(()) => fs::remove_file(path)?,
@@ -158,14 +161,15 @@
     }
 }
 
-/// A locked file. Its length is the number of generation marks.
+/// The service lock: a locked file, whose length in bytes is the number of generation marks.
 #[derive(Debug)]
 pub struct FileLock {
     file: File,
 }
 
 impl FileLock {
-    /// Locks the file, unless another process has locked it.
+    /// Locks the file at `path`, which is created if it does not exist. Returns `None` if another process has
+    /// locked it.
     pub(super) fn try_acquire(path: &Path) -> io::Result<Option<Self>> {
         let mut options = File::options();
         options.create(true).append(true).mode(0o600).custom_flags(O_NOFOLLOW);
@@ -191,12 +195,15 @@
     }
 }
 
-/// Refuses a path that belongs to another user.
+/// Returns an error if the file at `path` belongs to another user. Does not follow a symbolic link.
 fn check_owner(path: &Path) -> io::Result<()> {
     let owner = fs::symlink_metadata(path)?.uid();
     if owner == geteuid().as_raw() { Ok(()) } else { Err(foreign_owner()) }
 }
 
 fn foreign_owner() -> io::Error {
-    io::Error::new(io::ErrorKind::PermissionDenied, "it is another user's")
+    io::Error::new(
+        io::ErrorKind::PermissionDenied,
+        "belongs to another user; expected the user that runs this process",
+    )
 }
--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -1,9 +1,10 @@
-//! A connection that this node makes to a peer which may be absent, late or drop: the kernel, the store, a database, other
-//! nodes.
+//! A connection between this node and a remote end that may be absent, slow or lose the connection: the
+//! kernel, the store, a database or another node. The comments of this module call each of these a peer.
 //!
-//! It connects again after a failure, with exponential backoff, and parts a peer that could not be reached, to which nothing was
-//! sent, from a connection that broke, which proves nothing of what was sent. It knows no protocol and keeps nothing over a
-//! reconnect: what has to be sent again is its owner's to know. Both buffers are bounded.
+//! A link connects again after a failure, with exponential backoff. It distinguishes a peer that could not be
+//! reached, to which nothing was sent, from a connection that broke, after which it is unknown what the peer
+//! has received. A link knows no protocol and keeps nothing across a reconnect: its owner has to know what
+//! must be sent again. The input buffer and the output buffer are bounded.
 
 use super::{Stream, System};
 use crate::write_queue::WriteQueue;
@@ -11,62 +12,66 @@
 use std::io::{self, Read};
 use std::net::SocketAddr;
 
-/// Time from a failure to the next attempt to connect, which doubles with each: a peer that restarts is back within tens of
-/// milliseconds.
+/// Delay from a first failure to the next attempt to connect; it doubles with each further failure. A peer
+/// that restarts is connected again within tens of milliseconds.
 const MIN_RETRY_DELAY: Micros = Micros::millis(20);
-/// Longest such time: a peer that was away for long is found within this.
+/// Longest delay from a failure to the next attempt to connect: a peer that was away for long is found within
+/// this time.
 const MAX_RETRY_DELAY: Micros = Micros::millis(500);
-/// A connection that is not made by then has failed.
+/// Longest time that an attempt to connect may take. An attempt that takes longer has failed.
 pub const CONNECT_TIMEOUT: Micros = Micros::millis(2000);
 /// Most bytes read by one system call.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes of input that end the reading of one iteration, so that a peer that sends without end does not hold up the loop.
+/// Length of the input buffer, in bytes, at which an iteration stops reading, so that a peer that sends
+/// without end does not hold up the event loop.
 const MAX_INPUT_BYTES: usize = 1 << 20;
-/// Most bytes that may wait to be written. Beyond it the link breaks, as its peer does not read.
+/// Most bytes that may wait to be written after a flush. A link with more is closed, as its peer does not
+/// read.
 const MAX_UNWRITTEN_BYTES: usize = 4 << 20;
 
 #[derive(Debug)]
 enum State<T> {
     Down,
-    /// Being made, since then.
+    /// An attempt to connect is under way; it began at this time.
     Connecting(T, Timestamp),
     Up(T),
 }
 
-/// How a link has changed.
+/// A change of the state of a link, returned to its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It is up.
+    /// The connection is established.
     Up,
-    /// The peer could not be reached: nothing was sent.
+    /// The attempt to connect failed, and nothing was sent to the peer.
     Unreachable,
-    /// It broke, or the peer closed it.
+    /// The connection broke, or the peer closed it; it is unknown what the peer has received.
     Broken,
 }
 
-/// One link, with its buffers.
+/// A connection to one peer, with its input buffer and output buffer.
 #[derive(Debug)]
 pub struct Link<S: System> {
     address: SocketAddr,
     key: usize,
     system: S,
     state: State<S::Stream>,
-    /// No attempt to connect before.
+    /// Earliest time of the next attempt to connect.
     retry_at: Timestamp,
-    /// The delay after the next failure.
+    /// Delay that follows the next failed attempt to connect.
     retry_delay: Micros,
     input: Vec<u8>,
     output: WriteQueue,
-    /// Bytes queued since the link is up.
+    /// Number of bytes queued since the connection was established.
     queued_bytes: u64,
-    /// How many of those were written when it last went down.
+    /// How many bytes of the last connection had been written when it ended.
     written_before_down: u64,
-    /// The peer has closed; what it sent before is still to be taken.
+    /// The peer has closed the connection, or its owner has severed it: the next flush ends it. Until then
+    /// the owner can take the input that remains.
     peer_closed: bool,
 }
 
 impl<S: System> Link<S> {
-    /// A link that is down.
+    /// Creates a link that is down. The poller reports its connection under `key`.
     pub fn new(address: SocketAddr, key: usize, system: &S) -> Self {
         Link {
             address,
@@ -83,12 +88,13 @@
         }
     }
 
-    /// A link that the peer made: it is up, and once it is down it stays so.
+    /// Creates a link that is up, from a connection that the peer has made. Once it is down, its owner does
+    /// not connect it again.
     pub fn accepted(stream: S::Stream, from: SocketAddr, key: usize, system: &S) -> Self {
         Link { state: State::Up(stream), ..Link::new(from, key, system) }
     }
 
-    /// Bytes that wait to be written.
+    /// Number of bytes that wait to be written.
     pub fn waiting(&self) -> usize {
         self.output.len()
     }
@@ -98,17 +104,18 @@
         self.address
     }
 
-    /// Whether it is up.
+    /// Whether the connection is established.
     pub fn is_up(&self) -> bool {
         matches!(self.state, State::Up(_))
     }
 
-    /// Whether it is neither up nor being made.
+    /// Whether the link is neither connected nor connecting.
     pub fn is_down(&self) -> bool {
         matches!(self.state, State::Down)
     }
 
-    /// Starts to connect, unless that failed a moment ago.
+    /// Starts to connect if the link is down and the delay after the last failure is over. Returns a change
+    /// if the attempt fails at once.
     pub fn connect(&mut self, now: Timestamp) -> Option<Change> {
         if !self.is_down() || now < self.retry_at {
             return None;
@@ -139,13 +146,14 @@
         Change::Unreachable
     }
 
-    /// Breaks it off at the end of the iteration, as if the peer had closed.
+    /// Discards the input and has the next [`Link::flush`] end the connection, as if the peer had closed it.
     pub fn sever(&mut self) {
         self.input.clear();
         self.peer_closed = true;
     }
 
-    /// When it needs attention although nothing comes; `wanted` if it should be up.
+    /// Time at which the owner has to act if no event comes before: to end a slow attempt to connect, or, if
+    /// the link is `wanted`, to connect again.
     pub fn next_wakeup(&self, wanted: bool) -> Option<Timestamp> {
         match &self.state {
             State::Connecting(_, since) => Some(since.plus(CONNECT_TIMEOUT)),
@@ -154,7 +162,7 @@
         }
     }
 
-    /// Gives up a connection that is not made in time.
+    /// Ends an attempt to connect that has taken [`CONNECT_TIMEOUT`] or longer.
     pub fn on_timer(&mut self, now: Timestamp) -> Option<Change> {
         match &self.state {
             State::Connecting(_, since) if now.since(*since) >= CONNECT_TIMEOUT => Some(self.fail(now)),
@@ -162,7 +170,8 @@
         }
     }
 
-    /// Queues bytes, if it is up; returns the place in the stream at which they start, for [`Link::written`].
+    /// Queues bytes if the link is up, and drops them otherwise. Returns the position of the first byte in
+    /// the stream, to be compared with [`Link::written`].
     pub fn send(&mut self, bytes: Vec<u8>) -> u64 {
         let position = self.queued_bytes;
         if self.is_up() {
@@ -172,12 +181,13 @@
         position
     }
 
-    /// How much of the stream, of the last one if it is down, was handed to the system.
+    /// Number of bytes of the current connection, or of the last one if the link is down, that were handed to
+    /// the operating system.
     pub fn written(&self) -> u64 {
         if self.is_up() { self.queued_bytes - self.output.len() as u64 } else { self.written_before_down }
     }
 
-    /// The poller has something for this link.
+    /// Handles a readiness event of this link: completes an attempt to connect, or reads what has arrived.
     pub fn ready(&mut self, now: Timestamp, readable: bool, writable: bool) -> Option<Change> {
         if let State::Connecting(stream, _) = &self.state {
             if !writable && !readable {
@@ -194,13 +204,14 @@
             self.retry_delay = MIN_RETRY_DELAY;
             return Some(Change::Up);
         }
-        // Guards against losing what a peer sent just before it closed: the owner takes the input first, and
-        // the link counts as broken with the flush at the end of the iteration.
+        // What the peer sent just before it closed must not be lost: the owner takes the input first, and
+        // only the flush at the end of the iteration reports the connection as broken.
         self.peer_closed |= readable && self.read().is_err();
         None
     }
 
-    /// Reads what is there, up to a bound; an end of the stream is an error like others.
+    /// Reads what has arrived, until the input buffer holds [`MAX_INPUT_BYTES`]. An end of the stream is
+    /// returned as an error.
     fn read(&mut self) -> io::Result<()> {
         let State::Up(stream) = &mut self.state else { return Ok(()) };
         let mut chunk = [0; READ_CHUNK_BYTES];
@@ -220,17 +231,18 @@
         }
     }
 
-    /// What was read and not yet taken.
+    /// The bytes that were read and not yet consumed.
     pub fn input(&self) -> &[u8] {
         &self.input
     }
 
-    /// Takes bytes off the front of the input.
+    /// Removes this many bytes from the front of the input buffer.
     pub fn consume(&mut self, bytes: usize) {
         self.input.drain(..bytes.min(self.input.len()));
     }
 
-    /// Ends an iteration: writes what can be written, and gives up a link that the peer has closed.
+    /// Called at the end of each iteration: writes what the connection takes, and ends a connection that the
+    /// peer has closed or that has more than [`MAX_UNWRITTEN_BYTES`] left to write.
     pub fn flush(&mut self, now: Timestamp) -> Option<Change> {
         if self.peer_closed {
             return Some(self.fail(now));
--- a/crates/node/src/io/poll.rs
+++ b/crates/node/src/io/poll.rs
@@ -1,6 +1,8 @@
-//! Registration of descriptors with the poller: the one place with unsafe code.
+//! Registration of descriptors with the poller, and the wait for their events. This is the only module with
+//! unsafe code.
 //!
-//! A [`Watched`] descriptor is registered exactly as long as it is open, which is what the poller's safety asks for.
+//! A [`Watched`] descriptor is registered exactly as long as it is open, as the safety contract of the poller
+//! requires.
 
 use super::Ready;
 use gaugestand_admission::time::Micros;
@@ -24,23 +26,26 @@
 }
 
 impl<S: AsSource + AsRawFd> Watched<S> {
-    /// Watches `source`, level-triggered, under `key`.
+    /// Registers `source` under `key`, level-triggered, for the readiness to read and to write that is asked
+    /// for.
     ///
     /// # Errors
-    /// The poller cannot watch the source, for example as a limit of the system is reached. The source is
-    /// closed.
+    /// The poller cannot watch the source, for example because a limit of the system is reached. The
+    /// source is closed.
     #[allow(unsafe_code)]
     pub fn new(poller: &Rc<Poller>, source: S, key: usize, reading: bool, writing: bool) -> io::Result<Self> {
         let interest = Event::new(key, reading, writing);
-        // SAFETY: the source must be deleted from the poller before it is closed. This value owns it, hands
-        // out no way to take it, and deletes it when dropped, before the source itself is dropped.
+        // SAFETY: the source must be deleted from the poller before it is closed. This value owns the source
+        // and gives no access by which it could be moved out. When this value is dropped, it deletes the
+        // source from the poller before the source itself is dropped.
         unsafe { poller.add_with_mode(&source, interest, PollMode::Level)? };
         Ok(Watched { source, poller: poller.clone(), key, reading, writing })
     }
 }
 
 impl<S: AsSource> Watched<S> {
-    /// Changes what is watched for, if it differs.
+    /// Sets whether the source is watched for reading and for writing. Makes no system call if nothing
+    /// changes.
     ///
     /// # Errors
     /// The poller does not accept the change; the source is watched as before.
@@ -70,7 +75,7 @@
 
 impl<S: AsSource> Drop for Watched<S> {
     fn drop(&mut self) {
-        // It can only fail for a descriptor that is not watched, and this one is.
+        // Deletion can only fail for a descriptor that is not registered, and this one is.
         let _ = self.poller.delete(&self.source);
     }
 }
@@ -78,18 +83,21 @@
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const NANOS_PER_MICRO: u64 = 1_000;
 
-/// Most events taken in one iteration; what is left comes with the next, in the order of the system's list.
+/// Most events taken in one iteration. The others are taken in the next iterations, in the order of the
+/// operating system's list.
 const MAX_EVENTS: usize = 256;
 
 thread_local! {
-    /// Room for the events of one iteration, so that no wait allocates.
+    /// Buffer for the events of one iteration, so that a wait allocates no memory.
     static EVENTS: RefCell<Vec<epoll::Event>> = RefCell::new(Vec::with_capacity(MAX_EVENTS));
 }
 
-/// Waits until something is ready, for this long at most; an interruption by a signal ends the wait with nothing.
+/// Waits until a source is ready, for `timeout` at most, and replaces the content of `ready` with the events.
+/// A signal ends the wait early, without events.
 ///
-/// The poller's own wait arms a timer descriptor, its interest, and that of a descriptor for notices to other threads,
-/// anew each time: four calls that this loop has no use for, which it does without.
+/// This function replaces the poller's own wait, which on each call sets a timer descriptor, and registers
+/// again its interest in that descriptor and in the one by which other threads notify the poller: four system
+/// calls that the event loop does not need.
 ///
 /// # Errors
 /// The system's poller fails for a reason other than a signal; nothing is reported as ready.
@@ -107,7 +115,8 @@
         }
         ready.extend(events.iter().map(|event| {
             let flags = event.flags;
-            // An error, or the end of a direction, shows in the result of reading and of writing.
+            // A source with an error or a hang-up counts as readable and writable: the next read or write
+            // reports it.
             let ended = EventFlags::HUP | EventFlags::ERR;
             Ready {
                 key: event.data.u64() as usize,
--- a/crates/node/src/io/real.rs
+++ b/crates/node/src/io/real.rs
@@ -1,4 +1,4 @@
-//! The machine that the program runs on: its sockets, clocks and signals, by polling, socket2 and rustix.
+//! [`System`] for the real operating system: its sockets, clocks, signals and worker threads.
 
 use super::handover_socket::{FileLock, UnixHandoverLink, UnixHandoverListener};
 use super::poll::{Watched, wait};
@@ -21,50 +21,52 @@
 use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The connection is being made.
+/// Linux error number of a non-blocking `connect` whose connection is still being made.
 const EINPROGRESS: i32 = 115;
 
-/// The machine.
+/// The real operating system, with the poller and the clock that all clones of the value share.
 #[derive(Clone, Debug)]
 pub struct OsSystem {
     poller: Rc<Poller>,
+    /// When the value was created, on the machine's own monotonic clock.
     origin: Instant,
-    /// What the monotonic clock read at `origin`.
-    base: Rc<Cell<Timestamp>>,
+    /// The node's monotonic time at `origin`. [`System::align_clock`] raises it.
+    mono_at_origin: Rc<Cell<Timestamp>>,
 }
 
 impl OsSystem {
-    /// The machine, with nothing watched yet.
+    /// Creates the value and its poller, with no source registered.
     ///
     /// # Errors
-    /// The system has no descriptor for a poller.
+    /// The operating system cannot create the poller, for example because no descriptor is left.
     pub fn new() -> io::Result<Self> {
-        let base = Rc::new(Cell::new(super::clock::ORIGIN));
-        Ok(OsSystem { poller: Rc::new(Poller::new()?), origin: Instant::now(), base })
+        let mono_at_origin = Rc::new(Cell::new(super::clock::ORIGIN));
+        Ok(OsSystem { poller: Rc::new(Poller::new()?), origin: Instant::now(), mono_at_origin })
     }
 
-    /// A thread that does a file's blocking work.
-    fn worker(&self, backend: impl worker::Backend, key: usize) -> io::Result<Thread> {
-        let (ours, theirs) = UnixStream::pair()?;
-        ours.set_nonblocking(true)?;
-        let woken = Pipe(Watched::new(&self.poller, ours, key, true, false)?);
-        Ok(Thread { worker: worker::Worker::start(backend, theirs)?, woken })
+    /// Starts a worker thread that does the blocking work of `backend`. Its wake-ups are reported under
+    /// `key`.
+    fn worker(&self, backend: impl worker::Backend, key: usize) -> io::Result<WorkerThread> {
+        let (receiver, sender) = UnixStream::pair()?;
+        receiver.set_nonblocking(true)?;
+        let wakeups = WakeupReceiver(Watched::new(&self.poller, receiver, key, true, false)?);
+        Ok(WorkerThread { worker: worker::Worker::start(backend, sender)?, wakeups })
     }
 }
 
 impl System for OsSystem {
     type Stream = Watched<TcpStream>;
     type Listener = WatchedListener;
-    type Datagram = Reports;
-    type Signals = Pipe;
-    type Worker = Thread;
+    type Datagram = UdpSender;
+    type Signals = WakeupReceiver;
+    type Worker = WorkerThread;
     type HandoverLink = UnixHandoverLink;
     type HandoverListener = UnixHandoverListener;
     type ServiceLock = FileLock;
 
     fn moment(&self) -> Moment {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let mono = self.base.get().plus(Micros(self.origin.elapsed().as_micros() as u64));
+        let mono = self.mono_at_origin.get().plus(Micros(self.origin.elapsed().as_micros() as u64));
         Moment { mono, wall: UnixTime(unix.as_micros() as u64) }
     }
 
@@ -83,36 +85,36 @@
         }
     }
 
-    fn datagram(&self, to: SocketAddr) -> io::Result<Reports> {
+    fn datagram(&self, to: SocketAddr) -> io::Result<UdpSender> {
         let any: SocketAddr = match to {
             SocketAddr::V4(_) => (Ipv4Addr::UNSPECIFIED, 0).into(),
             SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
         };
         let socket = UdpSocket::bind(any)?;
         socket.set_nonblocking(true)?;
-        Ok(Reports { to, socket })
+        Ok(UdpSender { to, socket })
     }
 
-    fn signals(&self, key: usize, signals: &[i32]) -> io::Result<Pipe> {
-        let (ours, theirs) = UnixStream::pair()?;
-        ours.set_nonblocking(true)?;
+    fn signals(&self, key: usize, signals: &[i32]) -> io::Result<WakeupReceiver> {
+        let (receiver, sender) = UnixStream::pair()?;
+        receiver.set_nonblocking(true)?;
         for signal in signals {
-            signal_hook::low_level::pipe::register(*signal, theirs.try_clone()?)?;
+            signal_hook::low_level::pipe::register(*signal, sender.try_clone()?)?;
         }
-        Ok(Pipe(Watched::new(&self.poller, ours, key, true, false)?))
+        Ok(WakeupReceiver(Watched::new(&self.poller, receiver, key, true, false)?))
     }
 
     fn open_idempotency_store(
         &self,
         path: &Path,
         options: &Options,
-        most_rows: usize,
+        max_rows: usize,
         key: usize,
-    ) -> Result<(Thread, Recovery), OpenError> {
+    ) -> Result<(WorkerThread, Recovery), OpenError> {
         let store = Sqlite::open(path, options)?;
-        let found = store.recover(path, most_rows)?;
+        let recovered = store.recover(path, max_rows)?;
         let worker = self.worker(store, key);
-        Ok((worker.map_err(|error| OpenError::Thread { kind: sqlite::KIND, error })?, found))
+        Ok((worker.map_err(|error| OpenError::Thread { kind: sqlite::KIND, error })?, recovered))
     }
 
     fn open_consensus_log(
@@ -120,10 +122,10 @@
         path: &Path,
         owner: &str,
         key: usize,
-    ) -> Result<(Thread, RecoveredLog), OpenError> {
-        let (consensus_log, found) = ConsensusLog::open(path, owner, &Options::default())?;
+    ) -> Result<(WorkerThread, RecoveredLog), OpenError> {
+        let (consensus_log, recovered) = ConsensusLog::open(path, owner, &Options::default())?;
         let worker = self.worker(consensus_log, key);
-        Ok((worker.map_err(|error| OpenError::Thread { kind: consensus_log::KIND, error })?, found))
+        Ok((worker.map_err(|error| OpenError::Thread { kind: consensus_log::KIND, error })?, recovered))
     }
 
     fn listen_for_handover(&self, path: &Path, key: usize) -> io::Result<UnixHandoverListener> {
@@ -139,48 +141,49 @@
     }
 
     fn align_clock(&self, other: Moment) {
-        let here = self.moment();
-        let there = other.mono.plus(here.wall.since(other.wall));
-        // Forward only: times that were read before stay in the past.
-        self.base.set(self.base.get().plus(there.since(here.mono)));
+        let own = self.moment();
+        let other_mono_now = other.mono.plus(own.wall.since(other.wall));
+        // The clock only moves forward, so that times that were read before stay in the past.
+        self.mono_at_origin.set(self.mono_at_origin.get().plus(other_mono_now.since(own.mono)));
     }
 
-    fn wait(&self, most: Micros, ready: &mut Vec<Ready>) -> io::Result<()> {
-        wait(&self.poller, most, ready)
+    fn wait(&self, timeout: Micros, ready: &mut Vec<Ready>) -> io::Result<()> {
+        wait(&self.poller, timeout, ready)
     }
 }
 
-/// A socket for datagrams to one address.
+/// A UDP socket that sends to one address.
 #[derive(Debug)]
-pub struct Reports {
+pub struct UdpSender {
     to: SocketAddr,
     socket: UdpSocket,
 }
 
-impl Datagram for Reports {
+impl Datagram for UdpSender {
     fn send(&self, bytes: &[u8]) -> io::Result<()> {
         self.socket.send_to(bytes, self.to).map(|_| ())
     }
 }
 
-/// The reading end of a pipe that only wakes.
+/// The receiving end of a socket pair. Its bytes carry no information; they wake the event loop because a
+/// signal has arrived or a worker thread has an outcome.
 #[derive(Debug)]
-pub struct Pipe(Watched<UnixStream>);
+pub struct WakeupReceiver(Watched<UnixStream>);
 
-impl Read for Pipe {
+impl Read for WakeupReceiver {
     fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
         self.0.read(buf)
     }
 }
 
-/// A store of record on a thread of its own.
+/// An idempotency store or a consensus log, whose blocking work a thread of its own does.
 #[derive(Debug)]
-pub struct Thread {
+pub struct WorkerThread {
     worker: worker::Worker,
-    woken: Pipe,
+    wakeups: WakeupReceiver,
 }
 
-impl Worker for Thread {
+impl Worker for WorkerThread {
     fn submit(&mut self, batch: Batch) -> Result<(), Batch> {
         self.worker.submit(batch)
     }
@@ -194,7 +197,7 @@
     }
 
     fn drain_wakeups(&mut self) {
-        // The bytes say nothing; only that they came matters.
-        while matches!(self.woken.read(&mut [0; 64]), Ok(n) if n > 0) {}
+        // Only the arrival of the bytes matters; they are read so that the poller stops reporting them.
+        while matches!(self.wakeups.read(&mut [0; 64]), Ok(n) if n > 0) {}
     }
 }
--- a/crates/node/src/io/tcp.rs
+++ b/crates/node/src/io/tcp.rs
@@ -1,7 +1,8 @@
-//! TCP sockets that a poller watches: connections and listeners, however they were made.
+//! TCP sockets that the poller watches: connections and listeners.
 //!
-//! The machine ([`super::real`]) makes them; the hand-over link ([`super::handover_socket`]) receives them from another
-//! process. Both set them up here, so that a socket behaves alike in either case.
+//! A socket is made in this process ([`super::real`]) or received from another process over the hand-over
+//! link ([`super::handover_socket`]). Both modules set sockets up through this one, so that all sockets
+//! behave alike.
 
 use super::poll::Watched;
 use super::{Listener, Stream};
@@ -10,7 +11,8 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Sets up a connection, watched for reading and, if asked for, writing.
+/// Sets up a connection: makes it non-blocking, turns off Nagle's algorithm, and registers it under `key` for
+/// reading and, if `writing`, for writing.
 pub(super) fn watch_stream(
     poller: &Rc<Poller>,
     stream: TcpStream,
@@ -22,7 +24,7 @@
     Watched::new(poller, stream, key, true, writing)
 }
 
-/// A listening TCP socket.
+/// A listening TCP socket that the poller watches.
 #[derive(Debug)]
 pub struct WatchedListener {
     listener: Watched<TcpListener>,
@@ -30,7 +32,8 @@
 }
 
 impl WatchedListener {
-    /// Sets up a listener, watched if `reading`.
+    /// Makes a listener non-blocking and registers it under `key`; waiting connections are reported if
+    /// `reading`.
     pub(super) fn new(
         poller: &Rc<Poller>,
         listener: TcpListener,
@@ -42,7 +45,7 @@
         Ok(WatchedListener { listener, poller: poller.clone() })
     }
 
-    /// The socket itself, to be passed to another process.
+    /// The listening socket, for passing it to another process.
     pub(super) fn socket(&self) -> &TcpListener {
         &self.listener
     }
@@ -53,7 +56,7 @@
 
     fn accept(&self, key: usize) -> io::Result<Self::Stream> {
         let (stream, _) = self.listener.accept()?;
-        // One that cannot be set up is dropped; the next may do better.
+        // A connection that cannot be set up is closed; the next one may succeed.
         watch_stream(&self.poller, stream, key, false).map_err(|_| io::ErrorKind::ConnectionAborted.into())
     }
 
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,6 +1,8 @@
-//! Log lines to standard error, written by a thread of their own: a reader that stalls costs lines and not the loop's time.
+//! The log of the process on standard error. A thread of its own writes the lines, so that a stalled reader
+//! of standard error causes lost lines but never delays the event loop.
 //!
-//! Lines that find no room are dropped and counted. At the end of the process what waits is written for a moment, no longer.
+//! Lines that find the queue full are dropped and counted. At the end of the process, the queued lines are
+//! written for a limited time.
 
 use gaugestand_settings::{LogFormat, LogLevel, LogSettings};
 use std::fmt;
@@ -13,12 +15,14 @@
 use tracing_subscriber::prelude::*;
 use tracing_subscriber::{Registry, reload};
 
-/// Most lines that wait for a reader: a burst of warnings, in little memory.
+/// Most lines that wait to be written: enough for a burst of warnings, in little memory.
 const MAX_WAITING_LINES: usize = 256;
-/// Longest wait at the end of the process for lines that are still to be written. A drain must not wait for a reader.
+/// Longest time that the end of the process waits for queued lines to be written. A drain must not wait for a
+/// stalled reader of standard error.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The writer to standard error, for as long as this lives. The default writes nowhere.
+/// The log of this process, which writes to standard error for as long as this value lives. The default value
+/// writes nothing.
 #[derive(Default)]
 pub struct Logs(Option<LineWriter>);
 
@@ -45,7 +49,7 @@
 }
 
 impl Logs {
-    /// Starts the thread; all lines of this process go through it from now on.
+    /// Starts the writer thread. From then on, all log lines of this process go through it.
     pub fn start(settings: LogSettings) -> Self {
         let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_WAITING_LINES);
         let (writer, guard) = builder.finish(std::io::stderr());
@@ -57,7 +61,8 @@
             .with_target(false)
             .with_writer(move || line_writer.clone());
         let registry = tracing_subscriber::registry().with(level);
-        // A second start in one process would keep the first one's subscriber; there is none.
+        // `try_init` fails only if this process already has a subscriber, which then stays in use. A process
+        // starts its log once.
         let _ = match settings.form {
             LogFormat::Text => registry.with(lines).try_init(),
             LogFormat::Json => registry.with(lines.json().flatten_event(true)).try_init(),
@@ -65,20 +70,21 @@
         Logs(Some(LineWriter { writer, dropped, guard: Some(guard), level: handle }))
     }
 
-    /// From now on lines of this level and above are written.
+    /// Sets the least severe level that is written from now on.
     pub fn set_level(&self, level: LogLevel) {
         if let Some(lines) = &self.0 {
-            // It can only fail once the subscriber is gone, and then nothing is written anyway.
+            // The reload can only fail once the subscriber is gone, and then nothing is written anyway.
             let _ = lines.level.reload(level_filter(level));
         }
     }
 
-    /// Lines that were dropped as nobody read them in time.
+    /// Number of lines dropped since the start because the queue was full: nobody read standard error in
+    /// time.
     pub fn dropped(&self) -> u64 {
         self.0.as_ref().map_or(0, |lines| lines.dropped.dropped_lines() as u64)
     }
 
-    /// Writes text that is no line of the log, such as the counters, the same way.
+    /// Writes text that is not a log line, such as the counters, through the writer thread.
     pub fn write(&mut self, text: &str) {
         if let Some(lines) = &mut self.0 {
             let _ = lines.writer.write_all(text.as_bytes());
@@ -87,15 +93,15 @@
 }
 
 impl Drop for LineWriter {
-    /// Writes what waits, for [`FLUSH_TIMEOUT`] at most. The guard itself would wait for a reader that stalls, and with it the end
-    /// of the process.
+    /// Writes the queued lines, for [`FLUSH_TIMEOUT`] at most. Dropping the guard on this thread would delay
+    /// the end of the process for as long as a reader of standard error stalls.
     fn drop(&mut self) {
         let Some(guard) = self.guard.take() else { return };
-        let (flushed, wait) = mpsc::channel();
+        let (flushed_sender, flushed) = mpsc::channel();
         thread::spawn(move || {
             drop(guard);
-            let _ = flushed.send(());
+            let _ = flushed_sender.send(());
         });
-        let _ = wait.recv_timeout(FLUSH_TIMEOUT);
+        let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
     }
 }
