--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -242,7 +242,7 @@
     }
 
     /// Called at the end of each iteration: writes what the connection takes, and ends a connection that the
-    /// peer has closed or that has more than [`MAX_UNWRITTEN_BYTES`] left to write.
+    /// peer has closed or that has more than `MAX_UNWRITTEN_BYTES` left to write.
     pub fn flush(&mut self, now: Timestamp) -> Option<Change> {
         if self.peer_closed {
             return Some(self.fail(now));
--- a/crates/node/tests/printed_forms.rs
+++ b/crates/node/tests/printed_forms.rs
@@ -1,17 +1,18 @@
-//! What operators' programs read keeps its text: the counters that SIGUSR1 prints and the answer to `INFO`.
+//! The texts that operators' programs read stay the same: the counters that SIGUSR1 prints and the answer to
+//! `INFO`.
 
 use gaugestand_node::counters::Counters;
 use gaugestand_node::request_metrics::{ReplyOutcome, RequestMetrics};
 
-// Dashboards and alerts are keyed on these names. A counter that is renamed in the code and printed under its new name
-// would leave them silent.
+// Dashboards and alerts select counters by these names. If a counter were renamed in the code and printed
+// under its new name, they would receive no values.
 #[test]
-fn counters_are_printed_under_the_names_that_operators_know() {
+fn counters_are_printed_under_the_names_that_dashboards_use() {
     assert_eq!(Counters::default().to_string(), include_str!("fixtures/counters-d61e325.txt"));
 }
 
 #[test]
-fn an_info_answer_has_the_text_that_operators_programs_read() {
+fn an_info_answer_keeps_the_text_that_operators_programs_read() {
     let mut metrics = RequestMetrics::default();
     metrics.register_classes(&["quote".to_string(), "booking".to_string()]);
     for _ in 0..5 {
--- a/crates/node/tests/stored_forms.rs
+++ b/crates/node/tests/stored_forms.rs
@@ -1,22 +1,26 @@
-//! What passes between two versions of the program keeps its bytes, whatever names the code has.
+//! The bytes that two versions of the program exchange stay the same, whatever names the code uses.
 
 use gaugestand_node::handover_link::{DecodedFrame, Frame, PROTOCOL, decode};
 
-/// One complete hand-over, as the last build before the renames sent it: a stored result, runs, a queue, a repeat that
-/// waits, a call that is out, half a request, idle connections and a health check that waits.
+/// All bytes of one hand-over, as the last build before the renames of the code sent them. Its state has a
+/// stored result, runs, a queue, a retry that waits for the result of an earlier attempt, an outbound call in
+/// progress, a request of which half has arrived, idle connections and a health check that waits.
 const HANDOVER: &[u8] = include_bytes!("fixtures/handover-gskin-3.bin");
 
-// An operator upgrades in service: the process that leaves was built before the renames. If a field or variant had
-// another name on the link, the new process could not read the state and would give way, or would lose part of it.
+// In an upgrade, the predecessor may be a build from before the renames. If a field or variant had another
+// name on the link, the successor could not read the state and would close the link, or it would lose part of the
+// state.
 #[test]
-fn the_frames_of_a_handover_keep_their_bytes() {
-    let mut rest = HANDOVER.strip_prefix(PROTOCOL.as_slice()).expect("the word that names the version");
+fn handover_frames_of_an_earlier_build_are_read_and_written_unchanged() {
+    let mut rest = HANDOVER
+        .strip_prefix(PROTOCOL.as_slice())
+        .expect("the fixture begins with the magic bytes of the protocol");
     let mut seen = Vec::new();
     while !rest.is_empty() {
         let DecodedFrame { frame: read, consumed: len } =
-            decode(rest).expect("a sound frame").expect("a complete frame");
+            decode(rest).expect("the frame is valid").expect("the frame is complete");
         let mut written = Vec::new();
-        ciborium::into_writer(&read, &mut written).expect("written to memory");
+        ciborium::into_writer(&read, &mut written).expect("the frame can be encoded");
         assert_eq!(&rest[4..len], written, "{read:?}");
         seen.push(match read {
             Frame::Hello { .. } => "Hello",
--- a/crates/settings/src/builtins.rs
+++ b/crates/settings/src/builtins.rs
@@ -1,4 +1,4 @@
-//! The builtins that a script can call, and what each of them sets.
+//! The builtins that a script can call, and how their arguments become settings.
 
 use crate::error::CallError;
 use crate::fields::{Builtin, Field, FieldType, Values};
@@ -13,18 +13,20 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-/// Most members of a cluster: all of them vote, and each more makes a quorum slower.
+/// Most founding members of a cluster. All of them vote, and each further voter makes a quorum slower.
 const MAX_MEMBERS: usize = 7;
-/// Default lease of a cluster, in milliseconds: several times the longest pause of a healthy network.
+/// Default duration of a cluster's lease, in milliseconds: several times the longest pause of a healthy
+/// network.
 const DEFAULT_LEASE_MS: u64 = 2_000;
-/// Default bound on clock drift, in parts per million: five times what common oscillators are rated for.
+/// Default bound on the drift between the clocks of two nodes, in parts per million: five times the rating of
+/// common oscillators.
 const DEFAULT_DRIFT_PPM: u64 = 500;
 
 const fn field(name: &'static str, field_type: FieldType) -> Field {
     Field { name, field_type }
 }
 
-/// All that a script can set, with the type and range of each field.
+/// All builtins that a script can call, with the type and range of each field.
 pub(crate) const BUILTINS: &[Builtin] = &[
     Builtin {
         name: "record",
@@ -69,22 +71,22 @@
 #[derive(Debug, Default)]
 struct Evaluation {
     settings: Settings,
-    /// The builtins that were called: each may be called once.
+    /// Names of the builtins that the script has called. Each may be called once.
     called: Vec<&'static str>,
 }
 
 thread_local! {
-    // The interpreter hands a builtin a reference to our state only through a trait that is unsafe to implement, so
-    // the state of the evaluation on this thread stands here.
+    // The interpreter passes a builtin a reference to state of its caller only through a trait that is unsafe
+    // to implement. The state of the evaluation is therefore a variable of the thread that evaluates.
     static EVALUATION: RefCell<Evaluation> = RefCell::default();
 }
 
-/// Forgets what an evaluation on this thread has set, and returns it.
+/// Returns what the evaluation on this thread has set, and resets the state for the next evaluation.
 pub(crate) fn take_settings() -> Settings {
     EVALUATION.take().settings
 }
 
-/// Checks the arguments of a call, then has `set` take them into the settings.
+/// Checks the arguments of a call of the builtin `name`, then has `set` store them in the settings.
 fn call(
     name: &'static str,
     arguments: SmallMap<String, Value>,
@@ -107,27 +109,27 @@
 pub(crate) fn builtins(builder: &mut GlobalsBuilder) {
     fn record<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
         call("record", kwargs, |settings, values| {
-            settings.record = Some(record_settings(values)?);
+            settings.record = Some(idempotency_store_settings(values)?);
             Ok(())
         })
     }
 
     fn fleet<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
         call("fleet", kwargs, |settings, values| {
-            settings.fleet = Some(fleet_settings(values)?);
+            settings.fleet = Some(cluster_settings(values)?);
             Ok(())
         })
     }
 
     fn log<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
         call("log", kwargs, |settings, values| {
-            set_log(settings, values);
+            set_log_settings(settings, values);
             Ok(())
         })
     }
 }
 
-fn set_log(settings: &mut Settings, values: &Values) {
+fn set_log_settings(settings: &mut Settings, values: &Values) {
     match values.text("form") {
         Some("json") => settings.log.form = LogFormat::Json,
         Some(_) => settings.log.form = LogFormat::Text,
@@ -141,7 +143,7 @@
     };
 }
 
-fn fleet_settings(values: &Values) -> anyhow::Result<ClusterSettings> {
+fn cluster_settings(values: &Values) -> anyhow::Result<ClusterSettings> {
     Ok(ClusterSettings {
         members: members(values.required_list("members")?)?,
         name: values.required_text("name")?.to_string(),
@@ -159,7 +161,7 @@
     })
 }
 
-/// Members of a cluster from texts `NAME=ADDRESS`.
+/// Parses the members of a cluster, each given as a text `NAME=ADDRESS`.
 fn members(texts: &[String]) -> Result<Vec<(String, SocketAddr)>, CallError> {
     let mut members: Vec<(String, SocketAddr)> = Vec::new();
     for member in texts {
@@ -176,16 +178,17 @@
     Ok(members)
 }
 
-/// Fields that only one backend of the idempotency store has.
+/// Fields of `record` that only the SQLite backend has.
 const SQLITE_FIELDS: &[&str] = &["path", "sync"];
+/// Fields of `record` that only the PostgreSQL backend has.
 const POSTGRES_FIELDS: &[&str] = &["address", "database", "user", "password_file"];
 
-fn record_settings(values: &Values) -> anyhow::Result<IdempotencyStoreSettings> {
+fn idempotency_store_settings(values: &Values) -> anyhow::Result<IdempotencyStoreSettings> {
     let is_sqlite = values.required_text("backend")? == "sqlite";
-    let (foreign_fields, foreign_backend) =
+    let (other_backend_fields, other_backend) =
         if is_sqlite { (POSTGRES_FIELDS, "postgres") } else { (SQLITE_FIELDS, "sqlite") };
-    if let Some(field) = foreign_fields.iter().find(|field| values.has(field)) {
-        return Err(CallError::FieldOfOtherBackend { field, backend: foreign_backend }.into());
+    if let Some(field) = other_backend_fields.iter().find(|field| values.has(field)) {
+        return Err(CallError::FieldOfOtherBackend { field, backend: other_backend }.into());
     }
     let backend = if is_sqlite { sqlite_backend(values)? } else { postgres_backend(values)? };
     let int = |name: &str, default: u64| values.int(name).unwrap_or(default);
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,4 +1,5 @@
-//! Builtins as tables of fields: names, types, ranges and the hints that follow from them.
+//! Builtins as tables of fields: the name, type and range of each field, and the checks and hints made from
+//! them.
 
 use crate::error::CallError;
 use starlark::collections::SmallMap;
@@ -7,36 +8,36 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The type of a field, with its range.
+/// The type of a field and the range of its values.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FieldType {
-    /// One of these words.
+    /// One of the listed words.
     Word(&'static [&'static str]),
-    /// Text that is not empty.
+    /// A text that is not empty and has no NUL character.
     Text,
-    /// An address and a port.
+    /// An IP address and a port, as a text.
     Address,
-    /// A whole number from the first to the second, both included.
+    /// A whole number from the first value to the second, both included.
     Int(u64, u64),
-    /// A list of texts, with at most this many.
+    /// A list of at most this many texts, none of them empty.
     Texts(usize),
 }
 
-/// One field of a builtin.
+/// A field of a builtin: a named argument, with its type.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Field {
     pub(crate) name: &'static str,
     pub(crate) field_type: FieldType,
 }
 
-/// A call that a script can make.
+/// A function that a script can call to make one setting, with the fields that it takes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Builtin {
     pub(crate) name: &'static str,
     pub(crate) fields: &'static [Field],
 }
 
-/// The checked arguments of a call.
+/// The checked arguments of one call of a builtin, by the name of the field.
 #[derive(Debug, Default)]
 pub(crate) struct Values {
     builtin: &'static str,
@@ -46,28 +47,28 @@
 }
 
 impl Values {
-    /// A text, word or address, if it was given.
+    /// Value of a field that holds a text, word or address; `None` if the call leaves the field out.
     pub(crate) fn text(&self, name: &str) -> Option<&str> {
         self.texts.get(name).map(String::as_str)
     }
 
-    /// A text, word or address that cannot be left out.
+    /// Value of a field that holds a text, word or address; an error if the call leaves the field out.
     pub(crate) fn required_text(&self, name: &str) -> Result<&str, CallError> {
         self.text(name).ok_or_else(|| self.missing(name, "\"...\""))
     }
 
-    /// A number, if it was given.
+    /// Value of a field that holds a number; `None` if the call leaves the field out.
     pub(crate) fn int(&self, name: &str) -> Option<u64> {
         self.ints.get(name).copied()
     }
 
-    /// A list that cannot be left out.
+    /// Value of a field that holds a list; an error if the call leaves the field out.
     pub(crate) fn required_list(&self, name: &str) -> Result<&[String], CallError> {
         let list = self.lists.get(name).map(Vec::as_slice);
         list.ok_or_else(|| self.missing(name, "[\"...\"]"))
     }
 
-    /// Whether a field was given.
+    /// Whether the call gives this field.
     pub(crate) fn has(&self, name: &str) -> bool {
         self.texts.contains_key(name) || self.ints.contains_key(name) || self.lists.contains_key(name)
     }
@@ -77,16 +78,16 @@
     }
 }
 
-/// The name that may have been meant, or all there are.
+/// Hint for an unknown name: the known name that is similar to it, or else all known names.
 pub(crate) fn hint(name: &str, names: impl Iterator<Item = &'static str> + Clone) -> String {
     let nearest = names.clone().map(|known| (strsim::damerau_levenshtein(known, name), known)).min();
     match nearest {
         Some((distance, known)) if distance <= 2.max(known.len() / 3) => format!("did you mean `{known}`?"),
-        _ => format!("there are {}", names.collect::<Vec<_>>().join(", ")),
+        _ => format!("known names: {}", names.collect::<Vec<_>>().join(", ")),
     }
 }
 
-/// A value that does not fit its field: what it is, and what would fit.
+/// Why a value does not fit its field, and as a hint what is expected.
 struct Mismatch {
     problem: String,
     hint: String,
@@ -99,7 +100,7 @@
 }
 
 impl Builtin {
-    /// Checks the arguments of a call against the fields.
+    /// Checks the arguments of a call against the fields of this builtin.
     pub(crate) fn check(&self, arguments: &SmallMap<String, Value>) -> Result<Values, CallError> {
         let mut values = Values { builtin: self.name, ..Values::default() };
         for (name, value) in arguments {
@@ -131,10 +132,13 @@
                 self.lists.insert(field.name, list_of_texts(value, max)?);
             }
             FieldType::Text => {
-                self.texts.insert(field.name, text(value, "text", |_| true)?);
+                self.texts.insert(
+                    field.name,
+                    text(value, "expected a text that is not empty and has no NUL character", |_| true)?,
+                );
             }
             FieldType::Address => {
-                let hint = "an address and a port, as in \"10.0.0.7:5432\"";
+                let hint = "expected an address and a port, as in \"10.0.0.7:5432\"";
                 let is_address = |text: &str| text.parse::<SocketAddr>().is_ok();
                 self.texts.insert(field.name, text(value, hint, is_address)?);
             }
@@ -144,11 +148,11 @@
 }
 
 fn wrong_type(value: Value, hint: &str) -> Mismatch {
-    Mismatch::new(format!("is a {}", value.get_type()), hint)
+    Mismatch::new(format!("is of type {}", value.get_type()), hint)
 }
 
 fn int_in_range(value: Value, min: u64, max: u64) -> Result<u64, Mismatch> {
-    let hint = format!("a whole number from {min} to {max}");
+    let hint = format!("expected a whole number from {min} to {max}");
     let number = value.unpack_i32().ok_or_else(|| wrong_type(value, &hint))?;
     let number = u64::try_from(number).ok().filter(|number| (min..=max).contains(number));
     number.ok_or_else(|| Mismatch::new("is out of range", hint))
@@ -156,7 +160,7 @@
 
 fn one_of(value: Value, words: &[&str]) -> Result<String, Mismatch> {
     let quoted: Vec<String> = words.iter().map(|word| format!("\"{word}\"")).collect();
-    let hint = format!("one of {}", quoted.join(", "));
+    let hint = format!("expected one of {}", quoted.join(", "));
     let text = value.unpack_str().ok_or_else(|| wrong_type(value, &hint))?;
     if !words.contains(&text) {
         return Err(Mismatch::new(format!("is \"{text}\""), hint));
@@ -165,11 +169,13 @@
 }
 
 fn list_of_texts(value: Value, max: usize) -> Result<Vec<String>, Mismatch> {
-    let hint = format!("a list of texts, {max} at most");
+    let hint = format!("expected a list of texts that are not empty, {max} at most");
     let items = ListRef::from_value(value).ok_or_else(|| wrong_type(value, &hint))?;
     let text = |item: &Value| item.unpack_str().filter(|text| !text.is_empty()).map(String::from);
     let texts: Option<Vec<String>> = items.iter().map(|item| text(&item)).collect();
-    texts.filter(|texts| texts.len() <= max).ok_or_else(|| Mismatch::new("is not that", hint))
+    texts
+        .filter(|texts| texts.len() <= max)
+        .ok_or_else(|| Mismatch::new("is too long or has an item that is empty or not a text", hint))
 }
 
 fn text(value: Value, hint: &str, is_valid: impl Fn(&str) -> bool) -> Result<String, Mismatch> {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,12 +1,13 @@
 //! The operators' settings: one Starlark script that calls builtins, each at most once.
 //!
-//! Guarantees: the script can do nothing but compute and call the builtins (no I/O, no `load`); its size, steps, stack
-//! depth and memory are bounded; an error is one line with file, line, column and a hint; and nothing of the
-//! interpreter stays in memory once [`load`] has returned. It does not guarantee that what a setting names exists (a
-//! file, a server): whoever uses the setting finds that out.
+//! Guarantees: a script can only compute and call the builtins (no I/O, no `load`); its size, steps, call
+//! depth and memory are bounded; an error is one line with file, line, column and a hint; and the interpreter
+//! keeps nothing in memory once [`load`] has returned. This crate does not check that what a setting names
+//! exists (a file, a server): the part of the node that uses the setting reports that.
 //!
-//! A builtin is one entry of the table `BUILTINS`: its fields with their types and ranges, from which come the checks,
-//! the hints and the list that `gaugestand check-config --settings FILE` prints.
+//! A builtin is one entry of the table `BUILTINS`, which holds its fields with their types and ranges. The
+//! checks, the hints and the list that `gaugestand check-config --settings FILE` prints are made from this
+//! table.
 #![forbid(unsafe_code)]
 
 mod builtins;
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -1,4 +1,4 @@
-//! Evaluation of a script within bounds, and its errors as one line each.
+//! Evaluation of a settings script within limits of steps, memory and call depth, with one-line errors.
 
 use crate::builtins::{BUILTINS, builtins, take_settings};
 use crate::error::SettingsError;
@@ -9,19 +9,21 @@
 use starlark::syntax::{AstModule, Dialect};
 use std::path::Path;
 
-/// Longest script, in bytes: far more than all settings take.
+/// Most bytes that a script may have: far more than all settings take.
 const MAX_SCRIPT_BYTES: u64 = 64 * 1024;
-/// Most steps (calls and turns of a loop), so that a script that does not end is an error at the start.
+/// Most steps (calls and iterations of loops) that a script may take, so that a script that does not end is
+/// an error when the node starts.
 const MAX_STEPS: u64 = 200_000;
-/// Most memory on the heap of the interpreter, in bytes: the smallest node has 32 MB in all.
+/// Most memory on the heap of the interpreter, in bytes: the smallest node has 32 MB in total.
 const MAX_HEAP_BYTES: usize = 4 << 20;
-/// Deepest nesting of calls, so that recursion is an error instead of a full stack.
+/// Deepest nesting of calls that a script may have, so that endless recursion is an error instead of a stack
+/// overflow.
 const MAX_CALL_DEPTH: usize = 50;
 
-/// Reads a script from a file.
+/// Reads the settings script at `path` and evaluates it.
 ///
 /// # Errors
-/// The file cannot be read, is too long, or its script is not accepted.
+/// The file cannot be read or is too long, or the script is rejected.
 pub fn load(path: &Path) -> Result<Settings, SettingsError> {
     let name = path.display().to_string();
     let unreadable = |source| SettingsError::Unreadable { path: name.clone(), source };
@@ -33,10 +35,11 @@
     evaluate(&name, text)
 }
 
-/// Evaluates a script; `name` stands for its file in errors. The interpreter and its heap are gone when this returns.
+/// Evaluates the settings script `text`; errors give `name` as the name of its file. The memory of the
+/// interpreter is freed when this function returns.
 ///
 /// # Errors
-/// The script does not evaluate, or sets something that is not valid.
+/// The script does not evaluate, or a value that it sets is not valid.
 pub fn evaluate(name: &str, text: String) -> Result<Settings, SettingsError> {
     take_settings();
     run(name, text).map_err(|error| {
@@ -66,29 +69,31 @@
     })
 }
 
-/// The interpreter's message on one line, as operators' logs want it.
+/// Joins the lines of the interpreter's message: an error takes one line in the operators' logs.
 fn one_line(message: &str) -> String {
     let lines = message.lines().map(str::trim).filter(|line| !line.is_empty());
     lines.collect::<Vec<_>>().join(" ")
 }
 
-/// Adds a hint to a message of the interpreter, whose own words for a call are of no use to an operator.
+/// Adds a hint to a message of the interpreter. The interpreter's message alone does not tell an operator how
+/// to correct a call.
 fn with_hint(fault: &str) -> String {
     if let Some(rest) = fault.strip_prefix("Variable `") {
         let name = rest.split('`').next().unwrap_or_default();
         let names = BUILTINS.iter().map(|builtin| builtin.name);
-        return format!("`{name}` is no setting; {}", fields::hint(name, names));
+        return format!("`{name}` is not a setting; {}", fields::hint(name, names));
     }
     let contains_any = |words: &[&str]| words.iter().any(|word| fault.contains(word));
     if contains_any(&["positional", "Wrong number of arguments"]) {
-        return format!("{fault}; settings are given by name, as in log(level = \"info\")");
+        return format!("{fault}; fields are given by name, as in log(level = \"info\")");
     }
     if fault.starts_with("Parse error") || fault.contains("unexpected") {
-        return format!("{fault}; the script is Starlark: name(field = value, ...), one call a setting");
+        return format!("{fault}; the script is Starlark: name(field = value, ...), one call per setting");
     }
     if contains_any(&["tick count", "Tick", "heap", "stack"]) {
         return format!(
-            "{fault}; a script may take {MAX_STEPS} steps and {MAX_HEAP_BYTES} bytes: set values directly"
+            "{fault}; a script may take {MAX_STEPS} steps, {MAX_HEAP_BYTES} bytes and {MAX_CALL_DEPTH} nested \
+             calls: write values out instead of computing them"
         );
     }
     fault.to_string()
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,111 +1,116 @@
-//! What the operators can set, with the defaults that hold without a script.
+//! The settings that operators make in a script. Their ranges and most of their defaults are in the module
+//! `builtins`.
 
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The settings in effect; one that the script leaves out has its default.
+/// All settings that a script can make. A setting that the script leaves out has its default.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Settings {
-    /// The durable idempotency store; `None` keeps keys in memory alone.
+    /// The durable idempotency store, set by `record(...)`; with `None`, idempotency keys are kept in memory
+    /// only.
     pub record: Option<IdempotencyStoreSettings>,
-    /// The cluster that this node is a member of; `None` for a node on its own.
+    /// The cluster that this node is a member of, set by `fleet(...)`; `None` for a node on its own.
     pub fleet: Option<ClusterSettings>,
-    /// The log.
+    /// Format and level of the log, set by `log(...)`.
     pub log: LogSettings,
 }
 
-/// A cluster of nodes that agree on settings and lists.
+/// The cluster that a node is a member of: nodes that agree on settings and lists.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClusterSettings {
     /// The name of the cluster, the same at all its nodes.
     pub name: String,
     /// Name and address of each founding member, in the same order at all nodes.
     pub members: Vec<(String, SocketAddr)>,
-    /// The number that `gaugestand fleet join` gave to a node that joined later and is not among `members`.
+    /// The node number, from 0 to 255, that `gaugestand fleet join` gave to a node that joined later and is
+    /// not among `members`; `None` for a founding member.
     pub number: Option<u8>,
-    /// Where this node listens for its peers, if not at its own address among `members`.
+    /// The address at which this node listens for its peers; `None` for its own address among `members`.
     pub listen: Option<SocketAddr>,
-    /// The file of the consensus log.
+    /// Path of the file that holds the consensus log.
     pub path: PathBuf,
-    /// The lease: how long a node may act on a version without hearing from a quorum, in milliseconds.
+    /// Duration of the lease, in milliseconds: how long a node may act on a version without hearing from a
+    /// quorum.
     pub contradict_ms: u64,
-    /// Bound on the drift between the clocks of two nodes, in parts per million.
+    /// Upper bound of the drift between the clocks of two nodes, in parts per million.
     pub drift_ppm: u64,
-    /// Which lists a version may hold.
+    /// Which kinds of lists that affect requests a version may hold.
     pub lists: Lists,
 }
 
-/// Which lists a version may hold.
+/// The kinds of lists that affect requests and that a version of the agreed settings may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Lists {
-    /// None that affects requests.
+    /// No list that affects requests.
     None,
-    /// Subjects whose requests are rejected.
+    /// Lists of subjects whose requests are rejected.
     Barred,
-    /// Quotas of gateways.
+    /// Lists of quotas of gateways.
     Shares,
-    /// Both.
+    /// Lists of subjects whose requests are rejected, and lists of quotas of gateways.
     Both,
 }
 
-/// The durable idempotency store.
+/// Settings of the durable idempotency store, which is behind the idempotency table.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct IdempotencyStoreSettings {
-    /// Where rows are stored.
+    /// Where the store keeps its rows.
     #[serde(flatten)]
     pub backend: Backend,
-    /// Most keys in the table.
+    /// Most idempotency keys in the table.
     pub entries: usize,
-    /// Most memory that the table takes, in megabytes.
+    /// Most memory that the idempotency table takes, in megabytes.
     pub memory_mb: usize,
-    /// A write that takes longer than this opens the circuit breaker, in milliseconds.
+    /// Longest time that a write may take, in milliseconds. A write that takes longer opens the store's
+    /// circuit breaker.
     pub stall_ms: u64,
     /// Most writes in one transaction.
     pub batch: usize,
-    /// Most writes in the queue.
+    /// Most writes that wait in the queue for a transaction.
     pub waiting: usize,
 }
 
-/// Where rows are stored.
+/// Where the idempotency store keeps its rows.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "backend", rename_all = "lowercase")]
 pub enum Backend {
     /// In a SQLite file that belongs to this node alone.
     Sqlite {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// When a commit counts as durable.
         sync: SyncMode,
     },
     /// In a PostgreSQL database that several nodes may share.
     Postgres {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
-        /// The database.
+        /// Name of the database.
         database: String,
-        /// The role.
+        /// Name of the role that the node logs in with.
         user: String,
-        /// The file that holds the role's password on its first line.
+        /// Path of the file that holds the role's password on its first line.
         password_file: PathBuf,
     },
 }
 
-/// When a commit counts as durable.
+/// When a commit to a SQLite file counts as durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SyncMode {
-    /// Once the write-ahead log is on disk.
+    /// A commit is durable once the write-ahead log is on disk.
     Full,
-    /// Once the directory entry of the log is on disk too.
+    /// A commit is durable once the write-ahead log and its directory entry are on disk.
     Extra,
 }
 
-/// How the log is written.
+/// Format and level of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct LogSettings {
-    /// The format of a line.
+    /// The format of the log lines.
     pub form: LogFormat,
     /// The least severe level that is written.
     pub level: LogLevel,
@@ -121,9 +126,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// Text for people.
+    /// Plain text for people.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -131,9 +136,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Something does not work.
+    /// A function of the node does not work.
     Error,
-    /// Something may soon stop working.
+    /// A function of the node may soon stop working.
     Warn,
     /// Events that concern operators.
     Info,
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -559,7 +559,7 @@
                 (String::new(), "record cannot change while the node serves"),
                 (
                     script.replace("record(", "record(stall_ms = 9, "),
-                    "`stall_ms` is out of range; a whole number",
+                    "`stall_ms` is out of range; expected a whole number",
                 ),
                 (format!("{script}\nlog(form = \"json\")"), "log: `form` cannot change"),
                 (script.replace("record(", "record(stall_ms = 400, "), "the new configuration is in effect"),
