--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -95,7 +95,7 @@
     }
 
     /// Number of bytes that wait to be written.
-    pub fn waiting(&self) -> usize {
+    pub fn unwritten_bytes(&self) -> usize {
         self.output.len()
     }
 
--- a/crates/node/src/peers/links.rs
+++ b/crates/node/src/peers/links.rs
@@ -299,7 +299,7 @@
         let Some(index) = self.peers.get(&to).and_then(|peer| peer.connection) else { return };
         let Some(connection) = self.connections[index].as_mut() else { return };
         let Some(Identified { incarnation, .. }) = connection.identified else { return };
-        if connection.link.waiting() > MAX_QUEUED_BYTES {
+        if connection.link.unwritten_bytes() > MAX_QUEUED_BYTES {
             counters.peer_messages_dropped += 1;
             return;
         }
