--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -65,9 +65,9 @@
     queued_bytes: u64,
     /// How many bytes of the last connection had been written when it ended.
     written_before_down: u64,
-    /// The peer has closed the connection, or its owner has severed it: the next flush ends it. Until then
-    /// the owner can take the input that remains.
-    peer_closed: bool,
+    /// The peer has closed the connection, a read has failed, or the owner has severed the link: the next flush
+    /// takes it down. Until then the owner can consume the input that remains.
+    has_ended: bool,
 }
 
 impl<S: System> Link<S> {
@@ -84,7 +84,7 @@
             output: WriteQueue::default(),
             queued_bytes: 0,
             written_before_down: 0,
-            peer_closed: false,
+            has_ended: false,
         }
     }
 
@@ -133,7 +133,7 @@
         let was_up = self.is_up();
         self.written_before_down = self.written();
         self.state = State::Down;
-        self.peer_closed = false;
+        self.has_ended = false;
         self.input.clear();
         self.output = WriteQueue::default();
         if was_up {
@@ -149,7 +149,7 @@
     /// Discards the input and has the next [`Link::flush`] end the connection, as if the peer had closed it.
     pub fn sever(&mut self) {
         self.input.clear();
-        self.peer_closed = true;
+        self.has_ended = true;
     }
 
     /// Time at which the owner has to act if no event comes before: to end a slow attempt to connect, or, if
@@ -206,7 +206,7 @@
         }
         // What the peer sent just before it closed must not be lost: the owner takes the input first, and
         // only the flush at the end of the iteration reports the connection as broken.
-        self.peer_closed |= readable && self.read().is_err();
+        self.has_ended |= readable && self.read().is_err();
         None
     }
 
@@ -244,7 +244,7 @@
     /// Called at the end of each iteration: writes what the connection takes, and ends a connection that the
     /// peer has closed or that has more than `MAX_UNWRITTEN_BYTES` left to write.
     pub fn flush(&mut self, now: Timestamp) -> Option<Change> {
-        if self.peer_closed {
+        if self.has_ended {
             return Some(self.fail(now));
         }
         let State::Up(stream) = &mut self.state else { return None };
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -32,9 +32,9 @@
     pub writable: bool,
 }
 
-/// The operating system that a node runs on. Every source (a socket, the signals, a worker) is non-blocking.
-/// It is registered with the poller, level-triggered, under the key that it was created with, for as long as
-/// it lives.
+/// The operating system that a node runs on. Every source (a stream, a listener, the signals, a worker) is
+/// non-blocking. It is registered with the poller, level-triggered, under the key that it was created with,
+/// for as long as it lives.
 pub trait System: Clone + Debug {
     /// A TCP connection.
     type Stream: Stream;
