--- a/crates/node/src/connections/tests.rs
+++ b/crates/node/src/connections/tests.rs
@@ -7,7 +7,7 @@
 use super::table::MAX_UNWRITTEN_BYTES;
 use super::*;
 use crate::counters::Counters;
-use crate::io::real::Real;
+use crate::io::real::OsSystem;
 use crate::io::{Stream as _, System as _};
 use gaugestand_admission::time::{Micros, Timestamp};
 use std::io::{Read as _, Write as _};
@@ -15,9 +15,9 @@
 
 /// A table with one connection, accepted at `now` and with one open request, and the gateway's side of the
 /// connection.
-fn table_with_open_request(now: Timestamp) -> (ConnectionTable<Real>, ConnectionId, TcpStream) {
-    let system = Real::new().expect("the poller is created");
-    let mut table: ConnectionTable<Real> = ConnectionTable::new(1, 64);
+fn table_with_open_request(now: Timestamp) -> (ConnectionTable<OsSystem>, ConnectionId, TcpStream) {
+    let system = OsSystem::new().expect("the poller is created");
+    let mut table: ConnectionTable<OsSystem> = ConnectionTable::new(1, 64);
     table
         .listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a free port is listened at"));
     let client =
@@ -77,7 +77,7 @@
 }
 
 /// Waits until a connection is in the listener's queue.
-fn await_connection(system: &Real) {
+fn await_connection(system: &OsSystem) {
     let mut ready = Vec::new();
     while !ready.iter().any(|r: &crate::io::Ready| r.key == 0) {
         system.wait(Micros::millis(1_000), &mut ready).expect("the poller waits");
@@ -149,8 +149,8 @@
 // listener would reset that connection.
 #[test]
 fn connections_in_the_system_s_queue_are_accepted_before_the_listener_closes() {
-    let system = Real::new().expect("the poller is created");
-    let mut table: ConnectionTable<Real> = ConnectionTable::new(1, 64);
+    let system = OsSystem::new().expect("the poller is created");
+    let mut table: ConnectionTable<OsSystem> = ConnectionTable::new(1, 64);
     table
         .listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a free port is listened at"));
     let mut late = TcpStream::connect(table.address().expect("the table listens"))
@@ -197,13 +197,13 @@
 // one of those before any that may still be used.
 #[test]
 fn a_connection_in_its_lingering_close_is_evicted_first() {
-    let system = Real::new().expect("the poller is created");
-    let mut table: ConnectionTable<Real> = ConnectionTable::new(1, OWN_DESCRIPTORS + 3);
+    let system = OsSystem::new().expect("the poller is created");
+    let mut table: ConnectionTable<OsSystem> = ConnectionTable::new(1, OWN_DESCRIPTORS + 3);
     table
         .listen(system.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0).expect("a free port is listened at"));
     let at = table.address().expect("the table listens");
     let mut counters = Counters::default();
-    let connect = |table: &mut ConnectionTable<Real>, now, counters: &mut Counters| {
+    let connect = |table: &mut ConnectionTable<OsSystem>, now, counters: &mut Counters| {
         let client = TcpStream::connect(at).expect("the client connects");
         await_connection(&system);
         table.accept(now, counters);
--- a/crates/node/src/peers/log_writer.rs
+++ b/crates/node/src/peers/log_writer.rs
@@ -53,7 +53,7 @@
 
     /// Drains the worker's wake-up; called when the poller reports the worker.
     pub fn on_ready(&mut self) {
-        self.worker.woken();
+        self.worker.drain_wakeups();
     }
 
     /// The sequence number of the next record that has become durable; none if no further one has. A failed
--- a/crates/node/src/peers/startup.rs
+++ b/crates/node/src/peers/startup.rs
@@ -14,7 +14,7 @@
 use gaugestand_cluster::version_gate::EnabledLists;
 use gaugestand_cluster::wire::FrameCodec;
 use gaugestand_idempotency::OpenError;
-use gaugestand_settings::{Fleet, Lists};
+use gaugestand_settings::{ClusterSettings, Lists};
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -87,7 +87,7 @@
 impl Identity {
     /// Finds the identity of the node with this name: a founding member is numbered by its position among
     /// `members`, a node that joined later has its number configured.
-    fn find(settings: &Fleet, name: &str) -> Result<Self, PeersError> {
+    fn find(settings: &ClusterSettings, name: &str) -> Result<Self, PeersError> {
         let place = settings.members.iter().position(|(member, _)| member == name);
         match (place, settings.number) {
             (Some(place), None) => {
@@ -113,13 +113,13 @@
 /// Fingerprint of the settings that have to be the same on all nodes: the members' names in their order, the
 /// lease times and the lists. It detects mistakes in the configuration; it does not protect against an
 /// attacker.
-fn config_fingerprint(settings: &Fleet) -> u64 {
+fn config_fingerprint(settings: &ClusterSettings) -> u64 {
     let names: Vec<&str> = settings.members.iter().map(|(name, _)| name.as_str()).collect();
     let shared = json!([names, settings.contradict_ms, settings.drift_ppm, settings.lists]).to_string();
     shared.bytes().fold(FNV_OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
 
-fn lease_config(settings: &Fleet) -> Result<LeaseConfig, PeersError> {
+fn lease_config(settings: &ClusterSettings) -> Result<LeaseConfig, PeersError> {
     let duration = Micros::millis(settings.contradict_ms);
     let lease = LeaseConfig::new(settings.members.len(), duration, settings.drift_ppm)?;
     #[cfg(feature = "injected-defects")]
@@ -153,7 +153,7 @@
     /// ([`PeersError::Listen`]). The node cannot take part in its cluster.
     pub fn start(
         system: &S,
-        settings: &Fleet,
+        settings: &ClusterSettings,
         name: &str,
         seed: u64,
         keys: PollKeys,
@@ -162,8 +162,9 @@
         let lease = lease_config(settings)?;
         let names: Vec<String> = settings.members.iter().map(|(name, _)| name.clone()).collect();
         let owner = format!("node {name} of fleet {:?} ({})", settings.name, names.join(", "));
-        let (writer, found) =
-            system.consensus_log(&settings.path, &owner, keys.log_writer).map_err(PeersError::OpenLog)?;
+        let (writer, found) = system
+            .open_consensus_log(&settings.path, &owner, keys.log_writer)
+            .map_err(PeersError::OpenLog)?;
         let address = settings.listen.unwrap_or(own_address);
         let listener =
             system.listen(address, keys.listener).map_err(|error| PeersError::Listen { address, error })?;
--- a/crates/node/src/store/tests.rs
+++ b/crates/node/src/store/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of outbound calls over loopback connections that are never established.
 
 use super::*;
-use crate::io::real::Real;
+use crate::io::real::OsSystem;
 use socket2::{Domain, Socket, Type};
 
 /// Creates a listener whose accept queue is full: a connection to it is neither established nor refused. The
@@ -33,7 +33,7 @@
 #[test]
 fn a_call_that_timed_out_while_connecting_counts_as_never_run() {
     let (address, _sockets) = listener_with_full_queue();
-    let system = Real::new().expect("create a poller");
+    let system = OsSystem::new().expect("create a poller");
     let mut store = Store::new(Some(address), 1, 2, &system);
     let mut counters = Counters::default();
     let timeout = Micros::millis(100);
