--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input and bad peers: each costs its own request, or its own connection where the framing is lost; counted, bounded,
-//! and without effect on others.
+//! Invalid input of gateways, the kernel and the store. Invalid input may fail its own request, or end its own connection
+//! if the framing is lost. The node counts it, bounds the memory that it takes, and other requests are not affected.
 
 mod support;
 
@@ -8,7 +8,8 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// A gateway sends records of a request that was never begun, of types that no gateway sends, and after the end of a request.
+/// A gateway sends records for a request that it never began, records of types that only a FastCGI application may send,
+/// and records for a request that has already ended. The node ignores all of them.
 #[test]
 fn records_of_no_open_request_are_ignored() {
     let (mut scene, mut kernel) = Scene::with_kernel();
@@ -20,7 +21,7 @@
         gateway.send(&fcgi_record(record_type, 9, content));
     }
     gateway.request(1, "quote", TXN_A, b"q");
-    // The request has ended: neither more of its body nor a second end is part of it.
+    // The empty STDIN record has ended request 1: the node ignores further STDIN and PARAMS records for it.
     gateway.send(&fcgi_record(STDIN, 1, b"more"));
     gateway.send(&fcgi_record(STDIN, 1, &[]));
     gateway.send(&fcgi_record(PARAMS, 1, &params));
@@ -34,29 +35,34 @@
     assert_eq!((scene.counter("requests_bad"), scene.counter("framing_lost")), (0, 0));
 }
 
-/// A gateway begins a request with the id of an open one. Further records could belong to either, so that the connection
-/// ends after the response.
+/// A gateway begins a request with the id of a request that is still open. Later records with this id could belong to
+/// either request, so the node ends the connection after the response to the first request.
 #[test]
 fn a_request_begun_twice_ends_its_connection_after_the_first_response() {
     let (mut scene, mut kernel) = Scene::with_kernel();
-    let mut faulty = scene.gateway();
+    let mut faulty_gateway = scene.gateway();
     let mut gateway = scene.gateway();
-    faulty.request(1, "quote", TXN_A, b"q");
+    faulty_gateway.request(1, "quote", TXN_A, b"q");
     kernel.expect("SCHED", TXN_A);
-    faulty.request(1, "quote", TXN_B, b"q");
+    faulty_gateway.request(1, "quote", TXN_B, b"q");
     gateway.request(1, "quote", TXN_C, b"q");
     kernel.expect("SCHED", TXN_C);
     kernel.reap(TXN_A, "good", b"r");
-    assert_eq!(status_and_body(&faulty.response()), (1, "200", &b"r"[..]));
-    assert_eq!(faulty.stream.read(&mut [0]).map_err(|error| error.kind()), Ok(0), "an end, and no reset");
+    assert_eq!(status_and_body(&faulty_gateway.response()), (1, "200", &b"r"[..]));
+    assert_eq!(
+        faulty_gateway.stream.read(&mut [0]).map_err(|error| error.kind()),
+        Ok(0),
+        "the connection ends without a reset"
+    );
     kernel.reap(TXN_C, "good", b"s");
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"s"[..]));
     assert_eq!(scene.counter("framing_lost"), 1);
 }
 
-/// Many connections send incomplete requests while others send complete ones. Each has to end, within bounded memory.
+/// 30 connections send incomplete requests while other connections send complete ones. The node must answer or close each
+/// incomplete request in time, and serve the complete requests.
 #[test]
-fn a_flood_of_incomplete_requests_costs_other_requests_nothing() {
+fn incomplete_requests_on_many_connections_do_not_affect_other_requests() {
     let (scene, mut kernel) = Scene::with_kernel();
     let records = attempt_records(1, "quote", TXN_A, &[], &[7; 2000]);
     let mut senders: Vec<Gateway> = (0..30).map(|_| scene.gateway()).collect();
@@ -71,7 +77,7 @@
         kernel.reap(&id, "good", b"r");
         assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
     }
-    // Within the time in which such requests have to end: a rejection, an error or a close.
+    // Each incomplete request must end within the time limit, by a rejection, an error or a closed connection.
     let began = Instant::now();
     for sender in &mut senders {
         let end = sender.next_record().map(|(record_type, ..)| record_type);
@@ -80,9 +86,10 @@
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
 }
 
-/// The kernel sends notices of runs that it does not have, twice, out of order, without a question, or too long.
+/// The kernel sends notices about runs that the node did not start, repeated notices, notices out of order, answers to
+/// questions that the node did not ask, and a line that is too long.
 #[test]
-fn notices_that_match_nothing_are_ignored_and_an_endless_one_ends_the_connection() {
+fn notices_without_a_run_or_a_question_are_ignored_and_an_endless_line_ends_the_connection() {
     let (mut scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     let mut checker = scene.gateway();
@@ -93,7 +100,7 @@
         kernel.request_call(id, b"x");
     }
     kernel.notify(json!({"event": "INFO", "ticket": "99999999", "figures": [0.1, 0.0, 0.1, 3.0]}), false);
-    // A result that nobody asked for is not taken for that of the next probe.
+    // The node must not take this unrequested probe result for the result of the next probe.
     kernel.notify(json!({"event": "POSTED", "ticket": "99999999", "fate": "bad"}), false);
     checker.send(&request_records(7, &[("SCRIPT_NAME", "/status/live"), ("QUERY_STRING", "engine=1")], &[]));
     let post = kernel.command();
@@ -102,7 +109,7 @@
         kernel.notify(json!({"event": "POSTED", "ticket": post["ticket"], "fate": fate}), false);
     }
     assert_eq!(&checker.response().status[..3], "200");
-    // A long line is one notice; a line without an end is none.
+    // A long line that ends is accepted as a notice. A line that exceeds the limit without an end ends the connection (below).
     kernel.notify(json!({"event": "DMESG", "fate": "x".repeat(60_000)}), true);
     kernel.reap(TXN_A, "good", b"r");
     kernel.reap(TXN_A, "good", b"other");
@@ -119,9 +126,10 @@
     assert!(scene.counter("lines_bad") >= 3);
 }
 
-/// The store sends a reply in pieces, each in time; then it stops in the middle of another.
+/// The store sends one reply in pieces, with each pause shorter than the stall limit, and stops in the middle of another
+/// reply.
 #[test]
-fn a_reply_in_slow_pieces_is_complete_and_one_that_stalls_fails_alone() {
+fn a_reply_in_slow_pieces_is_accepted_and_one_that_stalls_fails_only_its_own_request() {
     let (scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     gateway.request(1, "booking", TXN_A, b"b");
@@ -131,15 +139,16 @@
     store.expect_call(TXN_A);
     for piece in [&TXN_A[..5], &TXN_A[5..], " O", "K 3\r", "\nab"] {
         store.reply(piece.as_bytes());
-        // Together they take far longer than a reply may stall.
+        // The pauses together are far longer than the time for which a reply may stall.
         kernel.expect_nothing(11);
     }
     store.reply(b"c\r\n");
     assert_eq!(kernel.expect("IODONE", TXN_A), b"abc");
     kernel.reap(TXN_A, "good", b"r");
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
-    // A reply that stalls: a run that may not be repeated fails long before its deadline. The idle connection of the first
-    // call is closed by then.
+    // While the kernel answers 40 questions for gauges, the node closes the idle connection of the first call. The second
+    // call therefore opens its own connection, on which the reply stalls. Its run may not be repeated, so the request must
+    // fail long before its deadline.
     kernel.expect_nothing(40);
     let began = Instant::now();
     gateway.send(&attempt_records(1, "booking", TXN_B, &[("HTTP_X_TXN_KEY", "k2")], b"b"));
@@ -152,9 +161,9 @@
     assert!(began.elapsed() < Duration::from_millis(2_500), "{:?}", began.elapsed());
 }
 
-/// The store sends a reply that is too long, or only one with another id, or none.
+/// The store answers a call with a reply to another id, with a reply that is too long, or with bytes that are not a reply.
 #[test]
-fn a_reply_too_long_or_missing_or_with_another_id_costs_only_its_own_call() {
+fn a_reply_that_is_too_long_or_malformed_or_has_another_id_fails_only_its_own_request() {
     let (scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     for (n, reply) in [format!("{TXN_C} OK 1\r\nx\r\n"), format!("{TXN_A} OK 65537\r\n"), "x".repeat(200)]
@@ -187,7 +196,8 @@
         responses.sort_by_key(|response| response.id);
         assert_eq!(status_and_body(&responses[0]).1, "500", "{reply:?}");
         assert_eq!(status_and_body(&responses[1]), (2, "200", &b"s"[..]));
-        // The failed run ends too, which frees its place on the cores for the next. Idle connections are closed meanwhile.
+        // The kernel ends the failed run, which frees its core for the next run. While the kernel answers 40 questions for
+        // gauges, the node closes its idle connections to the store.
         kernel.reap(&id, "cut", &[]);
         kernel.expect_nothing(40);
     }
--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -1,45 +1,52 @@
-//! Drives the simulator's adapter over a pipe.
+//! Tests of `gaugestand-drill`, the simulator's adapter, which hosts one admission controller for each worker of the
+//! simulator. The tests write events to its standard input and read its replies from its standard output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Settings that each `up` event carries: those of a worker with 2 cores and one class. `new.key` is a setting that the
+/// adapter does not know.
 const SETTINGS: &str = "extra.cores=2 extra.heap-kb=8000 extra.run-factor=8 tick=5000000 fleet-size=2 classes.count=1 \
     classes.0.goal-time=1000000000 classes.0.hard-limit=3000000000 classes.0.effect=pure classes.0.worth=1 \
     rules.fall-multiple=6 rules.fall=2000000000 caps.retry-after=true caps.max-retry-after=1000000000 new.key=x";
 
+/// Runs the adapter on this input until it exits.
 fn run(input: &str) -> Output {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_gaugestand-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program starts");
-    // The program may stop reading at a bad line; the pipe then breaks, which is no fault of the test.
-    let _ = adapter.stdin.take().expect("piped").write_all(input.as_bytes());
-    adapter.wait_with_output().expect("the program ends")
+        .expect("the adapter starts");
+    // The adapter exits at a malformed line without reading the rest of its input. The write then fails with a broken pipe,
+    // which this test expects.
+    let _ = adapter.stdin.take().expect("standard input is piped").write_all(input.as_bytes());
+    adapter.wait_with_output().expect("the adapter exits")
 }
 
 fn stdout(output: Output) -> String {
-    String::from_utf8(output.stdout).expect("text")
+    String::from_utf8(output.stdout).expect("standard output is UTF-8")
 }
 
 fn stderr(output: &Output) -> &str {
-    std::str::from_utf8(&output.stderr).expect("text")
+    std::str::from_utf8(&output.stderr).expect("standard error is UTF-8")
 }
 
+/// The event that starts this worker.
 fn up(worker: u32) -> String {
     format!("up who={worker} nonce64={worker} {SETTINGS}\n")
 }
 
+/// The event of a request that arrives at this worker; `number` is the last part of the request's id.
 fn demand(worker: u32, number: u32) -> String {
     format!(
         "demand who={worker} handle=00000000-0000-4000-8000-{number:012x} lane=0 held-kb=20 unread-for=0 novel=1\n"
     )
 }
 
-// The simulator waits for the reply to each batch. One too few, and both wait for ever.
+// The simulator waits for one reply to each batch. If the adapter omitted a reply, both processes would wait for ever.
 #[test]
-fn batches_get_one_reply_each_and_the_end_of_input_ends_it() {
+fn each_batch_gets_one_reply_and_the_end_of_input_ends_the_adapter() {
     let input = format!("frame t=5\ncommit\nframe t=9\n{}{}commit\n", up(0), demand(0, 1));
     let output = run(&input);
     assert!(output.status.success());
@@ -48,9 +55,10 @@
     assert!(text.contains("process who=0 handle=00000000-0000-4000-8000-000000000001"));
 }
 
-// A newer simulator sends events that this program does not know; a broken one sends lines that nobody can read.
+// A newer simulator sends events that the adapter does not know, which it skips. A faulty simulator sends malformed lines, for
+// which the adapter exits with an error that names the line and the field.
 #[test]
-fn unknown_events_are_skipped_and_malformed_lines_are_named() {
+fn unknown_events_are_skipped_and_malformed_lines_are_named_in_the_error() {
     let with_unknown = format!("frame t=5\nnovelty who=0 odd\n{}commit\n", up(0));
     assert!(run(&with_unknown).status.success());
     for (line, problem) in [
@@ -70,9 +78,10 @@
     }
 }
 
-// One worker of many is given settings without sense. It is declared broken; the others go on.
+// The simulator gives a worker invalid settings. The adapter reports this worker as broken, and does not exit, as it may host
+// other workers.
 #[test]
-fn settings_that_make_no_sense_are_declared_broken() {
+fn a_worker_with_invalid_settings_is_reported_as_broken() {
     for (valid, invalid, message) in [
         ("extra.cores=2", "extra.cores=0", "setting cores: must be at least 1"),
         ("classes.count=1", "classes.count=0", "setting classes: must not be empty"),
@@ -85,29 +94,29 @@
     }
 }
 
-// A truth value is misspelt. Read as no, it would switch something off unseen.
+// A truth value in the settings is misspelt. If the adapter read it as `no`, it would switch a function off without notice.
 #[test]
-fn a_setting_of_unknown_wording_is_named() {
+fn a_misspelt_truth_value_is_named_in_the_error() {
     let output = run(&format!("frame t=5\n{} extra.list-follows=perhaps\ncommit\n", up(0).trim_end()));
     assert!(!output.status.success());
     assert!(stderr(&output).contains("extra.list-follows"), "{}", stderr(&output));
 }
 
-// Reads of the same thing are answered from one run. Without a key nobody knows which are the same.
+// Reads with the same affinity key are answered from one run. Without a key the adapter cannot know which reads are the same.
 #[test]
-fn a_read_is_remembered_for_others_where_it_says_what_it_concerns() {
-    for (key, is_remembered) in [(" affinity=k:one", true), (" affinity=", false), ("", false)] {
+fn a_read_is_kept_for_reuse_only_if_it_has_an_affinity_key() {
+    for (key, is_kept) in [(" affinity=k:one", true), (" affinity=", false), ("", false)] {
         let up = up(0);
         let demand = demand(0, 1);
         let up = up.trim_end();
         let demand = demand.trim_end();
         let input = format!("frame t=5\n{up} extra.fresh-for=600000000\n{demand}{key}\ncommit\n");
         let text = stdout(run(&input));
-        assert_eq!(text.contains("keep who=0"), is_remembered, "{key}: {text}");
+        assert_eq!(text.contains("keep who=0"), is_kept, "{key}: {text}");
     }
 }
 
-/// The actions of these workers, hosted in one process, over two batches; sorted.
+/// The actions that one adapter process prints over two batches when it hosts these workers, sorted.
 fn actions_of(workers: &[u32]) -> Vec<String> {
     let mut input = String::from("frame t=5\n");
     input.extend(workers.iter().map(|worker| up(*worker)));
@@ -124,11 +133,12 @@
     actions
 }
 
-// One process hosts many workers. State that they shared would make them decide otherwise than real nodes do.
+// One adapter process hosts many workers. If they shared state, they would decide differently from real nodes, each of which
+// runs in a process of its own.
 #[test]
-fn one_process_acts_as_three() {
-    let mut apart: Vec<String> = (0..3).flat_map(|worker| actions_of(&[worker])).collect();
-    apart.sort();
-    assert!(!apart.is_empty());
-    assert_eq!(actions_of(&[0, 1, 2]), apart);
+fn workers_in_one_process_act_as_in_separate_processes() {
+    let mut separate: Vec<String> = (0..3).flat_map(|worker| actions_of(&[worker])).collect();
+    separate.sort();
+    assert!(!separate.is_empty());
+    assert_eq!(actions_of(&[0, 1, 2]), separate);
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,37 +1,46 @@
-//! `.ci/known-red`: CI passes over exactly the tests that `KNOWN-RED.txt` lists, and a malformed list is an error.
+//! Tests of `.ci/known-red`, the script with which CI skips tests that are known to fail: it skips exactly the tests that
+//! `KNOWN-RED.txt` lists, and rejects a malformed list.
 
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-/// Runs `.ci/known-red` on this list, with tests of these names: its output, or its error message.
+/// Runs `.ci/known-red` with this list (`None`: the file does not exist) and these names of tests, one a line, on its
+/// standard input. Returns its standard output, or its standard error if it fails.
 fn known_red(list: Option<&str>, tests: &str) -> Result<String, String> {
     static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("known-red-{}-{n}.txt", std::process::id()));
     if let Some(list) = list {
-        std::fs::write(&path, list).expect("written");
+        std::fs::write(&path, list).expect("the list is written");
     }
     let script = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red");
     let mut command = Command::new("bash");
     command.arg(script).arg(&path).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
-    let mut child = command.spawn().expect("bash");
-    child.stdin.take().expect("piped").write_all(tests.as_bytes()).expect("read");
-    let out = child.wait_with_output().expect("it ends");
+    let mut child = command.spawn().expect("bash starts");
+    child
+        .stdin
+        .take()
+        .expect("standard input is piped")
+        .write_all(tests.as_bytes())
+        .expect("the script reads");
+    let out = child.wait_with_output().expect("the script exits");
     let _ = std::fs::remove_file(path);
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     if out.status.success() { Ok(text(&out.stdout)) } else { Err(text(&out.stderr)) }
 }
 
+/// Names of tests, one a line, as CI passes them to the script. Two tests are named `two`, and `one` is also the end of
+/// another test's name.
 const TESTS: &str = "one\nother::one\ntwo\ntwo\nthree\nfour\n";
 
-/// A sound entry for the test of this name.
+/// A valid entry of the list for the test of this name.
 fn entry(test: &str) -> String {
     format!("test: {test}\ncommand: cargo test --locked {test}\nseed: 7\nseen: a race, at close\nissue: 26\n")
 }
 
 #[test]
-fn tests_that_are_listed_are_passed_over_by_their_full_names() {
+fn listed_tests_are_skipped_by_their_full_names() {
     for none in [None, Some(""), Some("\n\n")] {
         assert_eq!(known_red(none, TESTS), Ok(String::new()));
     }
@@ -49,7 +58,7 @@
 }
 
 #[test]
-fn a_list_that_is_wrong_is_an_error() {
+fn a_malformed_list_is_an_error() {
     let four = ["one", "other::one", "three", "four"].map(entry).join("\n");
     let twice = [entry("one"), entry("one")].join("\n");
     let no_blank_line = [entry("one"), entry("three")].concat();
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,4 +1,4 @@
-//! What operators work with, on the real program: the second address, its counters, and new settings in service.
+//! The operators' interface of the real program: the second address, its counters, and reloads in service.
 
 mod support;
 
@@ -8,17 +8,18 @@
 use std::net::TcpStream;
 use support::*;
 
+/// The id of attempt `n`, as gateways send it.
 fn txn(n: u64) -> String {
     format!("{n:016x}")
 }
 
-/// A scene with a second address.
+/// Starts a node with a second address, whose kernel is not connected yet.
 fn scene() -> Scene {
     Scene::new(|text| text["admin_addr"] = json!("127.0.0.1:0"))
 }
 
 #[test]
-fn ping_is_affirmed_once_the_node_takes_requests_and_denied_during_a_drain() {
+fn ping_succeeds_once_the_node_takes_requests_and_fails_during_a_drain() {
     let mut scene = scene();
     assert_eq!(scene.admin_call("PING\n"), "error its kernel is not up\n");
     let _kernel = scene.connect_kernel();
@@ -34,16 +35,16 @@
     assert!(scene.exits_successfully());
 }
 
-/// The table of gateways' connections is full, and operators' connections are open that send nothing. Further calls must
-/// not wait for either.
+/// The table of gateways' connections is full, and connections to the second address are open that send nothing or an
+/// incomplete call. The node must answer further operators' calls without waiting for any of them.
 #[test]
-fn admin_calls_are_answered_beside_a_full_connection_table_and_idle_callers() {
+fn admin_calls_are_answered_while_the_connection_table_is_full_and_callers_are_idle() {
     let scene = scene();
     let _kernel = scene.connect_kernel();
     let _idle: Vec<TcpStream> =
-        (0..20).map(|_| TcpStream::connect(&scene.admin).expect("the second address")).collect();
-    let mut incomplete = TcpStream::connect(&scene.admin).expect("the second address");
-    incomplete.write_all(b"PIN").expect("sent");
+        (0..20).map(|_| TcpStream::connect(&scene.admin).expect("the second address accepts")).collect();
+    let mut incomplete = TcpStream::connect(&scene.admin).expect("the second address accepts");
+    incomplete.write_all(b"PIN").expect("the incomplete call is sent");
     let _busy: Vec<Gateway> = (0..60)
         .map(|_| {
             let mut gateway = scene.gateway();
@@ -56,7 +57,7 @@
     }
 }
 
-/// Requests end in every way there is. Each must be counted once, as what its client got.
+/// Requests end in each possible way. Each request must be counted once, under the outcome that its client received.
 #[test]
 fn counters_match_what_clients_and_kernel_saw() {
     let scene = scene();
@@ -77,13 +78,13 @@
     assert_eq!(send_and_run(&txn(2), "quote", b"q", "good"), "200");
     assert_eq!(send_and_run(&txn(3), "quote", b"q", "bad"), "500");
     assert_eq!(send_and_run(&txn(4), "booking", b"b", "good"), "200");
-    // A retry gets the stored result, another body is a conflict: neither runs.
+    // A retry gets the stored result, and the same key with another body is a conflict. Neither of them runs.
     assert_eq!(send_and_run(&txn(5), "booking", b"b", ""), "200");
     assert_eq!(send_and_run(&txn(6), "booking", b"c", ""), "409");
-    // An unknown class, and an invalid parameter.
+    // Requests of an unknown class and with an invalid id are errors, counted under no class.
     assert_eq!(send_and_run(&txn(7), "nothing", b"", ""), "404");
     assert_eq!(send_and_run("short", "quote", b"", ""), "400");
-    // A request whose client closes its connection during the run.
+    // The client of this request closes its connection during the run: the run is preempted, and counts as an error.
     let mut leaving = scene.gateway();
     leaving.request(1, "quote", &txn(8), b"q");
     kernel.expect("SCHED", &txn(8));
@@ -100,23 +101,24 @@
     assert_eq!([value("reload_success"), value("reload_failure")], [0, 0]);
 }
 
-/// Why a change to this configuration is rejected, if it is.
+/// The error with which a reload from `old` to the configuration `text` is rejected, or `None` if the reload is accepted.
 fn rejection(old: &Value, text: &str) -> Option<String> {
-    let old = parse(&old.to_string(), None, None, None).expect("sound");
+    let old = parse(&old.to_string(), None, None, None).expect("the old configuration is valid");
     let new = parse(text, None, None, None);
     new.and_then(|new| validate_change(&old, &new)).err().map(|e| e.to_string())
 }
 
-/// A configuration is cut off, lacks a key or has an absurd value. It must not take effect in part.
+/// A configuration is truncated, lacks a key, or has a value out of range or of another type. The node must reject it as a
+/// whole.
 #[test]
 fn a_configuration_is_rejected_for_each_of_its_mistakes() {
     let valid = configuration(1, 2, 3);
     let text = valid.to_string();
     assert_eq!(rejection(&valid, &text), None);
-    for cut in 0..text.len() {
-        assert!(rejection(&valid, &text[..cut]).is_some(), "cut at {cut}");
+    for length in 0..text.len() {
+        assert!(rejection(&valid, &text[..length]).is_some(), "truncated to {length} bytes");
     }
-    // Every key, one after the other.
+    // Removes each key of each object in turn: every key is mandatory.
     let mut paths = vec![String::new()];
     while let Some(path) = paths.pop() {
         let children: Vec<String> = match valid.pointer(&path) {
@@ -139,12 +141,12 @@
             ["0", "-1", "-0.0", "1e300", "1e999", "NaN", "Infinity", "\"9700\"", "null", "[]", "true"]
         {
             let mut absurd = valid.clone();
-            *absurd.pointer_mut(&at).expect("there") = json!("HERE");
+            *absurd.pointer_mut(&at).expect("the key exists") = json!("HERE");
             let absurd = absurd.to_string().replace("\"HERE\"", value);
             assert!(rejection(&valid, &absurd).is_some(), "{key} {value}");
         }
         let mut changed = valid.clone();
-        *changed.pointer_mut(&at).expect("there") = json!(2.5e9);
+        *changed.pointer_mut(&at).expect("the key exists") = json!(2.5e9);
         assert_eq!(rejection(&valid, &changed.to_string()), None);
     }
     let mut duplicate = valid.clone();
@@ -152,7 +154,8 @@
     assert!(rejection(&valid, &duplicate.to_string()).is_some());
 }
 
-/// A reload removes a class which has open requests and stored results, and shortens the deadline of another.
+/// A reload adds a class, removes a class that has an open request, and shortens the deadline of a third. The open requests
+/// must end as they would have without the reload, and retries of the removed class must get the stored result.
 #[test]
 fn a_reload_adds_and_removes_classes_while_their_requests_are_open() {
     let mut scene = scene();
@@ -164,7 +167,7 @@
     gateway.request(2, "quote", &txn(2), b"q");
     kernel.expect("SCHED", &txn(2));
     let mut text = scene.configuration();
-    let classes = text["settings"]["classes"].as_array_mut().expect("a list");
+    let classes = text["settings"]["classes"].as_array_mut().expect("the classes are an array");
     classes.remove(1);
     classes[0]["hard-limit"] = json!(1_500_000_000u64);
     let mut new = classes[0].clone();
@@ -176,7 +179,8 @@
     }
     scene.reload(&text.to_string());
     scene.await_log_line("in effect");
-    // The new class is served and the removed one rejected; retries of its keys still get the stored results.
+    // The node serves requests of the new class and rejects new keys of the removed class. Retries of a key that the removed
+    // class has used still get the stored result.
     gateway.request(3, "upgrade", &txn(3), b"u");
     let command = kernel.command();
     assert_eq!((&command["handle"], &command["entry"]), (&json!(txn(3)), &json!("upgrade")));
@@ -192,14 +196,14 @@
     assert_eq!(both, [(1, b"booked".to_vec()), (5, b"booked".to_vec())]);
     gateway.request(6, "booking", &txn(6), b"b");
     assert_eq!(gateway.response().body, b"booked");
-    // The other request keeps the deadline that it arrived with, beyond the present one of its class.
+    // Request 2 keeps the deadline of its class at its arrival, which is later than the class's deadline after the reload.
     std::thread::sleep(std::time::Duration::from_millis(1_800));
     kernel.reap(&txn(2), "good", b"quoted");
     assert_eq!(gateway.response().body, b"quoted");
     assert_eq!(scene.info_value("reload_success"), 1);
     assert_eq!(scene.info_value("replies.booking.overload"), 1);
     assert_eq!(scene.info_value("replies.booking.success"), 3);
-    // An invalid reload changes nothing.
+    // A reload of an empty file is rejected, and the node keeps its configuration.
     scene.reload("");
     scene.await_log_line("stays");
     assert_eq!(scene.info_value("reload_failure"), 1);
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -1,5 +1,5 @@
-//! The real program on sites drawn by seed. They differ in the fields that requests carry and in what the site allows;
-//! nothing may depend on the form of one site.
+//! Runs the real program with the settings of sites that are drawn by seed. The sites differ in the fields that requests
+//! carry and in what each site allows; the program must not depend on the form of a particular site.
 
 mod support;
 
@@ -8,10 +8,11 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Number of sites, with the seeds from 0.
+/// Number of sites that are checked, which are drawn from the seeds 0 to `SITES` - 1.
 const SITES: u64 = 10;
 
-/// The parameters that an attempt of this class has at this site.
+/// The parameters of an attempt of this class as this site's gateways send them. `key` is its idempotency key, `ttl` its
+/// caller timeout in milliseconds; an empty value removes a parameter that the test's gateway would send by default.
 fn params<'a>(
     site: &Site,
     class: &RequestClass,
@@ -28,13 +29,14 @@
     params
 }
 
-/// Sends requests of each class and checks all that the site allows; a failure names the seed.
+/// Sends requests of each class of the site with this seed, and checks that the node does only what the site allows. The
+/// message of a failed check names the seed and the class.
 fn check_site(seed: u64) {
     let site = Site::draw(seed);
     let scene = Scene::new(|c| {
         c["settings"] = site.settings(2);
         if !site.has_downstream {
-            c.as_object_mut().expect("an object").remove("store");
+            c.as_object_mut().expect("the configuration is an object").remove("store");
         }
     });
     let mut kernel = scene.connect_kernel();
@@ -51,7 +53,7 @@
         attempt(1, false, "9000", b"body");
         assert_eq!(kernel.expect("SCHED", &txn(1)), b"body", "{context}");
         if class.calls && class.skipped_call_weight > 0.0 {
-            // The store is away.
+            // The store does not listen, so the node tells the kernel to go on without the call.
             kernel.request_call(&txn(1), b"call");
             let skip_command = json!({"event": "NOIO", "handle": txn(1), "cursor": kernel.cursor});
             assert_eq!(kernel.command(), skip_command, "{context}");
@@ -86,11 +88,11 @@
     }
 }
 
-/// Guards against code that depends on the form of one site: the fields of its requests, or what it allows.
+/// Guards against code that depends on the form of a particular site: on the fields of its requests, or on what it allows.
 #[test]
-fn sites_of_every_form_are_served() {
+fn sites_with_different_request_fields_and_permissions_are_served() {
     let sites: Vec<Site> = (0..SITES).map(Site::draw).collect();
-    // The seeds cover both values of each property.
+    // Among the drawn sites, each property must be true for some sites and false for others.
     let both = |of: fn(&Site) -> bool| sites.iter().any(of) && !sites.iter().all(of);
     assert!(
         both(|s| s.sends_timeout)
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! One process of the node takes over from another, on the real program.
+//! Upgrades of the real program: a successor, which is another process of the same node, takes over from its predecessor.
 
 mod support;
 
@@ -13,23 +13,26 @@
 use support::frame_corruptor::FrameCorruptor;
 use support::*;
 
+/// The id of attempt `n`, as gateways send it.
 fn txn(n: u64) -> String {
     format!("{n:016x}")
 }
 
+/// The idempotency key with this number.
 fn key(n: u64) -> String {
     format!("{n:032x}")
 }
 
-/// Accepts a connection to the kernel, which must continue after this notice, and reports that the kernel is up.
+/// Accepts a connection to the kernel and reports that the kernel is up. The node must ask on it for the notices after the
+/// one with the number `cursor`.
 fn connect_kernel(listener: &std::net::TcpListener, cursor: u64) -> Kernel {
-    let mut kernel = Kernel::new(listener.accept().expect("a link").0);
+    let mut kernel = Kernel::new(listener.accept().expect("the node connects").0);
     assert_eq!(kernel.command(), json!({"event": "OPEN", "cursor": cursor}));
     kernel.boot();
     kernel
 }
 
-/// A scene in service, with its kernel and a gateway; the first key has the result `first`.
+/// Starts a node in service, with its kernel and a gateway, on which `key(1)` has the stored result `first`.
 fn scene_with_stored_result() -> (Scene, Kernel, Gateway) {
     let scene = Scene::replaceable();
     let mut kernel = scene.connect_kernel();
@@ -42,25 +45,25 @@
     (scene, kernel, gateway)
 }
 
-/// A successor takes over while there is an open run, a call, an incomplete request and a stored result. Nothing may be
-/// lost, run again or answered differently.
+/// A successor takes over while there are an open run, a run that waits for an outbound call, an incomplete request and a
+/// stored result. No request may be lost, run again, or get another answer than without the hand-over.
 #[test]
-fn everything_under_way_continues_in_the_successor() {
+fn runs_calls_requests_and_results_are_handed_over_to_the_successor() {
     let mut scene = Scene::replaceable();
-    scene.store.listen(16).expect("listening");
+    scene.store.listen(16).expect("the store listens");
     let mut kernel = scene.connect_kernel();
     scene.await_healthy();
-    // One key has a result, one runs, one run waits for a call, one request is incomplete.
-    let mut done = scene.gateway();
-    done.send(&attempt_records(1, "booking", &txn(1), &[("HTTP_X_TXN_KEY", &key(1))], b"one"));
+    // One key has a result, another one an open run, a third run waits for an outbound call, and one request is incomplete.
+    let mut served = scene.gateway();
+    served.send(&attempt_records(1, "booking", &txn(1), &[("HTTP_X_TXN_KEY", &key(1))], b"one"));
     kernel.expect("SCHED", &txn(1));
     kernel.reap(&txn(1), "good", b"first");
-    assert_eq!(done.response().body, b"first");
-    let mut runs = scene.gateway();
-    runs.send(&attempt_records(1, "booking", &txn(2), &[("HTTP_X_TXN_KEY", &key(2))], b"two"));
+    assert_eq!(served.response().body, b"first");
+    let mut running = scene.gateway();
+    running.send(&attempt_records(1, "booking", &txn(2), &[("HTTP_X_TXN_KEY", &key(2))], b"two"));
     kernel.expect("SCHED", &txn(2));
-    let mut calls = scene.gateway();
-    calls.request(7, "quote", &txn(3), b"three");
+    let mut calling = scene.gateway();
+    calling.request(7, "quote", &txn(3), b"three");
     kernel.expect("SCHED", &txn(3));
     kernel.request_call(&txn(3), b"call");
     let mut store = scene.accept_store();
@@ -78,21 +81,22 @@
     next.await_ready();
     assert_eq!(scene.admin_call("PING\n"), "done\n");
     scene.signal("-TERM");
-    // Notices of the predecessor's runs come to the successor on a connection to the predecessor's kernel, after the last
-    // notice that the predecessor read.
+    // For notices about the predecessor's runs the successor connects to the predecessor's kernel, and asks for those after the
+    // last notice that the predecessor read.
     let mut kernel = connect_kernel(&scene.kernel, 2);
     kernel.cursor = 2;
     store.reply(format!("{} OK 5\r\nreply\r\n", txn(3)).as_bytes());
-    // The command that began the other run may be resent first: whether the kernel read it is not known.
+    // The successor may first resend the command that began the run of attempt 2, as it does not know whether the kernel has
+    // read that command.
     let mut command = kernel.command();
     if command["event"] == "SCHED" && command["handle"] == txn(2) {
         command = kernel.command();
     }
     assert_eq!((&command["event"], &command["handle"]), (&json!("IODONE"), &json!(txn(3))));
     kernel.reap(&txn(3), "good", b"third");
-    let response = calls.response();
+    let response = calling.response();
     assert_eq!((response.id, &response.body[..]), (7, &b"third"[..]));
-    // What arrives now, on earlier connections as well, is the successor's.
+    // From now on the successor takes all requests, also those on connections that the predecessor accepted.
     incomplete.send(rest);
     assert_eq!(second.expect("SCHED", &txn(4)), b"four");
     second.reap(&txn(4), "good", b"fourth");
@@ -101,32 +105,33 @@
     assert_eq!(idle.response().body, b"first");
     idle.send(&attempt_records(1, "booking", &txn(6), &[("HTTP_X_TXN_KEY", &key(1))], b"other"));
     assert_eq!(&idle.response().status[..3], "409");
-    // An attempt whose key has an open run of the predecessor waits for that outcome.
+    // An attempt whose key has an open run that the predecessor began waits for the outcome of that run.
     idle.send(&attempt_records(1, "booking", &txn(7), &[("HTTP_X_TXN_KEY", &key(2))], b"two"));
     second.expect_nothing(10);
     kernel.reap(&txn(2), "good", b"second");
-    assert_eq!(runs.response().body, b"second");
+    assert_eq!(running.response().body, b"second");
     assert_eq!(idle.response().body, b"second");
-    // With the last of its runs the predecessor ends by itself, long before it would be stopped.
+    // The predecessor exits by itself after the last of its runs, long before the end of its grace period.
     assert!(scene.exits_successfully());
     assert_eq!(info_value(&admin_call(&next.admin, "INFO\n"), "replies.booking.success"), 3);
     assert_eq!(admin_call(&next.admin, "PING\n"), "done\n");
 }
 
-/// One successor is killed before it takes over; then the predecessor is, before the next successor does.
+/// A first successor is killed before it takes over; then the predecessor is killed before a second successor takes over. The
+/// stored result must be kept, and a run whose outcome is unknown must not be repeated.
 #[test]
-fn either_process_may_be_killed_before_the_takeover() {
+fn a_process_killed_before_the_takeover_loses_no_result_and_repeats_no_run() {
     let (mut scene, mut kernel, mut gateway) = scene_with_stored_result();
-    let mut fails = scene.start_successor();
-    let _linked = connect_kernel(&fails.kernel, 0);
-    fails.await_ready();
-    fails.kill();
+    let mut failing = scene.start_successor();
+    let _linked = connect_kernel(&failing.kernel, 0);
+    failing.await_ready();
+    failing.kill();
     gateway.send(&attempt_records(1, "booking", &txn(2), &[("HTTP_X_TXN_KEY", &key(2))], b"two"));
     kernel.expect("SCHED", &txn(2));
     let next = scene.start_successor();
     let _second = connect_kernel(&next.kernel, 0);
     next.await_ready();
-    // A run that starts while there is a successor: the successor is notified before the kernel is.
+    // This run starts while there is a successor: the predecessor reports it to the successor before it commands the kernel.
     let mut another = scene.gateway();
     another.send(&attempt_records(1, "booking", &txn(3), &[("HTTP_X_TXN_KEY", &key(3))], b"three"));
     kernel.expect("SCHED", &txn(3));
@@ -137,12 +142,13 @@
     };
     assert_eq!(book(4, 1, "one"), ("200".into(), b"first".to_vec()));
     assert_eq!(book(5, 1, "other").0, "409");
-    // Whether these ran is not known: they fail, and never run again.
+    // The successor does not know whether these two requests ran, so they fail and do not run again.
     assert_eq!(book(6, 2, "two").0, "500");
     assert_eq!(book(7, 3, "three").0, "500");
 }
 
-/// The state that the predecessor hands over cannot be read, as if another version of the program had written it.
+/// The successor cannot read the state that the predecessor hands over, as it would be if an incompatible version of the
+/// program had written it. The predecessor must end its requests, and the successor serves only after that.
 #[test]
 fn a_successor_that_cannot_read_the_state_waits_until_its_predecessor_has_ended() {
     let (mut scene, mut kernel, mut gateway) = scene_with_stored_result();
@@ -153,7 +159,7 @@
     let _second = connect_kernel(&next.kernel, 0);
     next.await_ready();
     scene.signal("-TERM");
-    // The predecessor goes on with its kernel and its open requests.
+    // The predecessor keeps its open requests, and connects to its kernel again.
     let mut kernel = connect_kernel(&scene.kernel, 1);
     kernel.cursor = 1;
     kernel.reap(&txn(2), "good", b"r");
@@ -166,7 +172,7 @@
     assert_eq!(repeated, ("200".into(), b"first".to_vec()));
 }
 
-/// Two upgrades follow each other while the first process still has a run.
+/// A second upgrade follows while the first process still has an open run, whose gateway must get the result.
 #[test]
 fn a_third_process_takes_over_while_the_first_still_has_runs() {
     let mut scene = Scene::replaceable();
@@ -193,17 +199,19 @@
     last.expect("SCHED", &txn(2));
 }
 
-/// The folder in which processes of a node find each other has files of an earlier process, or is gone.
+/// The folder in which the processes of a node find each other holds files of an earlier process, or does not exist. The node
+/// must start and serve all the same.
 #[test]
-fn a_node_serves_whatever_its_handover_folder_holds() {
+fn a_node_serves_with_stale_files_in_its_handover_folder_or_without_the_folder() {
     let mut scene = Scene::replaceable();
-    let names: Vec<_> = std::fs::read_dir(scene.handover_dir()).expect("a folder").flatten().collect();
+    let names: Vec<_> =
+        std::fs::read_dir(scene.handover_dir()).expect("the folder is read").flatten().collect();
     assert_eq!(names.len(), 2);
     let _first = scene.connect_kernel();
     scene.restart_with(|| {
         for name in names {
-            std::fs::remove_file(name.path()).expect("removed");
-            std::fs::write(name.path(), b"left over").expect("written");
+            std::fs::remove_file(name.path()).expect("the file is removed");
+            std::fs::write(name.path(), b"left over").expect("the file is written");
         }
     });
     let _kernel = scene.connect_kernel();
@@ -213,26 +221,29 @@
     next.await_ready();
     drop(next);
     let handover_dir = scene.handover_dir().to_path_buf();
-    scene.restart_with(|| std::fs::remove_dir_all(handover_dir).expect("removed"));
+    scene.restart_with(|| std::fs::remove_dir_all(handover_dir).expect("the folder is removed"));
     let _kernel = scene.connect_kernel();
     scene.await_healthy();
 }
 
-/// Clients that send keyed requests all the time, on connections that they keep and on new ones.
+/// Client threads that send keyed requests without pause, on connections that they reuse and on new ones.
 struct Clients {
+    /// True once the threads have to stop.
     stop: Arc<AtomicBool>,
-    /// The next transaction id of all clients.
+    /// Number of the next attempt, shared by all clients.
     next: Arc<AtomicU64>,
-    /// The first result of each key.
+    /// The first result that any client received for each key, by the key's number.
     results: Arc<Mutex<BTreeMap<u64, Vec<u8>>>>,
-    /// What must not have happened.
+    /// Descriptions of the events that the test forbids, such as a lost request or a second result for a key.
     faults: Arc<Mutex<Vec<String>>>,
+    /// Number of responses with status 200.
     served: Arc<AtomicU64>,
     threads: Vec<std::thread::JoinHandle<()>>,
 }
 
 impl Clients {
-    /// Starts four; with `kills`, connections may end at any time and attempts may fail.
+    /// Starts four client threads. If `kills` is true, the test kills processes: a connection that ends early and a failed
+    /// attempt are then no faults.
     fn start(address: &str, kills: bool) -> Self {
         let mut clients = Clients {
             stop: Arc::default(),
@@ -254,19 +265,19 @@
                 let mut kept = None;
                 while !stop.load(Ordering::Relaxed) {
                     let n = next.fetch_add(1, Ordering::Relaxed);
-                    // Keys are repeated, also by other clients, across all processes.
+                    // Clients repeat their own and each other's keys, so that retries reach processes that did not run the key.
                     let key_number = rng.u64(n.saturating_sub(40)..=n);
-                    let fault = |what: String| faults.lock().expect("no panic").push(what);
+                    let fault = |what: String| faults.lock().expect("no thread has panicked").push(what);
                     let connection = kept.take().filter(|_| rng.bool());
                     let mut gateway = match connection {
                         Some(gateway) => gateway,
                         None => match TcpStream::connect(&address) {
                             Ok(stream) => {
-                                stream.set_nodelay(true).expect("no delay");
+                                stream.set_nodelay(true).expect("TCP_NODELAY is set");
                                 Gateway { stream }
                             }
                             Err(error) => {
-                                fault(format!("try {n}: {error}"));
+                                fault(format!("attempt {n}: {error}"));
                                 continue;
                             }
                         },
@@ -274,16 +285,16 @@
                     match gateway.book(&txn(n), &key(key_number), &format!("b{key_number}")) {
                         Ok((status, body)) if status == "200" => {
                             served.fetch_add(1, Ordering::Relaxed);
-                            let mut results = results.lock().expect("no panic");
+                            let mut results = results.lock().expect("no thread has panicked");
                             let first = results.entry(key_number).or_insert_with(|| body.clone());
                             if *first != body {
-                                fault(format!("key {key_number}: two results"));
+                                fault(format!("key {key_number}: two different results"));
                             }
                             kept = Some(gateway);
                         }
                         Ok((status, _)) if kills || status == "503" => kept = Some(gateway),
-                        Ok((status, _)) => fault(format!("try {n}: {status}")),
-                        Err(error) if !kills => fault(format!("try {n}: {error}")),
+                        Ok((status, _)) => fault(format!("attempt {n}: status {status}")),
+                        Err(error) if !kills => fault(format!("attempt {n}: {error}")),
                         Err(_) => {}
                     }
                 }
@@ -292,13 +303,14 @@
         clients
     }
 
-    /// Stops the clients and checks that nothing went wrong and no key ran twice.
+    /// Stops the clients, and checks that they met no fault, that the kernel ran no key twice, and that more than 100 requests
+    /// were served.
     fn end(self, kernel: &AutoKernel) {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
-            thread.join().expect("no panic");
+            thread.join().expect("the client does not panic");
         }
-        let faults = self.faults.lock().expect("no panic");
+        let faults = self.faults.lock().expect("no thread has panicked");
         assert!(faults.is_empty(), "{faults:?}");
         for key_number in 1..self.next.load(Ordering::Relaxed) {
             let runs = kernel.results(&format!("b{key_number}"));
@@ -308,7 +320,7 @@
     }
 }
 
-/// Replaces the program so many times under load.
+/// Replaces the process of a node by a successor `rounds` times under load.
 fn upgrade_repeatedly(rounds: u64) {
     let scene = Scene::replaceable();
     let kernel = AutoKernel::serve(&scene.kernel);
@@ -332,21 +344,22 @@
     clients.end(&kernel);
 }
 
-/// Five upgrades follow each other under load. No request or connection may be lost, and no key may have a second run or
-/// result.
+/// Five upgrades follow each other under load. No request or connection may be lost, and no key may have a second run or a
+/// second result.
 #[test]
 fn successive_upgrades_lose_nothing() {
     upgrade_repeatedly(5);
 }
 
-/// The same over twenty upgrades.
+/// Checks the same as [`successive_upgrades_lose_nothing`] over twenty upgrades.
 #[test]
-#[ignore = "the same for longer"]
+#[ignore = "successive_upgrades_lose_nothing checks the same in less time"]
 fn twenty_successive_upgrades_lose_nothing() {
     upgrade_repeatedly(20);
 }
 
-/// Whether the process with this admin address has exited, once it no longer says that another one has taken over.
+/// Calls the process at this second address until it no longer answers that another process has taken over. Returns true if
+/// the process then refuses the connection, which means that it has exited, and false if it gives another answer.
 fn has_exited(admin: &str) -> bool {
     loop {
         let Ok(mut stream) = TcpStream::connect(admin) else { return true };
@@ -359,7 +372,7 @@
     }
 }
 
-/// Predecessor or successor is killed at any moment of an upgrade under load. No key may run twice.
+/// The predecessor or the successor is killed at a random moment of an upgrade under load. No key may run twice.
 #[test]
 fn a_process_killed_during_an_upgrade_runs_no_key_twice() {
     for seed in 0..4 {
@@ -372,7 +385,7 @@
         let mut next = scene.start_successor();
         kernel.serve_also(&next.kernel);
         next.await_ready();
-        // Sometimes in the middle of the hand-over.
+        // In about half of the cases the kill comes during the hand-over.
         if rng.bool() {
             scene.signal("-TERM");
             std::thread::sleep(Duration::from_micros(rng.u64(0..4_000)));
@@ -386,11 +399,12 @@
         std::thread::sleep(Duration::from_millis(300));
         let mut clients = clients;
         clients.stop.store(true, Ordering::Relaxed);
-        clients.threads.drain(..).for_each(|thread| thread.join().expect("no panic"));
-        // A successor that was killed after it had taken over leaves no process: its listener ended with it, which refuses
-        // later connections and resets one that is just being made. A predecessor that still serves lost none. The clients
-        // have stopped by now, so that none of them adds another fault after this.
-        let mut faults = clients.faults.lock().expect("no panic");
+        clients.threads.drain(..).for_each(|thread| thread.join().expect("the client does not panic"));
+        // If the successor was killed after it had taken over, no process of the node is left: its listener ended with it, so
+        // the system refuses later connections and resets those that are just being made, which is no fault. If the
+        // predecessor still serves, no connection may have failed. The clients have stopped by now, so none of them adds a
+        // fault after this check.
+        let mut faults = clients.faults.lock().expect("no thread has panicked");
         if !kills_predecessor && !faults.is_empty() && has_exited(&scene.admin) {
             faults
                 .retain(|fault| !fault.contains("Connection refused") && !fault.contains("Connection reset"));
