--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,5 +1,6 @@
-//! Invalid input of gateways, the kernel and the store. Invalid input may fail its own request, or end its own connection
-//! if the framing is lost. The node counts it, bounds the memory that it takes, and other requests are not affected.
+//! Invalid input of gateways, the kernel and the store. Invalid input may fail its own request, or end its
+//! own connection if the framing is lost. The node counts it, bounds the memory that it takes, and other
+//! requests are not affected.
 
 mod support;
 
@@ -8,8 +9,8 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// A gateway sends records for a request that it never began, records of types that only a FastCGI application may send,
-/// and records for a request that has already ended. The node ignores all of them.
+/// A gateway sends records for a request that it never began, records of types that only a FastCGI
+/// application may send, and records for a request that has already ended. The node ignores all of them.
 #[test]
 fn records_of_no_open_request_are_ignored() {
     let (mut scene, mut kernel) = Scene::with_kernel();
@@ -35,8 +36,8 @@
     assert_eq!((scene.counter("requests_bad"), scene.counter("framing_lost")), (0, 0));
 }
 
-/// A gateway begins a request with the id of a request that is still open. Later records with this id could belong to
-/// either request, so the node ends the connection after the response to the first request.
+/// A gateway begins a request with the id of a request that is still open. Later records with this id could
+/// belong to either request, so the node ends the connection after the response to the first request.
 #[test]
 fn a_request_begun_twice_ends_its_connection_after_the_first_response() {
     let (mut scene, mut kernel) = Scene::with_kernel();
@@ -59,8 +60,8 @@
     assert_eq!(scene.counter("framing_lost"), 1);
 }
 
-/// 30 connections send incomplete requests while other connections send complete ones. The node must answer or close each
-/// incomplete request in time, and serve the complete requests.
+/// 30 connections send incomplete requests while other connections send complete ones. The node must end each
+/// incomplete request in time and within bounded memory, and serve the complete requests.
 #[test]
 fn incomplete_requests_on_many_connections_do_not_affect_other_requests() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -77,7 +78,8 @@
         kernel.reap(&id, "good", b"r");
         assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
     }
-    // Each incomplete request must end within the time limit, by a rejection, an error or a closed connection.
+    // Each incomplete request must end within the time limit, by a rejection, an error or a closed
+    // connection.
     let began = Instant::now();
     for sender in &mut senders {
         let end = sender.next_record().map(|(record_type, ..)| record_type);
@@ -86,8 +88,8 @@
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
 }
 
-/// The kernel sends notices about runs that the node did not start, repeated notices, notices out of order, answers to
-/// questions that the node did not ask, and a line that is too long.
+/// The kernel sends notices about runs that the node did not start, repeated notices, notices out of order,
+/// answers to questions that the node did not ask, and a line that is too long.
 #[test]
 fn notices_without_a_run_or_a_question_are_ignored_and_an_endless_line_ends_the_connection() {
     let (mut scene, mut kernel) = Scene::with_kernel();
@@ -109,7 +111,8 @@
         kernel.notify(json!({"event": "POSTED", "ticket": post["ticket"], "fate": fate}), false);
     }
     assert_eq!(&checker.response().status[..3], "200");
-    // A long line that ends is accepted as a notice. A line that exceeds the limit without an end ends the connection (below).
+    // A long line that ends is accepted as a notice. A line that exceeds the limit without an end ends the
+    // connection (below).
     kernel.notify(json!({"event": "DMESG", "fate": "x".repeat(60_000)}), true);
     kernel.reap(TXN_A, "good", b"r");
     kernel.reap(TXN_A, "good", b"other");
@@ -126,8 +129,8 @@
     assert!(scene.counter("lines_bad") >= 3);
 }
 
-/// The store sends one reply in pieces, with each pause shorter than the stall limit, and stops in the middle of another
-/// reply.
+/// The store sends one reply in pieces, with each pause shorter than the stall limit, and stops in the middle
+/// of another reply.
 #[test]
 fn a_reply_in_slow_pieces_is_accepted_and_one_that_stalls_fails_only_its_own_request() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -146,9 +149,9 @@
     assert_eq!(kernel.expect("IODONE", TXN_A), b"abc");
     kernel.reap(TXN_A, "good", b"r");
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
-    // While the kernel answers 40 questions for gauges, the node closes the idle connection of the first call. The second
-    // call therefore opens its own connection, on which the reply stalls. Its run may not be repeated, so the request must
-    // fail long before its deadline.
+    // While the kernel answers 40 questions for gauges, the node closes the idle connection of the first
+    // call. The second call therefore opens its own connection, on which the reply stalls. Its run may not be
+    // repeated, so the request must fail long before its deadline.
     kernel.expect_nothing(40);
     let began = Instant::now();
     gateway.send(&attempt_records(1, "booking", TXN_B, &[("HTTP_X_TXN_KEY", "k2")], b"b"));
@@ -161,7 +164,8 @@
     assert!(began.elapsed() < Duration::from_millis(2_500), "{:?}", began.elapsed());
 }
 
-/// The store answers a call with a reply to another id, with a reply that is too long, or with bytes that are not a reply.
+/// The store answers a call with a reply to another id, with a reply that is too long, or with bytes that are
+/// not a reply.
 #[test]
 fn a_reply_that_is_too_long_or_malformed_or_has_another_id_fails_only_its_own_request() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -196,8 +200,8 @@
         responses.sort_by_key(|response| response.id);
         assert_eq!(status_and_body(&responses[0]).1, "500", "{reply:?}");
         assert_eq!(status_and_body(&responses[1]), (2, "200", &b"s"[..]));
-        // The kernel ends the failed run, which frees its core for the next run. While the kernel answers 40 questions for
-        // gauges, the node closes its idle connections to the store.
+        // The kernel ends the failed run, which frees its core for the next run. While the kernel answers 40
+        // questions for gauges, the node closes its idle connections to the store.
         kernel.reap(&id, "cut", &[]);
         kernel.expect_nothing(40);
     }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Races between two events: a test stops the program (SIGSTOP), causes both events, and lets the program continue, which
-//! then finds both at once. Each test is a row of the table in `docs/design/crossings.md`.
+//! Races between two events: a test stops the program (SIGSTOP), causes both events, and lets the program
+//! continue, which then finds both at once. Each test is a row of the table in `docs/design/crossings.md`.
 
 mod support;
 
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Starts a node in service, with its kernel, whose setting `stop_ms` has this value: the time in milliseconds, from SIGTERM
-/// on, within which the program must have ended.
+/// Starts a node in service, with its kernel, whose setting `stop_ms` has this value: the time in
+/// milliseconds, from SIGTERM on, within which the program must have ended.
 fn scene_with_stop_ms(stop_ms: u64) -> (Scene, Kernel) {
     let scene = Scene::new(|c| c["stop_ms"] = json!(stop_ms));
     scene.store.listen(16).expect("the store listens");
@@ -24,8 +24,8 @@
     kernel.expect("SCHED", id);
 }
 
-/// Two SIGTERMs and a reload arrive while one connection waits to be accepted, one request is unread, one request is
-/// incomplete and one request runs. All four requests must be served.
+/// Two SIGTERMs and a reload arrive while one connection waits to be accepted, one request is unread, one
+/// request is incomplete and one request runs. All four requests must be served.
 #[test]
 fn a_sigterm_loses_no_request_whatever_state_it_is_in() {
     let (mut scene, mut kernel) = scene_with_stop_ms(4_000);
@@ -47,7 +47,8 @@
     scene.reload(&unchanged);
     incomplete.send(last);
     scene.resume();
-    // All four requests reached the machine before the end of the grace period, so the node runs and serves each of them.
+    // All four requests reached the machine before the end of the grace period, so the node runs and serves
+    // each of them.
     let mut started: Vec<String> = Vec::new();
     while started.len() < 3 {
         let command = kernel.command();
@@ -70,8 +71,8 @@
     assert!(scene.exits_successfully());
 }
 
-/// A request is still incomplete when the drain ends. The request has not run, so the node rejects it, and must not end its
-/// connection without this response.
+/// A request is still incomplete when the drain ends. The request has not run, so the node rejects it, and
+/// must not end its connection without this response.
 #[test]
 fn an_incomplete_request_at_the_end_of_a_drain_is_rejected_and_its_connection_ends_without_a_reset() {
     let (mut scene, mut kernel) = scene_with_stop_ms(1_000);
@@ -98,8 +99,8 @@
     assert!(scene.exits_successfully());
 }
 
-/// Gateways write requests just before the drain ends, and the node reads them only after its end. The node must reject them
-/// rather than close their connections without a response.
+/// Gateways write requests just before the drain ends, and the node reads them only after its end. The node
+/// must reject them rather than close their connections without a response.
 #[test]
 fn a_request_that_is_unread_when_the_drain_ends_gets_a_response() {
     let (mut scene, mut kernel) = scene_with_stop_ms(1_000);
@@ -124,8 +125,8 @@
     assert!(scene.exits_successfully());
 }
 
-/// A gateway sends bytes that are not a record while one of its requests runs, and sends more of them afterwards. The node
-/// must still send the response to the open request.
+/// A gateway sends bytes that are not a record while one of its requests runs, and sends more of them
+/// afterwards. The node must still send the response to the open request.
 #[test]
 fn a_pending_response_is_sent_although_bytes_arrive_after_the_framing_is_lost() {
     let (mut scene, mut kernel) = Scene::with_kernel();
@@ -144,8 +145,8 @@
     );
 }
 
-/// A gateway sends a request and the beginning of a further record, and half-closes its connection. The open request must
-/// still get its response.
+/// A gateway sends a request and the beginning of a further record, and half-closes its connection. The open
+/// request must still get its response.
 #[test]
 fn a_half_closed_connection_with_an_incomplete_record_gets_the_response_to_its_request() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -159,8 +160,8 @@
     assert!(gateway.is_closed());
 }
 
-/// The notice that a run has ended and the gateway's abort of its request arrive in the same iteration of the event loop, in
-/// either order. The request must get exactly one response.
+/// The notice that a run has ended and the gateway's abort of its request arrive in the same iteration of the
+/// event loop, in either order. The request must get exactly one response.
 #[test]
 fn an_abort_that_arrives_as_the_run_ends_leads_to_one_response() {
     for reap_first in [true, false] {
@@ -186,8 +187,8 @@
     }
 }
 
-/// The notice that a run has ended and a retry with the same idempotency key arrive in the same iteration of the event loop,
-/// in either order. The retry must get the result of the run, and must not run.
+/// The notice that a run has ended and a retry with the same idempotency key arrive in the same iteration of
+/// the event loop, in either order. The retry must get the result of the run, and must not run.
 #[test]
 fn a_retry_that_arrives_as_the_run_ends_gets_the_result_and_does_not_run() {
     for reap_first in [true, false] {
@@ -211,8 +212,8 @@
     }
 }
 
-/// The gateway's connection closes during the run of a keyed request, and a retry arrives on another connection. The retry
-/// must get the result of the run, and must not run.
+/// The gateway's connection closes during the run of a keyed request, and a retry arrives on another
+/// connection. The retry must get the result of the run, and must not run.
 #[test]
 fn a_keyed_run_whose_connection_has_closed_serves_its_retry() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -229,8 +230,8 @@
     kernel.expect_nothing(5);
 }
 
-/// The connection to the kernel ends right after the notice with cursor 1. The node must apply this notice, ask on the next
-/// connection only for later ones, and ignore a repetition with another result.
+/// The connection to the kernel ends right after the notice with cursor 1. The node must apply this notice,
+/// ask on the next connection only for later ones, and ignore a repetition with another result.
 #[test]
 fn a_notice_just_before_the_end_of_its_connection_is_applied_once() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -251,8 +252,8 @@
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
 }
 
-/// The connection to the kernel ends, in one case after an incomplete notice, while the node has a command to send. The node
-/// must send the command once on the next connection.
+/// The connection to the kernel ends, in one case after an incomplete notice, while the node has a command to
+/// send. The node must send the command once on the next connection.
 #[test]
 fn a_command_that_is_due_as_the_kernel_connection_ends_is_sent_on_the_next() {
     for sends_partial_notice in [false, true] {
@@ -276,8 +277,8 @@
     }
 }
 
-/// The connection to the store ends right after a reply. The node must accept a complete reply. An incomplete reply leaves
-/// open whether the call had its effect.
+/// The connection to the store ends right after a reply. The node must accept a complete reply. An incomplete
+/// reply leaves open whether the call had its effect.
 #[test]
 fn a_reply_just_before_the_end_of_its_connection_is_accepted_if_complete() {
     for (reply, is_complete) in [("OK 1\r\nr\r\n", true), ("OK 1\r\nr", false), ("BUSY\r\n", true)] {
@@ -301,14 +302,15 @@
     }
 }
 
-/// The listen backlog of the store is full, so the node's connection attempt for a call gets no answer before the request
-/// times out. Calls of other requests must not be affected.
+/// The listen backlog of the store is full, so the node's connection attempt for a call gets no answer before
+/// the request times out. Calls of other requests must not be affected.
 #[test]
 fn an_abandoned_connection_attempt_to_the_store_does_not_affect_other_calls() {
     let scene = Scene::new(|_| ());
     let mut kernel = scene.connect_kernel();
     scene.await_healthy();
-    // Two connections fill the backlog: a further connection attempt gets no answer until the backlog is emptied.
+    // Two connections fill the backlog: a further connection attempt gets no answer until the backlog is
+    // emptied.
     scene.store.listen(0).expect("the store listens");
     let backlog: Vec<_> = (0..2).map(|_| scene.fill_store_backlog()).collect();
     let mut gateway = scene.gateway();
@@ -322,7 +324,8 @@
     expect_run(&mut kernel, TXN_B);
     kernel.request_call(TXN_B, b"d");
     let mut store = loop {
-        // The connections that filled the backlog and the abandoned one are accepted first. They send nothing.
+        // The connections that filled the backlog and the abandoned one are accepted first. They send
+        // nothing.
         let mut store = scene.accept_store();
         if store.receives_call(TXN_B) {
             break store;
@@ -332,8 +335,8 @@
     assert_eq!(kernel.expect("IODONE", TXN_B), b"r");
 }
 
-/// A reload changes the address of the kernel while the node still waits for the kernel at the old address to be up. The node
-/// must connect to the kernel at the new address.
+/// A reload changes the address of the kernel at the same time as the kernel at the old address reports that
+/// it is up. The node must connect to the kernel at the new address.
 #[test]
 fn a_reload_that_moves_the_kernel_before_it_is_up_connects_to_its_new_address() {
     let scene = Scene::new(|_| ());
@@ -355,8 +358,8 @@
     expect_run(&mut kernel, TXN_A);
 }
 
-/// SIGTERM, a reload that removes a class, and a further request of this class arrive at the same time while a request of the
-/// class runs. The running request must be served.
+/// SIGTERM, a reload that removes a class, and a further request of this class arrive at the same time while
+/// a request of the class runs. The running request must be served.
 #[test]
 fn a_class_that_a_reload_removes_during_a_drain_keeps_its_open_requests() {
     let (mut scene, mut kernel) = scene_with_stop_ms(2_000);
@@ -376,15 +379,15 @@
     let mut responses = [gateway.response(), gateway.response()];
     responses.sort_by_key(|response| response.id);
     assert_eq!(status_and_body(&responses[0]), (1, "200", &b"r"[..]));
-    // Request 2 arrived together with the reload. If the node reads the request first, the request runs and fails at the end
-    // of the drain; if the node reloads first, the class is unknown.
+    // Request 2 arrived together with the reload. If the node reads the request first, the request runs and
+    // fails at the end of the drain; if the node reloads first, the class is unknown.
     assert!(["404", "500", "503"].contains(&&responses[1].status[..3]), "{responses:?}");
     drop(gateway);
     assert!(scene.exits_successfully());
 }
 
-/// The process is stopped for longer than the caller timeout of a waiting request. The iteration of the event loop that reads
-/// the request must take the time after the stop, not the time before it.
+/// The process is stopped for longer than the caller timeout of a waiting request. The iteration of the event
+/// loop that reads the request must take the time after the stop, not the time before it.
 #[test]
 fn a_request_that_times_out_while_the_process_is_stopped_gets_a_response_and_never_runs() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -400,8 +403,8 @@
     expect_run(&mut kernel, TXN_B);
 }
 
-/// A reload changes the address of the membership service at the same time as SIGTERM arrives. The node must report to the
-/// new address that it leaves service, and repeat the report, as a datagram may be lost.
+/// A reload changes the address of the membership service at the same time as SIGTERM arrives. The node must
+/// report to the new address that it leaves service, and repeat the report, as a datagram may be lost.
 #[test]
 fn membership_reports_go_to_the_reloaded_address_and_repeat_that_the_node_leaves() {
     let (mut scene, mut kernel) = scene_with_stop_ms(2_000);
@@ -425,8 +428,8 @@
     assert!(scene.exits_successfully());
 }
 
-/// The process is killed while one request runs and one connection waits to be accepted, and is started again with the same
-/// listen address. It must be able to listen there, and serve new requests.
+/// The process is killed while one request runs and one connection waits to be accepted, and is started again
+/// with the same listen address. It must be able to listen there, and serve new requests.
 #[test]
 fn a_process_that_is_killed_with_connections_pending_restarts_at_its_address() {
     let port = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port").port();
--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -1,11 +1,12 @@
-//! Tests of `gaugestand-drill`, the simulator's adapter, which hosts one admission controller for each worker of the
-//! simulator. The tests write events to its standard input and read its replies from its standard output.
+//! Tests of `gaugestand-drill`, the simulator's adapter, which hosts one admission controller for each worker
+//! of the simulator. The tests write events to its standard input and read its replies from its standard
+//! output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Settings that each `up` event carries: those of a worker with 2 cores and one class. `new.key` is a setting that the
-/// adapter does not know.
+/// Settings that each `up` event carries: those of a worker with 2 cores and one class. `new.key` is a
+/// setting that the adapter does not know.
 const SETTINGS: &str = "extra.cores=2 extra.heap-kb=8000 extra.run-factor=8 tick=5000000 fleet-size=2 classes.count=1 \
     classes.0.goal-time=1000000000 classes.0.hard-limit=3000000000 classes.0.effect=pure classes.0.worth=1 \
     rules.fall-multiple=6 rules.fall=2000000000 caps.retry-after=true caps.max-retry-after=1000000000 new.key=x";
@@ -18,8 +19,8 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter exits at a malformed line without reading the rest of its input. The write then fails with a broken pipe,
-    // which this test expects.
+    // The adapter exits at a malformed line without reading the rest of its input. The write then fails with
+    // a broken pipe, which this test expects.
     let _ = adapter.stdin.take().expect("standard input is piped").write_all(input.as_bytes());
     adapter.wait_with_output().expect("the adapter exits")
 }
@@ -44,7 +45,8 @@
     )
 }
 
-// The simulator waits for one reply to each batch. If the adapter omitted a reply, both processes would wait for ever.
+// The simulator waits for one reply to each batch. If the adapter omitted a reply, both processes would wait
+// for ever.
 #[test]
 fn each_batch_gets_one_reply_and_the_end_of_input_ends_the_adapter() {
     let input = format!("frame t=5\ncommit\nframe t=9\n{}{}commit\n", up(0), demand(0, 1));
@@ -55,8 +57,8 @@
     assert!(text.contains("process who=0 handle=00000000-0000-4000-8000-000000000001"));
 }
 
-// A newer simulator sends events that the adapter does not know, which it skips. A faulty simulator sends malformed lines, for
-// which the adapter exits with an error that names the line and the field.
+// A newer simulator sends events that the adapter does not know, which it skips. A faulty simulator sends
+// malformed lines, for which the adapter exits with an error that names the line and the field.
 #[test]
 fn unknown_events_are_skipped_and_malformed_lines_are_named_in_the_error() {
     let with_unknown = format!("frame t=5\nnovelty who=0 odd\n{}commit\n", up(0));
@@ -78,8 +80,8 @@
     }
 }
 
-// The simulator gives a worker invalid settings. The adapter reports this worker as broken, and does not exit, as it may host
-// other workers.
+// The simulator gives a worker invalid settings. The adapter reports this worker as broken, and does not
+// exit, as it may host other workers.
 #[test]
 fn a_worker_with_invalid_settings_is_reported_as_broken() {
     for (valid, invalid, message) in [
@@ -94,7 +96,8 @@
     }
 }
 
-// A truth value in the settings is misspelt. If the adapter read it as `no`, it would switch a function off without notice.
+// A truth value in the settings is misspelt. If the adapter read it as `no`, it would switch a function off
+// without notice.
 #[test]
 fn a_misspelt_truth_value_is_named_in_the_error() {
     let output = run(&format!("frame t=5\n{} extra.list-follows=perhaps\ncommit\n", up(0).trim_end()));
@@ -102,7 +105,8 @@
     assert!(stderr(&output).contains("extra.list-follows"), "{}", stderr(&output));
 }
 
-// Reads with the same affinity key are answered from one run. Without a key the adapter cannot know which reads are the same.
+// Reads with the same affinity key are answered from one run. Without a key the adapter cannot know which
+// reads are the same.
 #[test]
 fn a_read_is_kept_for_reuse_only_if_it_has_an_affinity_key() {
     for (key, is_kept) in [(" affinity=k:one", true), (" affinity=", false), ("", false)] {
@@ -133,8 +137,8 @@
     actions
 }
 
-// One adapter process hosts many workers. If they shared state, they would decide differently from real nodes, each of which
-// runs in a process of its own.
+// One adapter process hosts many workers. If they shared state, they would decide differently from real
+// nodes, each of which runs in a process of its own.
 #[test]
 fn workers_in_one_process_act_as_in_separate_processes() {
     let mut separate: Vec<String> = (0..3).flat_map(|worker| actions_of(&[worker])).collect();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Clusters of real node processes that commit versions of the agreed settings, with faults injected into the links between
-//! them.
+//! Clusters of real node processes that commit versions of the agreed settings, with faults injected into the
+//! links between them.
 
 use gaugestand_fakes::relay::Delivery;
 use gaugestand_simulation::fakes::gateway::Reply;
@@ -24,8 +24,9 @@
     Path::new(env!("CARGO_BIN_EXE_gaugestand"))
 }
 
-/// Starts a cluster of three processes, commits a first version, which blocks `subject(1)`, and waits until it is active at
-/// all three. `serial`, a number that no other test uses, tells the folder of this cluster from those of others.
+/// Starts a cluster of three processes, commits a first version, which blocks `subject(1)`, and waits until
+/// it is active at all three. `serial`, a number that no other test uses, tells the folder of this cluster
+/// from those of others.
 fn three_processes(serial: u64) -> ProcessCluster {
     let cluster = ProcessCluster::start(program(), 3, 1_000_000 + serial).expect("three processes start");
     let version = cluster.commit(0, &blocking_content(1)).expect("the first version is committed");
@@ -47,8 +48,8 @@
     }
 }
 
-/// The error text of an operator's call that must be rejected. `because` is the reason why, for the message of the panic if
-/// the call succeeds.
+/// The error text of an operator's call that must be rejected. `because` is the reason why, for the message
+/// of the panic if the call succeeds.
 fn rejection<T: Debug>(result: Result<T, ProcessClusterError>, because: &str) -> String {
     result.expect_err(because).to_string()
 }
@@ -64,8 +65,8 @@
     cluster.gateway(process).expect("the process serves").book(request, key, b"b").expect("an answer")
 }
 
-/// Repeats a read about a subject, with a new request id each time, until the reply is `expected`. A single read would not do,
-/// as each node activates a version at its own time.
+/// Repeats a read about a subject, with a new request id each time, until the reply is `expected`. A single
+/// read would not do, as each node activates a version at its own time.
 fn await_reply(cluster: &ProcessCluster, process: usize, mut request: u64, subject: u64, expected: &Reply) {
     retry(|| {
         request += 1;
@@ -83,8 +84,9 @@
     serde_json::from_str(answer).expect("valid JSON")
 }
 
-// Processes are partitioned, killed and paused while versions are proposed. No process may act on a version after another
-// process has begun to act on a newer one that conflicts with it, and no accepted version may be lost.
+// Processes are partitioned, killed and paused while versions are proposed. No process may act on a version
+// more than one lease duration after another process has acted on a newer one, and no accepted version may be
+// lost.
 #[test]
 fn committed_versions_stay_in_effect_through_partitions_kills_and_pauses() {
     for (seed, nodes) in [(1, 3), (2, 5), (3, 3)] {
@@ -98,8 +100,8 @@
     }
 }
 
-// One node is partitioned while the others commit a version that the partitioned node does not know. The partitioned node must
-// serve the requests that no version can block, and reject all others.
+// One node is partitioned while the others commit a version that the partitioned node does not know. The
+// partitioned node must serve the requests that no version can block, and reject all others.
 #[test]
 fn a_partitioned_node_serves_only_requests_that_no_version_can_block() {
     let cluster = three_processes(1);
@@ -107,8 +109,8 @@
     let second = cluster.commit(1, &blocking_content(2)).expect("the other two are a majority");
     cluster.await_active(&[1, 2], second).expect("active at the other two");
     let mut partitioned_gateway = cluster.gateway(0).expect("the partitioned node accepts connections");
-    // The node rejects a keyed request and reads about a subject, because a newer version may decide otherwise on them, even on
-    // `subject(1)`, which the old version blocks.
+    // The node rejects a keyed request and reads about a subject, because a newer version may decide
+    // otherwise on them, even on `subject(1)`, which the old version blocks.
     assert_eq!(partitioned_gateway.book(1, "key-1", b"b").expect("an answer"), Reply::Rejected);
     assert_eq!(partitioned_gateway.read_about(2, subject(7)).expect("an answer"), Reply::Rejected);
     assert_eq!(partitioned_gateway.read_about(3, subject(1)).expect("an answer"), Reply::Rejected);
@@ -123,9 +125,10 @@
     assert!(matches!(partitioned_gateway.book(6, "key-1", b"b").expect("an answer"), Reply::Served(_)));
 }
 
-// An operator unblocks 12 subjects one after the other. A version that only unblocks conflicts with no older version, so that it
-// becomes active without waiting for the expiry of old leases. If it waited, the next proposal would be rejected because the
-// version before is not active yet, and nodes would have no lease meanwhile.
+// An operator unblocks 12 subjects one after the other. A version that only unblocks conflicts with no older
+// version, so that it becomes active without waiting for the expiry of old leases. If it waited, the next
+// proposal would be rejected because the version before is not active yet, and nodes would have no lease
+// meanwhile.
 #[test]
 fn versions_that_only_unblock_become_active_without_waiting_for_old_leases() {
     let cluster = three_processes(7);
@@ -141,8 +144,8 @@
             proposal.map_err(|error| error.to_string())
         };
         let mut answer = propose();
-        // On a busy machine the leader may change, so a rejection with `no majority` is retried. Any other rejection fails the
-        // test, above all that the version before is not active yet.
+        // On a busy machine the leader may change, so a rejection with `no majority` is retried. Any other
+        // rejection fails the test, above all that the version before is not active yet.
         while answer.as_ref().is_err_and(|why| why.contains("no majority")) {
             thread::sleep(RETRY_INTERVAL);
             answer = propose();
@@ -154,14 +157,15 @@
         let reply = read_about(&cluster, process, 1_000, subject(100)).expect("an answer");
         assert!(matches!(reply, Reply::Served(_) | Reply::Rejected), "{reply:?}");
     }
-    // A version that blocks a further subject waits for the expiry of old leases, and becomes active after that.
+    // A version that blocks a further subject waits for the expiry of old leases, and becomes active after
+    // that.
     let last = cluster.commit(0, &blocking(1)).expect("committed");
     cluster.await_active(&[0, 1, 2], last).expect("active");
     await_reply(&cluster, 1, 2_000, subject(100), &Reply::Blocked);
 }
 
-// A process is paused until its lease has expired, while requests wait in its sockets. After the pause it must not decide by its
-// old version, even in the first iteration of its event loop.
+// A process is paused until its lease has expired, while requests wait in its sockets. After the pause it
+// must not decide by its old version, even in the first iteration of its event loop.
 #[test]
 fn a_process_that_was_paused_decides_nothing_by_its_old_version() {
     let cluster = three_processes(2);
@@ -177,8 +181,8 @@
     cluster.signal(0, "-CONT");
     for thread in waiting {
         let reply = thread.join().expect("the reader does not panic").expect("an answer");
-        // The first version blocks the subject, the second does not. Without a lease the node must reject the request, so that
-        // another node decides.
+        // The first version blocks the subject, the second does not. Without a lease the node must reject the
+        // request, so that another node decides.
         assert_eq!(reply, Reply::Rejected);
     }
     cluster.await_active(&[0], second).expect("active");
@@ -187,8 +191,9 @@
     assert!(matches!(other, Reply::Served(_)), "{other:?}");
 }
 
-// One node has less memory than the others, so that it could not hold the keys of the proposed window; or the proposal drops a
-// class that has load. The cluster rejects such a proposal before it commits anything, and names the node and the reason.
+// One node has less memory than the others, so that it could not hold the keys of the proposed window; or the
+// proposal drops a class that has load. The cluster rejects such a proposal before it commits anything, and
+// names the node and the reason.
 #[test]
 fn a_version_that_one_node_could_not_act_on_is_rejected_with_its_name() {
     let small = |process: usize, config: &mut Value| {
@@ -222,7 +227,8 @@
     let answer = cluster.call(1, &format!("PROPOSE 0 force {}", content(&settings))).expect("committed");
     assert_eq!(answer, "{\"version\":1}");
     cluster.await_active(&[0, 1, 2], 1).expect("active");
-    // Each node now rejects requests of the dropped class. A further proposal that expects version 0 is out of date.
+    // Each node now rejects requests of the dropped class. A further proposal that expects version 0 is out
+    // of date.
     assert_eq!(book(&cluster, 1, 90, "key"), Reply::Rejected);
     assert!(matches!(
         cluster.gateway(1).expect("the process serves").read(91).expect("an answer"),
@@ -235,8 +241,9 @@
     assert!(why.contains("out of date: version 1"), "{why}");
 }
 
-// An operator changes a setting of the cluster in the configuration file of one node, and reloads it. The node must reject the
-// reload: if it accepted it, the change would have no effect, but the operator would believe that it had.
+// An operator changes a setting of the cluster in the configuration file of one node, and reloads it. The
+// node must reject the reload: if it accepted it, the change would have no effect, but the operator would
+// believe that it had.
 #[test]
 fn a_reload_changes_a_nodes_own_settings_and_rejects_those_of_the_cluster() {
     let cluster = three_processes(4);
@@ -257,8 +264,9 @@
     cluster.await_metric(0, "reload_success", 1).expect("the node accepts the reload");
 }
 
-// A node, which every third time is the leader, is killed at a different point of a proposal in each round, from before its
-// validation to after its commit. All nodes must keep each accepted version, under the same number.
+// A node, which every third time is the leader, is killed at a different point of a proposal in each round,
+// from before its validation to after its commit. All nodes must keep each accepted version, under the same
+// number.
 #[test]
 fn nothing_committed_is_lost_when_a_node_is_killed_at_each_proposal() {
     let cluster = three_processes(5);
@@ -269,7 +277,8 @@
         let content = blocking_content(10 + round as u64);
         let proposed = thread::scope(|scope| {
             let proposal = scope.spawn(|| cluster.call(survivor, &format!("PROPOSE - - {content}")));
-            // The kill comes later in each round: in the first before the validation, in the last after the commit.
+            // The kill comes later in each round: in the first before the validation, in the last after the
+            // commit.
             thread::sleep(Duration::from_millis(round as u64 * 4));
             cluster.kill(victim);
             proposal.join().expect("the proposer does not panic")
@@ -302,8 +311,8 @@
     parse(&contents[0])
 }
 
-// Clients that are not nodes connect to the peer address of each node, and send garbage or nothing. The links between the nodes
-// must not be affected.
+// Clients that are not nodes connect to the peer address of each node, and send garbage or nothing. The links
+// between the nodes must not be affected.
 #[test]
 fn garbage_and_silent_connections_do_not_affect_links_between_nodes() {
     let cluster = three_processes(6);
@@ -337,18 +346,19 @@
     });
 }
 
-/// Repeats an operator's call that changes the membership until the change is committed. A call fails while another version
-/// is pending, or until the leader has handed over its leadership.
+/// Repeats an operator's call that changes the membership until the change is committed. A call fails while
+/// another version is pending, or until the leader has handed over its leadership.
 fn change_membership(cluster: &ProcessCluster, process: usize, call: &str) {
     retry(|| match cluster.call(process, call).map_err(|error| error.to_string()) {
-        // An earlier call whose answer was lost may have committed the change: the name is then taken, or no longer known.
+        // An earlier call whose answer was lost may have committed the change: the name is then taken, or no
+        // longer known.
         Err(why) if !why.contains("has that name") => Err(format!("{call}: {why}")),
         _ => Ok(()),
     });
 }
 
-// An operator adds nodes to a cluster in service, replaces a lost node, and removes nodes again. The cluster must need no stop,
-// and a removed node must no longer decide, as clients would notice either.
+// An operator adds nodes to a cluster in service, replaces a lost node, and removes nodes again. The cluster
+// must need no stop, and a removed node must no longer decide, as clients would notice either.
 #[test]
 fn a_cluster_grows_from_one_to_three_replaces_its_first_node_and_shrinks_in_service() {
     let cluster = ProcessCluster::with_spares(program(), 1, 3, 1_000_011).expect("one process starts");
@@ -380,8 +390,8 @@
     let version = cluster.commit(2, &blocking_content(2)).expect("the three members still commit");
     cluster.await_active(&[1, 2, 3], version).expect("active");
     await_reply(&cluster, 3, 200, subject(2), &Reply::Blocked);
-    // The removed node is started again with its old consensus log. It must learn of its removal, and reject requests on which
-    // the cluster decides.
+    // The removed node is started again with its old consensus log. It must learn of its removal, and reject
+    // requests on which the cluster decides.
     cluster.start_process(0).expect("the process starts");
     retry(|| {
         let status = cluster.call(0, "STATUS").map_err(|error| error.to_string())?;
@@ -399,8 +409,8 @@
     assert!(why.contains("the last node that votes"), "{why}");
 }
 
-// An operator's script sends a malformed call to the second address. The answer must say what is expected, and the node must
-// propose nothing.
+// An operator's script sends a malformed call to the second address. The answer must say what is expected,
+// and the node must propose nothing.
 #[test]
 fn malformed_operator_calls_are_rejected_with_what_is_expected() {
     let cluster = ProcessCluster::start(program(), 1, 1_000_012).expect("one process starts");
@@ -428,7 +438,8 @@
     assert_eq!(cluster.call(0, "HISTORY").expect("an answer"), "[]");
 }
 
-// The argument parser panics on `--help` of a sub-command if one of its positional arguments is not declared last.
+// The argument parser panics on `--help` of a sub-command if one of its positional arguments is not declared
+// last.
 #[test]
 fn each_sub_command_prints_its_help() {
     for name in ["status", "history", "show", "diff", "propose", "rollback", "join", "remove"] {
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,12 +1,12 @@
-//! Tests of `.ci/known-red`, the script with which CI skips tests that are known to fail: it skips exactly the tests that
-//! `KNOWN-RED.txt` lists, and rejects a malformed list.
+//! Tests of `.ci/known-red`, the script with which CI skips tests that are known to fail: it skips exactly
+//! the tests that `KNOWN-RED.txt` lists, and rejects a malformed list.
 
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-/// Runs `.ci/known-red` with this list (`None`: the file does not exist) and these names of tests, one a line, on its
-/// standard input. Returns its standard output, or its standard error if it fails.
+/// Runs `.ci/known-red` with this list (`None`: the file does not exist) and these names of tests, one a
+/// line, on its standard input. Returns its standard output, or its standard error if it fails.
 fn known_red(list: Option<&str>, tests: &str) -> Result<String, String> {
     static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -30,8 +30,8 @@
     if out.status.success() { Ok(text(&out.stdout)) } else { Err(text(&out.stderr)) }
 }
 
-/// Names of tests, one a line, as CI passes them to the script. Two tests are named `two`, and `one` is also the end of
-/// another test's name.
+/// Names of tests, one a line, as CI passes them to the script. Two tests are named `two`, and `one` is also
+/// the end of another test's name.
 const TESTS: &str = "one\nother::one\ntwo\ntwo\nthree\nfour\n";
 
 /// A valid entry of the list for the test of this name.
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -35,8 +35,9 @@
     assert!(scene.exits_successfully());
 }
 
-/// The table of gateways' connections is full, and connections to the second address are open that send nothing or an
-/// incomplete call. The node must answer further operators' calls without waiting for any of them.
+/// The table of gateways' connections is full, and connections to the second address are open that send
+/// nothing or an incomplete call. The node must answer further operators' calls without waiting for any of
+/// them.
 #[test]
 fn admin_calls_are_answered_while_the_connection_table_is_full_and_callers_are_idle() {
     let scene = scene();
@@ -57,7 +58,8 @@
     }
 }
 
-/// Requests end in each possible way. Each request must be counted once, under the outcome that its client received.
+/// Requests end in each possible way. Each request must be counted once, under the outcome that its client
+/// received.
 #[test]
 fn counters_match_what_clients_and_kernel_saw() {
     let scene = scene();
@@ -84,7 +86,8 @@
     // Requests of an unknown class and with an invalid id are errors, counted under no class.
     assert_eq!(send_and_run(&txn(7), "nothing", b"", ""), "404");
     assert_eq!(send_and_run("short", "quote", b"", ""), "400");
-    // The client of this request closes its connection during the run: the run is preempted, and counts as an error.
+    // The client of this request closes its connection during the run: the run is preempted, and counts as an
+    // error.
     let mut leaving = scene.gateway();
     leaving.request(1, "quote", &txn(8), b"q");
     kernel.expect("SCHED", &txn(8));
@@ -101,15 +104,16 @@
     assert_eq!([value("reload_success"), value("reload_failure")], [0, 0]);
 }
 
-/// The error with which a reload from `old` to the configuration `text` is rejected, or `None` if the reload is accepted.
+/// The error with which a reload from `old` to the configuration `text` is rejected, or `None` if the reload
+/// is accepted.
 fn rejection(old: &Value, text: &str) -> Option<String> {
     let old = parse(&old.to_string(), None, None, None).expect("the old configuration is valid");
     let new = parse(text, None, None, None);
     new.and_then(|new| validate_change(&old, &new)).err().map(|e| e.to_string())
 }
 
-/// A configuration is truncated, lacks a key, or has a value out of range or of another type. The node must reject it as a
-/// whole.
+/// A configuration is truncated, lacks a key, or has a value out of range or of another type. The node must
+/// reject it as a whole.
 #[test]
 fn a_configuration_is_rejected_for_each_of_its_mistakes() {
     let valid = configuration(1, 2, 3);
@@ -154,8 +158,9 @@
     assert!(rejection(&valid, &duplicate.to_string()).is_some());
 }
 
-/// A reload adds a class, removes a class that has an open request, and shortens the deadline of a third. The open requests
-/// must end as they would have without the reload, and retries of the removed class must get the stored result.
+/// A reload adds a class, removes a class that has an open request, and shortens the deadline of a third. The
+/// open requests must end as they would have without the reload, and retries of the removed class must get
+/// the stored result.
 #[test]
 fn a_reload_adds_and_removes_classes_while_their_requests_are_open() {
     let mut scene = scene();
@@ -179,8 +184,8 @@
     }
     scene.reload(&text.to_string());
     scene.await_log_line("in effect");
-    // The node serves requests of the new class and rejects new keys of the removed class. Retries of a key that the removed
-    // class has used still get the stored result.
+    // The node serves requests of the new class and rejects new keys of the removed class. Retries of a key
+    // that the removed class has used still get the stored result.
     gateway.request(3, "upgrade", &txn(3), b"u");
     let command = kernel.command();
     assert_eq!((&command["handle"], &command["entry"]), (&json!(txn(3)), &json!("upgrade")));
@@ -196,7 +201,8 @@
     assert_eq!(both, [(1, b"booked".to_vec()), (5, b"booked".to_vec())]);
     gateway.request(6, "booking", &txn(6), b"b");
     assert_eq!(gateway.response().body, b"booked");
-    // Request 2 keeps the deadline of its class at its arrival, which is later than the class's deadline after the reload.
+    // Request 2 keeps the deadline of its class at its arrival, which is later than the class's deadline
+    // after the reload.
     std::thread::sleep(std::time::Duration::from_millis(1_800));
     kernel.reap(&txn(2), "good", b"quoted");
     assert_eq!(gateway.response().body, b"quoted");
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -1,5 +1,6 @@
-//! Runs the real program with the settings of sites that are drawn by seed. The sites differ in the fields that requests
-//! carry and in what each site allows; the program must not depend on the form of a particular site.
+//! Runs the real program with the settings of sites that are drawn by seed. The sites differ in the fields
+//! that requests carry and in what each site allows; the program must not depend on the form of a particular
+//! site.
 
 mod support;
 
@@ -11,8 +12,9 @@
 /// Number of sites that are checked, which are drawn from the seeds 0 to `SITES` - 1.
 const SITES: u64 = 10;
 
-/// The parameters of an attempt of this class as this site's gateways send them. `key` is its idempotency key, `ttl` its
-/// caller timeout in milliseconds; an empty value removes a parameter that the test's gateway would send by default.
+/// The parameters of an attempt of this class as this site's gateways send them. `key` is its idempotency
+/// key, `ttl` its caller timeout in milliseconds; an empty value removes a parameter that the test's gateway
+/// would send by default.
 fn params<'a>(
     site: &Site,
     class: &RequestClass,
@@ -29,8 +31,8 @@
     params
 }
 
-/// Sends requests of each class of the site with this seed, and checks that the node does only what the site allows. The
-/// message of a failed check names the seed and the class.
+/// Sends requests of each class of the site with this seed, and checks that the node does only what the site
+/// allows. The message of a failed check names the seed and the class.
 fn check_site(seed: u64) {
     let site = Site::draw(seed);
     let scene = Scene::new(|c| {
@@ -88,7 +90,8 @@
     }
 }
 
-/// Guards against code that depends on the form of a particular site: on the fields of its requests, or on what it allows.
+/// Guards against code that depends on the form of a particular site: on the fields of its requests, or on
+/// what it allows.
 #[test]
 fn sites_with_different_request_fields_and_permissions_are_served() {
     let sites: Vec<Site> = (0..SITES).map(Site::draw).collect();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,5 @@
-//! Upgrades of the real program: a successor, which is another process of the same node, takes over from its predecessor.
+//! Upgrades of the real program: a successor, which is another process of the same node, takes over from its
+//! predecessor.
 
 mod support;
 
@@ -23,8 +24,8 @@
     format!("{n:032x}")
 }
 
-/// Accepts a connection to the kernel and reports that the kernel is up. The node must ask on it for the notices after the
-/// one with the number `cursor`.
+/// Accepts a connection to the kernel and reports that the kernel is up. The node must ask on it for the
+/// notices after the one with the number `cursor`.
 fn connect_kernel(listener: &std::net::TcpListener, cursor: u64) -> Kernel {
     let mut kernel = Kernel::new(listener.accept().expect("the node connects").0);
     assert_eq!(kernel.command(), json!({"event": "OPEN", "cursor": cursor}));
@@ -45,20 +46,22 @@
     (scene, kernel, gateway)
 }
 
-/// A successor takes over while there are an open run, a run that waits for an outbound call, an incomplete request and a
-/// stored result. No request may be lost, run again, or get another answer than without the hand-over.
+/// A successor takes over while there are an open run, a run that waits for an outbound call, an incomplete
+/// request and a stored result. No request may be lost, run again, or get another answer than without the
+/// hand-over.
 #[test]
 fn runs_calls_requests_and_results_are_handed_over_to_the_successor() {
     let mut scene = Scene::replaceable();
     scene.store.listen(16).expect("the store listens");
     let mut kernel = scene.connect_kernel();
     scene.await_healthy();
-    // One key has a result, another one an open run, a third run waits for an outbound call, and one request is incomplete.
-    let mut served = scene.gateway();
-    served.send(&attempt_records(1, "booking", &txn(1), &[("HTTP_X_TXN_KEY", &key(1))], b"one"));
+    // One key has a result, another one an open run, a third run waits for an outbound call, and one request
+    // is incomplete.
+    let mut completed = scene.gateway();
+    completed.send(&attempt_records(1, "booking", &txn(1), &[("HTTP_X_TXN_KEY", &key(1))], b"one"));
     kernel.expect("SCHED", &txn(1));
     kernel.reap(&txn(1), "good", b"first");
-    assert_eq!(served.response().body, b"first");
+    assert_eq!(completed.response().body, b"first");
     let mut running = scene.gateway();
     running.send(&attempt_records(1, "booking", &txn(2), &[("HTTP_X_TXN_KEY", &key(2))], b"two"));
     kernel.expect("SCHED", &txn(2));
@@ -81,13 +84,13 @@
     next.await_ready();
     assert_eq!(scene.admin_call("PING\n"), "done\n");
     scene.signal("-TERM");
-    // For notices about the predecessor's runs the successor connects to the predecessor's kernel, and asks for those after the
-    // last notice that the predecessor read.
+    // For notices about the predecessor's runs the successor connects to the predecessor's kernel, and asks
+    // for those after the last notice that the predecessor read.
     let mut kernel = connect_kernel(&scene.kernel, 2);
     kernel.cursor = 2;
     store.reply(format!("{} OK 5\r\nreply\r\n", txn(3)).as_bytes());
-    // The successor may first resend the command that began the run of attempt 2, as it does not know whether the kernel has
-    // read that command.
+    // The successor may first resend the command that began the run of attempt 2, as it does not know whether
+    // the kernel has read that command.
     let mut command = kernel.command();
     if command["event"] == "SCHED" && command["handle"] == txn(2) {
         command = kernel.command();
@@ -117,8 +120,8 @@
     assert_eq!(admin_call(&next.admin, "PING\n"), "done\n");
 }
 
-/// A first successor is killed before it takes over; then the predecessor is killed before a second successor takes over. The
-/// stored result must be kept, and a run whose outcome is unknown must not be repeated.
+/// A first successor is killed before it takes over; then the predecessor is killed before a second successor
+/// takes over. The stored result must be kept, and a run whose outcome is unknown must not be repeated.
 #[test]
 fn a_process_killed_before_the_takeover_loses_no_result_and_repeats_no_run() {
     let (mut scene, mut kernel, mut gateway) = scene_with_stored_result();
@@ -131,7 +134,8 @@
     let next = scene.start_successor();
     let _second = connect_kernel(&next.kernel, 0);
     next.await_ready();
-    // This run starts while there is a successor: the predecessor reports it to the successor before it commands the kernel.
+    // This run starts while there is a successor: the predecessor reports it to the successor before it
+    // commands the kernel.
     let mut another = scene.gateway();
     another.send(&attempt_records(1, "booking", &txn(3), &[("HTTP_X_TXN_KEY", &key(3))], b"three"));
     kernel.expect("SCHED", &txn(3));
@@ -147,8 +151,9 @@
     assert_eq!(book(7, 3, "three").0, "500");
 }
 
-/// The successor cannot read the state that the predecessor hands over, as it would be if an incompatible version of the
-/// program had written it. The predecessor must end its requests, and the successor serves only after that.
+/// The successor cannot read the state that the predecessor hands over, as it would be if an incompatible
+/// version of the program had written it. The predecessor must end its requests, and the successor serves
+/// only after that.
 #[test]
 fn a_successor_that_cannot_read_the_state_waits_until_its_predecessor_has_ended() {
     let (mut scene, mut kernel, mut gateway) = scene_with_stored_result();
@@ -199,8 +204,8 @@
     last.expect("SCHED", &txn(2));
 }
 
-/// The folder in which the processes of a node find each other holds files of an earlier process, or does not exist. The node
-/// must start and serve all the same.
+/// The folder in which the processes of a node find each other holds files of an earlier process, or does not
+/// exist. The node must start and serve all the same.
 #[test]
 fn a_node_serves_with_stale_files_in_its_handover_folder_or_without_the_folder() {
     let mut scene = Scene::replaceable();
@@ -242,8 +247,8 @@
 }
 
 impl Clients {
-    /// Starts four client threads. If `kills` is true, the test kills processes: a connection that ends early and a failed
-    /// attempt are then no faults.
+    /// Starts four client threads. If `kills` is true, the test kills processes: a connection that ends early
+    /// and a failed attempt are then no faults.
     fn start(address: &str, kills: bool) -> Self {
         let mut clients = Clients {
             stop: Arc::default(),
@@ -265,7 +270,8 @@
                 let mut kept = None;
                 while !stop.load(Ordering::Relaxed) {
                     let n = next.fetch_add(1, Ordering::Relaxed);
-                    // Clients repeat their own and each other's keys, so that retries reach processes that did not run the key.
+                    // Clients repeat their own and each other's keys, so that retries reach processes that
+                    // did not run the key.
                     let key_number = rng.u64(n.saturating_sub(40)..=n);
                     let fault = |what: String| faults.lock().expect("no thread has panicked").push(what);
                     let connection = kept.take().filter(|_| rng.bool());
@@ -303,8 +309,8 @@
         clients
     }
 
-    /// Stops the clients, and checks that they met no fault, that the kernel ran no key twice, and that more than 100 requests
-    /// were served.
+    /// Stops the clients, and checks that they met no fault, that the kernel ran no key twice, and that more
+    /// than 100 requests were served.
     fn end(self, kernel: &AutoKernel) {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
@@ -344,8 +350,8 @@
     clients.end(&kernel);
 }
 
-/// Five upgrades follow each other under load. No request or connection may be lost, and no key may have a second run or a
-/// second result.
+/// Five upgrades follow each other under load. No request or connection may be lost, and no key may have a
+/// second run or a second result.
 #[test]
 fn successive_upgrades_lose_nothing() {
     upgrade_repeatedly(5);
@@ -358,8 +364,9 @@
     upgrade_repeatedly(20);
 }
 
-/// Calls the process at this second address until it no longer answers that another process has taken over. Returns true if
-/// the process then refuses the connection, which means that it has exited, and false if it gives another answer.
+/// Calls the process at this second address until it no longer answers that another process has taken over.
+/// Returns true if the process then refuses the connection, which means that it has exited, and false if it
+/// gives another answer.
 fn has_exited(admin: &str) -> bool {
     loop {
         let Ok(mut stream) = TcpStream::connect(admin) else { return true };
@@ -372,7 +379,8 @@
     }
 }
 
-/// The predecessor or the successor is killed at a random moment of an upgrade under load. No key may run twice.
+/// The predecessor or the successor is killed at a random moment of an upgrade under load. No key may run
+/// twice.
 #[test]
 fn a_process_killed_during_an_upgrade_runs_no_key_twice() {
     for seed in 0..4 {
@@ -400,10 +408,10 @@
         let mut clients = clients;
         clients.stop.store(true, Ordering::Relaxed);
         clients.threads.drain(..).for_each(|thread| thread.join().expect("the client does not panic"));
-        // If the successor was killed after it had taken over, no process of the node is left: its listener ended with it, so
-        // the system refuses later connections and resets those that are just being made, which is no fault. If the
-        // predecessor still serves, no connection may have failed. The clients have stopped by now, so none of them adds a
-        // fault after this check.
+        // If the successor was killed after it had taken over, no process of the node is left: its listener
+        // ended with it, so the system refuses later connections and resets those that are just being made,
+        // which is no fault. If the predecessor still serves, no connection may have failed. The clients have
+        // stopped by now, so none of them adds a fault after this check.
         let mut faults = clients.faults.lock().expect("no thread has panicked");
         if !kills_predecessor && !faults.is_empty() && has_exited(&scene.admin) {
             faults
