--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -19,8 +19,8 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter exits at a malformed line without reading the rest of its input. The write then fails with
-    // a broken pipe, which this test expects.
+    // The adapter exits at a malformed line without reading the rest of its input. The write may then
+    // fail with a broken pipe, which the tests ignore.
     let _ = adapter.stdin.take().expect("standard input is piped").write_all(input.as_bytes());
     adapter.wait_with_output().expect("the adapter exits")
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -25,8 +25,8 @@
 }
 
 /// Starts a cluster of three processes, commits a first version, which blocks `subject(1)`, and waits until
-/// it is active at all three. `serial`, a number that no other test uses, tells the folder of this cluster
-/// from those of others.
+/// it is active at all three. `serial`, a number that no other test uses, distinguishes the folder of this
+/// cluster from those of other clusters.
 fn three_processes(serial: u64) -> ProcessCluster {
     let cluster = ProcessCluster::start(program(), 3, 1_000_000 + serial).expect("three processes start");
     let version = cluster.commit(0, &blocking_content(1)).expect("the first version is committed");
@@ -62,7 +62,7 @@
 
 /// Sends a keyed request to a process on a connection of its own.
 fn book(cluster: &ProcessCluster, process: usize, request: u64, key: &str) -> Reply {
-    cluster.gateway(process).expect("the process serves").book(request, key, b"b").expect("an answer")
+    cluster.gateway(process).expect("the process serves").book(request, key, b"b").expect("the node answers")
 }
 
 /// Repeats a read about a subject, with a new request id each time, until the reply is `expected`. A single
@@ -107,22 +107,27 @@
     let cluster = three_processes(1);
     cluster.inject(Fault::AllLinks { process: 0, outbound: Delivery::Withheld, inbound: Delivery::Withheld });
     let second = cluster.commit(1, &blocking_content(2)).expect("the other two are a majority");
-    cluster.await_active(&[1, 2], second).expect("active at the other two");
+    cluster.await_active(&[1, 2], second).expect("the version becomes active at the other two");
     let mut partitioned_gateway = cluster.gateway(0).expect("the partitioned node accepts connections");
     // The node rejects a keyed request and reads about a subject, because a newer version may decide
     // otherwise on them, even on `subject(1)`, which the old version blocks.
-    assert_eq!(partitioned_gateway.book(1, "key-1", b"b").expect("an answer"), Reply::Rejected);
-    assert_eq!(partitioned_gateway.read_about(2, subject(7)).expect("an answer"), Reply::Rejected);
-    assert_eq!(partitioned_gateway.read_about(3, subject(1)).expect("an answer"), Reply::Rejected);
+    assert_eq!(partitioned_gateway.book(1, "key-1", b"b").expect("the node answers"), Reply::Rejected);
+    assert_eq!(partitioned_gateway.read_about(2, subject(7)).expect("the node answers"), Reply::Rejected);
+    assert_eq!(partitioned_gateway.read_about(3, subject(1)).expect("the node answers"), Reply::Rejected);
     // The node serves a read without a subject, because no list can name it.
-    assert!(matches!(partitioned_gateway.read(4).expect("an answer"), Reply::Served(_)));
+    assert!(matches!(partitioned_gateway.read(4).expect("the node answers"), Reply::Served(_)));
     assert!(matches!(book(&cluster, 1, 5, "key-2"), Reply::Served(_)));
     let proposal = cluster.call(0, &format!("PROPOSE - - {}", blocking_content(3)));
     let why = rejection(proposal, "the proposer reaches no other node");
     assert!(why.contains("no majority") || why.contains("no answer"), "{why}");
     cluster.inject(Fault::Heal);
-    cluster.await_active(&[0], second).expect("active at the partitioned node after the partition");
-    assert!(matches!(partitioned_gateway.book(6, "key-1", b"b").expect("an answer"), Reply::Served(_)));
+    cluster
+        .await_active(&[0], second)
+        .expect("the version becomes active at the partitioned node after the partition");
+    assert!(matches!(
+        partitioned_gateway.book(6, "key-1", b"b").expect("the node answers"),
+        Reply::Served(_)
+    ));
 }
 
 // An operator unblocks 12 subjects one after the other. A version that only unblocks conflicts with no older
@@ -136,8 +141,8 @@
         let blocked: Vec<String> = (0..count).map(|i| format!("{:016x}", subject(100 + i))).collect();
         json!({"settings": null, "lists": {"fraud": {"barred": blocked}}})
     };
-    let first = cluster.commit(0, &blocking(12)).expect("committed");
-    cluster.await_active(&[0, 1, 2], first).expect("active");
+    let first = cluster.commit(0, &blocking(12)).expect("the version is committed");
+    cluster.await_active(&[0, 1, 2], first).expect("the version becomes active");
     for left in (0..12).rev() {
         let propose = || {
             let proposal = cluster.call(0, &format!("PROPOSE {} - {}", first + 11 - left, blocking(left)));
@@ -152,15 +157,15 @@
         }
         assert_eq!(answer, Ok(format!("{{\"version\":{}}}", first + 12 - left)));
     }
-    cluster.await_active(&[0, 1, 2], first + 12).expect("active");
+    cluster.await_active(&[0, 1, 2], first + 12).expect("the version becomes active");
     for process in 0..3 {
-        let reply = read_about(&cluster, process, 1_000, subject(100)).expect("an answer");
+        let reply = read_about(&cluster, process, 1_000, subject(100)).expect("the node answers");
         assert!(matches!(reply, Reply::Served(_) | Reply::Rejected), "{reply:?}");
     }
     // A version that blocks a further subject waits for the expiry of old leases, and becomes active after
     // that.
-    let last = cluster.commit(0, &blocking(1)).expect("committed");
-    cluster.await_active(&[0, 1, 2], last).expect("active");
+    let last = cluster.commit(0, &blocking(1)).expect("the version is committed");
+    cluster.await_active(&[0, 1, 2], last).expect("the version becomes active");
     await_reply(&cluster, 1, 2_000, subject(100), &Reply::Blocked);
 }
 
@@ -176,18 +181,18 @@
     };
     let waiting: Vec<_> = gateways.into_iter().enumerate().map(read).collect();
     let second = cluster.commit(1, &blocking_content(2)).expect("the other two are a majority");
-    cluster.await_active(&[1, 2], second).expect("active at the other two");
+    cluster.await_active(&[1, 2], second).expect("the version becomes active at the other two");
     wait_until_leases_expire();
     cluster.signal(0, "-CONT");
     for thread in waiting {
-        let reply = thread.join().expect("the reader does not panic").expect("an answer");
+        let reply = thread.join().expect("the reader does not panic").expect("the node answers");
         // The first version blocks the subject, the second does not. Without a lease the node must reject the
         // request, so that another node decides.
         assert_eq!(reply, Reply::Rejected);
     }
-    cluster.await_active(&[0], second).expect("active");
+    cluster.await_active(&[0], second).expect("the version becomes active");
     await_reply(&cluster, 0, 200, subject(2), &Reply::Blocked);
-    let other = read_about(&cluster, 0, 300, subject(1)).expect("an answer");
+    let other = read_about(&cluster, 0, 300, subject(1)).expect("the node answers");
     assert!(matches!(other, Reply::Served(_)), "{other:?}");
 }
 
@@ -205,7 +210,7 @@
     cluster.await_active(&[0, 1, 2], 0).expect("a quorum confirms that there is no version");
     let mut gateway = cluster.gateway(2).expect("the process serves");
     for n in 0..30 {
-        gateway.book(1 + n, &format!("key-{n}"), b"b").expect("an answer");
+        gateway.book(1 + n, &format!("key-{n}"), b"b").expect("the node answers");
     }
     assert!(matches!(book(&cluster, 1, 50, "key-1"), Reply::Served(_)));
     let text = std::fs::read_to_string(cluster.configuration(0)).expect("the configuration file is read");
@@ -214,7 +219,8 @@
     let content = |settings: &Value| json!({"settings": settings, "lists": {}});
     let why = rejection(cluster.commit(0, &content(&settings)), "the keys need more memory than n2 has");
     assert!(why.contains("n2: keys of"), "{why}");
-    // An operator may force a proposal that drops a class with load (`force`, below).
+    // A proposal that drops a class with load is rejected unless the operator forces it, as the last proposal
+    // does.
     settings["classes"][1]["dedup-window"] = json!(9_000_000_000u64);
     settings["classes"].as_array_mut().expect("the classes are an array").truncate(1);
     let why = rejection(cluster.commit(0, &content(&settings)), "the class that is dropped has load");
@@ -222,16 +228,18 @@
     settings["classes"][0]["goal-time"] = json!("soon");
     let why = rejection(cluster.commit(0, &content(&settings)), "goal-time is not a number");
     assert!(why.contains("unsound"), "{why}");
-    assert_eq!(cluster.call(0, "HISTORY").expect("an answer"), "[]");
+    assert_eq!(cluster.call(0, "HISTORY").expect("the node answers"), "[]");
     settings["classes"][0]["goal-time"] = json!(2_000_000_000u64);
-    let answer = cluster.call(1, &format!("PROPOSE 0 force {}", content(&settings))).expect("committed");
+    let answer = cluster
+        .call(1, &format!("PROPOSE 0 force {}", content(&settings)))
+        .expect("the version is committed");
     assert_eq!(answer, "{\"version\":1}");
-    cluster.await_active(&[0, 1, 2], 1).expect("active");
+    cluster.await_active(&[0, 1, 2], 1).expect("the version becomes active");
     // Each node now rejects requests of the dropped class. A further proposal that expects version 0 is out
     // of date.
     assert_eq!(book(&cluster, 1, 90, "key"), Reply::Rejected);
     assert!(matches!(
-        cluster.gateway(1).expect("the process serves").read(91).expect("an answer"),
+        cluster.gateway(1).expect("the process serves").read(91).expect("the node answers"),
         Reply::Served(_)
     ));
     let why = rejection(
@@ -249,8 +257,9 @@
     let cluster = three_processes(4);
     let text = std::fs::read_to_string(cluster.configuration(0)).expect("the configuration file is read");
     let settings = parse(&text)["settings"].clone();
-    let version = cluster.commit(0, &json!({"settings": settings, "lists": {}})).expect("committed");
-    cluster.await_active(&[0, 1, 2], version).expect("active");
+    let version =
+        cluster.commit(0, &json!({"settings": settings, "lists": {}})).expect("the version is committed");
+    cluster.await_active(&[0, 1, 2], version).expect("the version becomes active");
     let reload = |change: &dyn Fn(&mut Value)| {
         let mut file = parse(&text);
         change(&mut file);
@@ -286,13 +295,13 @@
         cluster.start_process(victim).expect("the killed process starts again");
         let kept = if proposed.is_ok() { content } else { blocking_content(20 + round as u64) };
         if proposed.is_err() {
-            cluster.commit(survivor, &kept).expect("committed with all nodes up");
+            cluster.commit(survivor, &kept).expect("the version is committed while all nodes are up");
         }
         committed.push(kept);
-        let history = parse(&cluster.call(survivor, "HISTORY").expect("an answer"));
+        let history = parse(&cluster.call(survivor, "HISTORY").expect("the node answers"));
         let last = history.as_array().and_then(|history| history.last());
-        let last = last.and_then(|version| version["version"].as_u64()).expect("a version");
-        cluster.await_active(&[0, 1, 2], last).expect("active at all three");
+        let last = last.and_then(|version| version["version"].as_u64()).expect("the history has a version");
+        cluster.await_active(&[0, 1, 2], last).expect("the version becomes active at all three");
         let versions: Vec<Value> =
             (1..=last).map(|version| content_at_all_processes(&cluster, version)).collect();
         for content in &committed {
@@ -329,7 +338,7 @@
     let connect = |n: usize| TcpStream::connect(cluster.peer_address(n % 3)?).ok();
     let idle_connections: Vec<TcpStream> = (0..40).filter_map(connect).collect();
     let version = cluster.commit(2, &blocking_content(2)).expect("the cluster still commits");
-    cluster.await_active(&[0, 1, 2], version).expect("active");
+    cluster.await_active(&[0, 1, 2], version).expect("the version becomes active");
     drop(idle_connections);
 }
 
@@ -341,8 +350,8 @@
         let members = status["members"].as_array().ok_or("no members")?;
         let voters = members.iter().filter(|member| member["votes"] == true);
         let voters: Vec<&str> = voters.filter_map(|member| member["name"].as_str()).collect();
-        let all = voters == names && members.len() == names.len();
-        if all { Ok(()) } else { Err(format!("expected the voters {names:?}, got {answer}")) }
+        let is_expected = voters == names && members.len() == names.len();
+        if is_expected { Ok(()) } else { Err(format!("expected the voters {names:?}, got {answer}")) }
     });
 }
 
@@ -357,8 +366,8 @@
     });
 }
 
-// An operator adds nodes to a cluster in service, replaces a lost node, and removes nodes again. The cluster
-// must need no stop, and a removed node must no longer decide, as clients would notice either.
+// An operator adds nodes to a cluster in service, replaces a lost node, and removes nodes again. Clients
+// must not notice: the cluster needs no stop, and a removed node no longer decides.
 #[test]
 fn a_cluster_grows_from_one_to_three_replaces_its_first_node_and_shrinks_in_service() {
     let cluster = ProcessCluster::with_spares(program(), 1, 3, 1_000_011).expect("one process starts");
@@ -366,7 +375,7 @@
         format!("JOIN {name}={}", cluster.relay_address(process).expect("the process has a relay"))
     };
     let version = cluster.commit(0, &blocking_content(1)).expect("one node is a majority of one");
-    cluster.await_active(&[0], version).expect("active");
+    cluster.await_active(&[0], version).expect("the version becomes active");
     for (process, voters) in [(1, &["n0", "n1"][..]), (2, &["n0", "n1", "n2"])] {
         cluster.start_process(process).expect("the process starts");
         assert_eq!(
@@ -388,7 +397,7 @@
     change_membership(&cluster, 1, "REMOVE n0");
     await_voters(&cluster, 2, &["n1", "n2", "n3"]);
     let version = cluster.commit(2, &blocking_content(2)).expect("the three members still commit");
-    cluster.await_active(&[1, 2, 3], version).expect("active");
+    cluster.await_active(&[1, 2, 3], version).expect("the version becomes active");
     await_reply(&cluster, 3, 200, subject(2), &Reply::Blocked);
     // The removed node is started again with its old consensus log. It must learn of its removal, and reject
     // requests on which the cluster decides.
@@ -404,7 +413,7 @@
     change_membership(&cluster, 1, "REMOVE n2");
     await_voters(&cluster, 1, &["n1"]);
     let version = cluster.commit(1, &blocking_content(3)).expect("one node is a majority of one");
-    cluster.await_active(&[1], version).expect("active");
+    cluster.await_active(&[1], version).expect("the version becomes active");
     let why = rejection(cluster.call(1, "REMOVE n1"), "n1 is the last voter");
     assert!(why.contains("the last node that votes"), "{why}");
 }
@@ -435,7 +444,7 @@
     for (call, expected) in cases {
         assert_eq!(rejection(cluster.call(0, call), call), format!("error {expected}"), "{call}");
     }
-    assert_eq!(cluster.call(0, "HISTORY").expect("an answer"), "[]");
+    assert_eq!(cluster.call(0, "HISTORY").expect("the node answers"), "[]");
 }
 
 // The argument parser panics on `--help` of a sub-command if one of its positional arguments is not declared
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -63,7 +63,7 @@
 #[test]
 fn counters_match_what_clients_and_kernel_saw() {
     let scene = scene();
-    let early = scene.gateway().read(&txn(1)).expect("an answer");
+    let early = scene.gateway().read(&txn(1)).expect("the node answers");
     assert_eq!(early, "503");
     let mut kernel = scene.connect_kernel();
     scene.await_healthy();
@@ -158,9 +158,9 @@
     assert!(rejection(&valid, &duplicate.to_string()).is_some());
 }
 
-/// A reload adds a class, removes a class that has an open request, and shortens the deadline of a third. The
-/// open requests must end as they would have without the reload, and retries of the removed class must get
-/// the stored result.
+/// A reload adds a class, removes a class that has an open request, and shortens the deadline of another
+/// class that has one. The open requests must end as they would have without the reload, and retries of the
+/// removed class must get the stored result.
 #[test]
 fn a_reload_adds_and_removes_classes_while_their_requests_are_open() {
     let mut scene = scene();
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -304,7 +304,7 @@
         Fault::Error("XX000"),
     ];
     let [_, store] = Store::of_each_backend();
-    let Store::Postgres { server, .. } = &store else { panic!("the second store is PostgreSQL") };
+    let Store::Postgres { server, .. } = &store else { panic!("the second store must be PostgreSQL") };
     // The fake server sends its replies in single bytes, which the node must read as well as whole replies.
     server.send_single_bytes(true);
     let mut scene = store.scene();
@@ -316,7 +316,7 @@
         let began = Instant::now();
         loop {
             txn += 1;
-            let (status, body) = gateway.book(&format!("{txn:016x}"), key, key).expect("an answer");
+            let (status, body) = gateway.book(&format!("{txn:016x}"), key, key).expect("the node answers");
             match status.as_str() {
                 "200" => return String::from_utf8(body).expect("the result is UTF-8"),
                 // The open circuit breaker rejects the request, which has not run, and is accepted later.
@@ -674,7 +674,7 @@
 #[test]
 fn a_database_that_rejects_writes_costs_only_keyed_requests_and_is_used_again_afterwards() {
     let [_, store] = Store::of_each_backend();
-    let Store::Postgres { server, .. } = &store else { panic!("the second store is PostgreSQL") };
+    let Store::Postgres { server, .. } = &store else { panic!("the second store must be PostgreSQL") };
     let (mut scene, mut kernel, mut gateway) = start_in_service(&store);
     for (id, code, first, second) in [(1, "53100", TXN_A, TXN_B), (2, "25006", TXN_C, TXN_D)] {
         server.fail_writes_with(Some(code));
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -96,17 +96,19 @@
 fn sites_with_different_request_fields_and_permissions_are_served() {
     let sites: Vec<Site> = (0..SITES).map(Site::draw).collect();
     // Among the drawn sites, each property must be true for some sites and false for others.
-    let both = |of: fn(&Site) -> bool| sites.iter().any(of) && !sites.iter().all(of);
+    let varies = |of: fn(&Site) -> bool| sites.iter().any(of) && !sites.iter().all(of);
     assert!(
-        both(|s| s.sends_timeout)
-            && both(|s| s.marks_retries)
-            && both(|s| s.sends_work_hints)
-            && both(|s| s.sends_resource_keys)
+        varies(|s| s.sends_timeout)
+            && varies(|s| s.marks_retries)
+            && varies(|s| s.sends_work_hints)
+            && varies(|s| s.sends_resource_keys)
     );
     assert!(
-        both(|s| s.has_downstream) && both(|s| s.accepts_retry_after) && both(|s| s.preemption == "silent")
+        varies(|s| s.has_downstream)
+            && varies(|s| s.accepts_retry_after)
+            && varies(|s| s.preemption == "silent")
     );
-    assert!(both(|s| s.classes.len() == 1) && both(|s| s.classes.iter().any(|k| k.keyed)));
-    assert!(both(|s| s.classes.iter().any(|k| k.calls && k.skipped_call_weight > 0.0)));
+    assert!(varies(|s| s.classes.len() == 1) && varies(|s| s.classes.iter().any(|k| k.keyed)));
+    assert!(varies(|s| s.classes.iter().any(|k| k.calls && k.skipped_call_weight > 0.0)));
     (0..SITES).for_each(check_site);
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -142,7 +142,7 @@
     scene.kill();
     let book = |n: u64, of: u64, body: &str| {
         let mut gateway = Gateway::connect(&scene.address);
-        gateway.book(&txn(n), &key(of), body).expect("an answer")
+        gateway.book(&txn(n), &key(of), body).expect("the node answers")
     };
     assert_eq!(book(4, 1, "one"), ("200".into(), b"first".to_vec()));
     assert_eq!(book(5, 1, "other").0, "409");
@@ -173,7 +173,7 @@
     assert!(scene.exits_successfully());
     next.await_ready();
     let mut gateway = Gateway::connect(&scene.address);
-    let repeated = gateway.book(&txn(3), &key(1), "one").expect("an answer");
+    let repeated = gateway.book(&txn(3), &key(1), "one").expect("the node answers");
     assert_eq!(repeated, ("200".into(), b"first".to_vec()));
 }
 
