--- a/crates/simulation/src/guard.rs
+++ b/crates/simulation/src/guard.rs
@@ -1,16 +1,17 @@
-//! Kills the child processes of a run once the run itself has ended, in whatever way, SIGKILL included.
+//! Kills the child processes of a run when the run itself ends, in whatever way, SIGKILL included.
 //!
-//! Guarantee: a guarded process is killed within moments of the end of the process that guards it, stopped (SIGSTOP) or
-//! not. A small shell reads a pipe whose writing end only the guarding process holds; when the pipe ends, the shell kills
-//! all that is still on its list. A process is taken off the list before it is waited for, so that its process id cannot
-//! have been reused by then.
+//! Guarantee: a guarded process, stopped (SIGSTOP) or not, is killed within moments of the end of the process
+//! that guards it. A shell script reads a pipe whose writing end only the guarding process holds; when the pipe
+//! is closed, the script kills all processes that are still on its list. A process is taken off the list before
+//! it is waited for: until then, its process id cannot be reused for another process.
 
 use std::io::{self, Write};
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::sync::Mutex;
 
-/// Reads lines `+ PID` and `- PID`; at the end of input it kills all that is left and removes the folder. It ignores the
-/// signals of the terminal, so that Ctrl-C ends the run first.
+/// The shell script of the guard. It reads lines `+ PID` and `- PID`, which put a process on its list and take
+/// it off. At the end of input it kills the listed processes and removes the folder. It ignores the signals of
+/// the terminal, so that Ctrl-C ends the run first.
 const SCRIPT: &str = r#"
 trap '' INT TERM HUP QUIT
 pids=' '
@@ -24,7 +25,8 @@
 rm -rf -- "$1"
 "#;
 
-/// A guard over child processes and their folder.
+/// A shell process that kills the watched child processes and removes their folder when this value is dropped
+/// or this program ends.
 #[derive(Debug)]
 pub struct Guard {
     shell: Child,
@@ -32,7 +34,7 @@
 }
 
 impl Guard {
-    /// Starts a guard; at its end this folder is removed as well.
+    /// Starts a guard that watches no process yet and removes this folder at its end.
     ///
     /// # Errors
     /// The shell cannot be started.
@@ -47,17 +49,17 @@
     fn send(&self, op: char, child: &Child) {
         let mut commands = self.commands.lock().unwrap_or_else(|e| e.into_inner());
         if let Some(commands) = commands.as_mut() {
-            // A shell that was ended by hand guards nothing any more; the run goes on without it.
+            // Writing fails if someone has killed the shell; the run then goes on without a guard.
             let _ = writeln!(commands, "{op} {}", child.id());
         }
     }
 
-    /// Has this process end with the run.
+    /// Puts a process on the guard's list, so that it is killed when the run ends.
     pub fn watch(&self, child: &Child) {
         self.send('+', child);
     }
 
-    /// Kills a process and waits for it.
+    /// Kills a process, takes it off the guard's list and waits for it.
     pub fn end(&self, child: &mut Child) {
         let _ = child.kill();
         self.send('-', child);
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,7 +1,9 @@
-//! Deterministic simulation of booking nodes: the node's own source, unchanged, on a simulated clock and network
-//! ([`system`], [`network`]), against fakes of what is outside ([`fakes`]), with faults drawn from a seed ([`faults`])
-//! and every rule of the platform checked after each event ([`rules`]). The same seed gives the same [`world`], byte for
-//! byte. [`process_cluster`] runs several real processes instead, with faults between them.
+//! Deterministic simulation of booking nodes. A simulation (a [`world`]) runs the node's own source, unchanged,
+//! on a simulated clock and network ([`system`], [`network`]) against fakes of the gateways, the kernel and the
+//! downstream tier ([`fakes`]). It injects faults that are drawn from a seed ([`faults`]) and checks every rule
+//! of the platform after each event ([`rules`]). Two worlds of the same seed are equal byte for byte.
+//!
+//! [`process_cluster`] runs clusters of several real processes instead and injects faults between them.
 #![forbid(unsafe_code)]
 
 pub mod fakes;
--- a/crates/simulation/src/process_cluster/check.rs
+++ b/crates/simulation/src/process_cluster/check.rs
@@ -1,4 +1,4 @@
-//! What a run has shown, against the rules.
+//! Checks what a run has recorded against the rules.
 
 use super::operator::exchange;
 use super::run::{Observation, Record};
@@ -7,41 +7,42 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Versions that are asked for at most: no run commits as many.
+/// Bound on the version numbers that are fetched from a process; no run commits as many versions.
 const MAX_VERSIONS: u64 = 1_000;
 
-/// A rule that was broken.
+/// An observation that breaks a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// What was seen.
-    pub seen: String,
+    /// What was observed, with the processes and versions concerned.
+    pub observed: String,
 }
 
-/// What a run has shown.
+/// The result of a run: violations of the rules, and counts.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Rules that were broken.
+    /// Violations: first those found during the run, then those found by the checks after it.
     pub violations: Vec<Violation>,
-    /// Proposals that were accepted.
+    /// Number of proposals that were accepted.
     pub accepted: usize,
-    /// Proposals that were rejected.
+    /// Number of proposals that were rejected or got no answer.
     pub rejected: usize,
-    /// Probes that showed a version.
+    /// Number of probes that showed on which version the process acted.
     pub observations: usize,
-    /// Probes that were rejected without a lease.
+    /// Number of probes that were rejected because the process had no lease.
     pub unleased: usize,
-    /// All probes.
+    /// Number of all answered probes.
     pub probes: usize,
-    /// Longest time for which two processes acted on conflicting versions.
+    /// Longest time for which a process acted on a version after another process had acted on a newer one.
     pub longest_overlap: Duration,
-    /// From a proposal's answer to the first probe that showed its version, at each process, sorted.
+    /// Times from a proposal's answer to the answer of the first probe that showed its version, one for each
+    /// process and accepted proposal, in ascending order.
     pub activation_delays: Vec<Duration>,
 }
 
 impl Outcome {
-    /// A quantile of the activation delays, in milliseconds.
+    /// The quantile (0 to 1) of the activation delays, in milliseconds; 0 without delays.
     fn activation_delay_ms(&self, quantile: f64) -> u128 {
         let delays = &self.activation_delays;
         let index = (delays.len() as f64 * quantile) as usize;
@@ -53,8 +54,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} versions agreed, {} proposals turned down, {} probes ({} showed a version, {} had no lease), longest \
-             contradiction {} us of {CONTRADICT_MS} ms, in effect {} ms after the answer (median), {} ms (99%)",
+            "{} versions committed, {} proposals rejected, {} probes ({} showed a version, {} found no lease), longest \
+             overlap {} us, leases of {CONTRADICT_MS} ms, active {} ms after the answer (median), {} ms (99%)",
             self.accepted,
             self.rejected,
             self.probes,
@@ -67,16 +68,17 @@
     }
 }
 
-/// What the processes keep after a run.
+/// The versions that the processes retain after a run.
 #[derive(Default)]
 struct RetainedVersions {
-    /// By version.
+    /// Content of each version, by its number.
     contents: BTreeMap<u64, String>,
-    /// Versions by the proposal that their content is of.
+    /// Number of the version with a proposal's content, by the proposal's number.
     by_proposal: BTreeMap<u64, u64>,
 }
 
-/// Checks all rules.
+/// Checks all rules on the processes, which still run, and on the record of the run; overlaps up to
+/// `max_overlap` are allowed.
 pub(super) fn check(cluster: &ProcessCluster, record: Record, max_overlap: Duration) -> Outcome {
     let mut outcome = Outcome {
         accepted: record.accepted.len(),
@@ -90,14 +92,15 @@
     let retained = retained_versions(cluster, record.proposals, &mut outcome.violations);
     check_accepted(&record, &retained, &mut outcome.violations);
     check_overlaps(cluster, &record, &retained, max_overlap, &mut outcome);
-    // What the run itself has noted comes first.
+    // Violations that the run itself recorded come first.
     let mut violations = record.violations;
     violations.append(&mut outcome.violations);
     outcome.violations = violations;
     outcome
 }
 
-/// Collects the versions of all processes: each number has to have the same content everywhere.
+/// Fetches the versions that the processes retain. A number with different contents at two processes is a
+/// violation.
 fn retained_versions(
     cluster: &ProcessCluster,
     proposals: u64,
@@ -109,7 +112,7 @@
             let Ok(addresses) = cluster.addresses(process) else { break };
             let Ok(answer) = exchange(addresses.admin, &format!("FLEET SHOW {version}\n")) else { break };
             let Some(content) = answer.strip_prefix("done ") else {
-                // Compacted here, or one that there is not.
+                // This process has compacted the version, or there is no such version.
                 if retained.contents.contains_key(&version) || version == 1 {
                     continue;
                 }
@@ -117,8 +120,11 @@
             };
             let known = retained.contents.entry(version).or_insert_with(|| content.to_string());
             if known != content {
-                let seen = format!("version {version} is {known} and at {} {content}", cluster.name(process));
-                violations.push(Violation { rule: "one content a number", seen });
+                let observed = format!(
+                    "version {version} is {known}, but process {} has {content}",
+                    cluster.name(process)
+                );
+                violations.push(Violation { rule: "one content per version", observed });
             }
             let blocks = |proposal: &u64| content.contains(&format!("{:016x}", subject(*proposal)));
             if let Some(proposal) = (1..=proposals).find(blocks) {
@@ -129,19 +135,21 @@
     retained
 }
 
-/// An accepted proposal is the version that its answer named.
+/// Checks that the content of each accepted proposal is that of the version which the proposal's answer named.
 fn check_accepted(record: &Record, retained: &RetainedVersions, violations: &mut Vec<Violation>) {
     for (proposal, accepted) in &record.accepted {
         let version = accepted.version;
-        // The oldest may have been compacted.
+        // The oldest versions may have been compacted at all processes.
         if retained.contents.contains_key(&version) && retained.by_proposal.get(proposal) != Some(&version) {
-            let seen = format!("proposal {proposal} was told that it is version {version}");
-            violations.push(Violation { rule: "what was agreed stays", seen });
+            let observed =
+                format!("proposal {proposal} was accepted as version {version}, which has another content");
+            violations.push(Violation { rule: "accepted proposals stay committed", observed });
         }
     }
 }
 
-/// No process acts on a version after another one has acted on a newer one.
+/// Checks that no process acts on a version for longer than `max_overlap` after another process has acted on a
+/// newer one; records the longest overlap.
 fn check_overlaps(
     cluster: &ProcessCluster,
     record: &Record,
@@ -160,8 +168,9 @@
             let overlap = old.sent_at.saturating_duration_since(new.answered_at);
             if overlap > max_overlap && overlap > outcome.longest_overlap {
                 let (late, early) = (cluster.name(old.process), cluster.name(new.process));
-                let seen = format!("{late} acted on {older} {overlap:?} after {early} had acted on {newer}");
-                outcome.violations.push(Violation { rule: "no contradiction", seen });
+                let observed =
+                    format!("{late} acted on version {older} {overlap:?} after {early} had acted on {newer}");
+                outcome.violations.push(Violation { rule: "no conflicting versions in effect", observed });
             }
             outcome.longest_overlap = outcome.longest_overlap.max(overlap);
         }
--- a/crates/simulation/src/process_cluster/error.rs
+++ b/crates/simulation/src/process_cluster/error.rs
@@ -1,69 +1,69 @@
-//! Why a cluster of processes cannot be run or used.
+//! Errors of starting, calling and measuring a cluster of processes.
 
 use serde_json::Value;
 use std::time::Duration;
 
-/// Why an action on a cluster of processes failed.
+/// Why an operation on a cluster of processes failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessClusterError {
-    /// The system refuses something.
-    #[error("{what}: {error}")]
+    /// An operation of the system failed.
+    #[error("{operation} failed: {error}")]
     Io {
-        /// What was to be had.
-        what: &'static str,
-        /// The system's error.
+        /// The operation, as in "connecting the gateway".
+        operation: &'static str,
+        /// The error that the system returned.
         error: std::io::Error,
     },
     /// The process is not running.
-    #[error("it is not there")]
+    #[error("the process is not running")]
     NotRunning,
     /// The process was started without a pipe for its log.
-    #[error("no standard error")]
+    #[error("the process has no pipe for its standard error")]
     NoStandardError,
-    /// The process has not reported where it listens.
-    #[error("it does not listen: {0}")]
+    /// The process ended, or its start timed out, before it reported where it listens; with its log.
+    #[error("the process did not report where it listens; its log: {0}")]
     NotListening(String),
-    /// A process cannot be started.
-    #[error("{name}: {error}")]
+    /// A process did not start.
+    #[error("process {name} did not start: {error}")]
     Start {
-        /// Its name.
+        /// Name of the process.
         name: String,
-        /// Why.
+        /// The cause.
         error: Box<ProcessClusterError>,
     },
-    /// A process rejects an operator's call, in these words.
+    /// A process rejected an operator's call, with this answer.
     #[error("{0}")]
     Rejected(String),
-    /// An answer is not the JSON that was expected.
+    /// The answer of a process is not JSON.
     #[error(transparent)]
     MalformedAnswer(#[from] serde_json::Error),
-    /// An accepted proposal has no version.
-    #[error("no number")]
+    /// The answer to an accepted proposal has no version.
+    #[error("the answer to an accepted proposal has no version")]
     NoVersion,
-    /// A version was not active in time; with the state of each process.
-    #[error("version {version} is not in effect: {statuses:?}")]
+    /// A version was not in effect in time at all processes that were awaited.
+    #[error("version {version} is not in effect at all processes: {statuses:?}")]
     NotActive {
-        /// The version.
+        /// Number of the version.
         version: u64,
-        /// What each process reports, or why it does not.
+        /// The status that each awaited process reports, or why it reports none.
         statuses: Vec<Result<String, String>>,
     },
-    /// A metric did not reach its value in time; with all metrics.
-    #[error("{0}")]
+    /// A metric did not reach the expected value in time; with all metrics of the process.
+    #[error("the metric did not reach the expected value; all metrics: {0}")]
     MetricNotReached(String),
-    /// The processes do not act on one version; with the state of each.
-    #[error("after {} s: {statuses:?}", timeout.as_secs())]
+    /// The processes did not come to act on the same, last version in time.
+    #[error("the processes do not act on the same version after {} s: {statuses:?}", timeout.as_secs())]
     NotConverged {
-        /// How long they had.
+        /// How long the processes had to converge.
         timeout: Duration,
-        /// What each process reports, if it does.
+        /// The status that each process reports; none if it does not answer.
         statuses: Vec<Option<Value>>,
     },
 }
 
 impl ProcessClusterError {
-    /// Names what the system refused.
-    pub(super) fn io(what: &'static str) -> impl Fn(std::io::Error) -> Self {
-        move |error| ProcessClusterError::Io { what, error }
+    /// Makes the error of a failed operation of the system, for `map_err`.
+    pub(super) fn io(operation: &'static str) -> impl Fn(std::io::Error) -> Self {
+        move |error| ProcessClusterError::Io { operation, error }
     }
 }
--- a/crates/simulation/src/process_cluster/faults.rs
+++ b/crates/simulation/src/process_cluster/faults.rs
@@ -1,13 +1,14 @@
-//! Faults of links.
+//! Injects the faults of a plan that concern links between processes.
 
 use super::{Fault, ProcessCluster};
 use gaugestand_fakes::relay::{Delivery, Relay};
 
 impl ProcessCluster {
-    /// Injects a fault of links; those of processes, and proposals, are up to the caller, as they take their time.
+    /// Injects a fault of links and returns at once. Faults of processes and proposals, which take time, are
+    /// left to the caller and ignored here.
     pub fn inject(&self, fault: Fault) {
         match fault {
-            Fault::Link { from, to, forth, back } => self.set_link(from, to, forth, back),
+            Fault::Link { from, to, forward, backward } => self.set_link(from, to, forward, backward),
             Fault::AllLinks { process, outbound, inbound } => {
                 for other in (0..self.len()).filter(|other| *other != process) {
                     self.set_link(process, other, outbound, inbound);
@@ -22,10 +23,15 @@
         }
     }
 
-    fn set_link(&self, from: usize, to: usize, forth: Delivery, back: Delivery) {
+    fn set_link(&self, from: usize, to: usize, forward: Delivery, backward: Delivery) {
         self.with_relay(from, to, |relay| {
-            // The relay's directions are seen from the process with the lower number, which connects.
-            if from < to { relay.set_delivery(forth, back) } else { relay.set_delivery(back, forth) }
+            // The process with the lower number connects through the relay, so the relay's forward direction
+            // starts there.
+            if from < to {
+                relay.set_delivery(forward, backward)
+            } else {
+                relay.set_delivery(backward, forward)
+            }
         });
     }
 
--- a/crates/simulation/src/process_cluster/mod.rs
+++ b/crates/simulation/src/process_cluster/mod.rs
@@ -1,18 +1,19 @@
-//! Clusters of real processes: nodes with relays between each pair, faults injected by a seeded plan, and a checker that
-//! knows nothing of how a node decides. It sees which version each process acted on, and when, by one clock.
+//! Clusters of real node processes on this machine, with a relay between each pair, faults injected by a seeded
+//! plan, and a checker that is independent of the node's code. The checker uses the times, by this program's
+//! clock, at which probes show that a process acts on a version.
 //!
-//! Each version blocks one subject of its own and no other. A read about that subject is rejected for all nodes where, and
-//! only where, the node acts on that version. Each answered probe thus shows on which version a process acted at some moment
-//! between its sending and its answer. Of two versions, the newer one must not be seen at one process before the older one
-//! was last seen at another, but for the stated time.
+//! Each version blocks one subject, and no two versions block the same one. A node rejects a read about that
+//! subject if, and only if, it acts on that version. An answered probe therefore shows on which version a
+//! process acted at some moment between the sending of the probe and its answer. The rule to check: after one
+//! process acted on a newer version, no other process acts on an older one for longer than the allowed time.
 //!
-//! - `plan`: faults by seed.
-//! - `processes`, `node_config`: starting and ending processes, and their files.
-//! - `faults`: what is done to links.
-//! - `operator`: calls to second addresses.
-//! - `run`: a plan on processes, with probes.
-//! - `check`: what was seen, against the rules.
-//! - `idle_cost`: what a cluster costs that nothing is asked of.
+//! - `plan`: draws the faults of a run from a seed.
+//! - `processes`, `node_config`: start and end processes, and write their files.
+//! - `faults`: injects faults into the links between processes.
+//! - `operator`: makes calls to second addresses.
+//! - `run`: carries out a plan on processes while probing them.
+//! - `check`: checks the recorded observations against the rules.
+//! - `idle_cost`: measures the CPU time of a cluster without requests.
 
 mod check;
 mod error;
@@ -35,30 +36,33 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Duration of leases, in milliseconds: short, so that a run sees many.
+/// Duration of leases, in milliseconds (the setting `contradict_ms`): short, so that many leases expire in a
+/// run.
 pub const CONTRADICT_MS: u64 = 400;
-/// All processes have to act on the last version this long after the last fault: some elections and leases.
+/// Longest wait, after the last fault or an operator's call, until processes act on the last version: several
+/// elections and leases.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Longest wait for a process to report where it listens, also on a loaded machine.
+/// Longest wait for a started process to report where it listens; long enough for a loaded machine.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longest wait for an answer of a process that is not paused.
+/// Longest wait for a connection to a process and for its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
-/// From one look at a process's state to the next.
+/// Interval between two calls that read a process's status or metrics while waiting for a change.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Subjects of proposals are numbered from here on.
+/// The subject of proposal 0; that of a proposal is this number plus the proposal's.
 const FIRST_SUBJECT: u64 = 0x1000_0000_0000_0000;
 
-/// The subject that the version of this proposal blocks.
+/// The subject that the version of this proposal blocks; proposals are numbered from 1 in each run.
 pub fn subject(proposal: u64) -> u64 {
     FIRST_SUBJECT + proposal
 }
 
-/// The content of the version of this proposal.
+/// The content to propose: no settings, and a list that blocks the subject of this proposal.
 pub fn blocking_content(proposal: u64) -> Value {
     json!({"settings": null, "lists": {"one": {"barred": [format!("{:016x}", subject(proposal))]}}})
 }
 
-/// Locks a mutex that is also used after a thread has panicked with it: what it holds is whole at any time.
+/// Locks a mutex and ignores poisoning: the values in these mutexes are consistent even if a thread panicked
+/// while it held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/simulation/src/process_cluster/node_config.rs
+++ b/crates/simulation/src/process_cluster/node_config.rs
@@ -1,11 +1,12 @@
-//! Configuration files of the processes.
+//! Contents of the configuration file and the operators' script of each process.
 
 use super::CONTRADICT_MS;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// A node's configuration, with one class that is safe to repeat and a keyed one.
+/// The configuration of a node, with two classes: `quote`, whose requests are safe to repeat, and `booking`,
+/// whose requests have an idempotency key.
 pub(super) fn configuration(name: &str, kernel: SocketAddr) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "goal-time": 3_000_000_000u64, "hard-limit": 6_000_000_000u64,
@@ -24,7 +25,8 @@
                 "drain-grace": 300_000_000, "fall": 2_000_000_000, "fall-multiple": 5.0}}})
 }
 
-/// An operators' script with the cluster's setting. `number` is that of a process that joins later.
+/// The operators' script of a node of the cluster, with the addresses of the members and the path of its
+/// consensus log. `number` is the node's number if it joins later; none for a member.
 pub(super) fn cluster_script(members: &[SocketAddr], number: Option<usize>, log: &Path) -> String {
     let member = |(id, address): (usize, &SocketAddr)| format!("\"n{id}={address}\"");
     let members: Vec<String> = members.iter().enumerate().map(member).collect();
--- a/crates/simulation/src/process_cluster/operator.rs
+++ b/crates/simulation/src/process_cluster/operator.rs
@@ -1,4 +1,4 @@
-//! Calls to the second addresses of the processes, as operators make them.
+//! Operators' calls to the second addresses of the processes.
 
 use super::{ANSWER_TIMEOUT, CONVERGENCE_TIMEOUT, POLL_INTERVAL, ProcessCluster, ProcessClusterError};
 use serde_json::Value;
@@ -7,10 +7,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// From a proposal that was rejected for the moment to the next attempt.
+/// Delay from a failed proposal to the next attempt.
 const PROPOSAL_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Sends a line to a second address; returns the answer.
+/// Sends a line to a second address and returns the whole answer.
 pub(super) fn exchange(address: SocketAddr, line: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, ANSWER_TIMEOUT)?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
@@ -21,27 +21,28 @@
 }
 
 impl ProcessCluster {
-    /// Makes a call about the cluster; returns what the process answers after `done`.
+    /// Makes a `FLEET` call; returns the process's answer without the leading `done`.
     ///
     /// # Errors
     /// [`ProcessClusterError::NotRunning`] if the process is stopped, [`ProcessClusterError::Io`] if it does
-    /// not answer, and [`ProcessClusterError::Rejected`] with its words if it declines the call.
+    /// not answer, and [`ProcessClusterError::Rejected`] with the answer if it rejects the call.
     pub fn call(&self, process: usize, call: &str) -> Result<String, ProcessClusterError> {
         let admin = self.addresses(process)?.admin;
-        let answer =
-            exchange(admin, &format!("FLEET {call}\n")).map_err(ProcessClusterError::io("a call"))?;
+        let answer = exchange(admin, &format!("FLEET {call}\n"))
+            .map_err(ProcessClusterError::io("a call to the second address"))?;
         match answer.strip_prefix("done ") {
             Some(done) => Ok(done.trim_end().to_string()),
             None => Err(ProcessClusterError::Rejected(answer.trim_end().to_string())),
         }
     }
 
-    /// Proposes a content until it is committed or rejected for good; returns its version.
+    /// Proposes a content again and again until it is committed, found unsound, or the wait times out;
+    /// returns its version.
     ///
     /// # Errors
-    /// The last error if the content is unsound or no attempt succeeds in time;
+    /// The last error, if the content is unsound or no attempt succeeds in time;
     /// [`ProcessClusterError::NoVersion`] or [`ProcessClusterError::MalformedAnswer`] if it was accepted, but
-    /// the answer has no version. After a lost answer it may have been committed all the same.
+    /// the answer has no version. If an answer was lost, the content may have been committed all the same.
     pub fn commit(&self, process: usize, content: &Value) -> Result<u64, ProcessClusterError> {
         let started = Instant::now();
         loop {
@@ -52,23 +53,25 @@
                 }
                 Err(error) if started.elapsed() > CONVERGENCE_TIMEOUT => return Err(error),
                 Err(error) if error.to_string().contains("unsound") => return Err(error),
-                // There is no leader yet, or the version before is not active yet.
+                // There is no leader yet, or the previous version is not in effect yet.
                 Err(_) => thread::sleep(PROPOSAL_RETRY_DELAY),
             }
         }
     }
 
-    /// Waits until a metric of a process has this value.
+    /// Waits until the counter `balancer.NAME` of a process has this value.
     ///
     /// # Errors
-    /// [`ProcessClusterError::MetricNotReached`] with all metrics if the time is over; else the process is
-    /// stopped or does not answer.
+    /// [`ProcessClusterError::MetricNotReached`] with all metrics if the wait times out,
+    /// [`ProcessClusterError::NotRunning`] or [`ProcessClusterError::Io`] if the process is stopped or does not
+    /// answer.
     pub fn await_metric(&self, process: usize, name: &str, value: u64) -> Result<(), ProcessClusterError> {
         let admin = self.addresses(process)?.admin;
         let started = Instant::now();
         let line = format!("balancer.{name}:{value}|c\n");
         loop {
-            let metrics = exchange(admin, "INFO\n").map_err(ProcessClusterError::io("a call"))?;
+            let metrics =
+                exchange(admin, "INFO\n").map_err(ProcessClusterError::io("a call to the second address"))?;
             if metrics.contains(&line) {
                 return Ok(());
             }
@@ -79,10 +82,10 @@
         }
     }
 
-    /// Waits until these processes act on a version.
+    /// Waits until all of these processes act on this version.
     ///
     /// # Errors
-    /// [`ProcessClusterError::NotActive`] with the status of each process if the time is over.
+    /// [`ProcessClusterError::NotActive`] with the status of each process if the wait times out.
     pub fn await_active(&self, processes: &[usize], version: u64) -> Result<(), ProcessClusterError> {
         let started = Instant::now();
         while !processes.iter().all(|process| self.acts_on(*process, version)) {
@@ -102,7 +105,7 @@
         status.is_some_and(|status| status["acts"] == true && status["in_effect"].as_u64() == Some(version))
     }
 
-    /// The state of the cluster as a process reports it; none if it does not answer.
+    /// The state of the cluster as a process reports it; none if the process does not answer.
     pub(super) fn status(&self, process: usize) -> Option<Value> {
         let status = self.call(process, "STATUS").ok()?;
         serde_json::from_str(&status).ok()
--- a/crates/simulation/src/process_cluster/plan.rs
+++ b/crates/simulation/src/process_cluster/plan.rs
@@ -1,75 +1,77 @@
-//! Plans of faults by seed.
+//! Plans of faults and proposals, drawn from a seed.
 
 use gaugestand_fakes::relay::Delivery;
 use std::fmt;
 use std::time::Duration;
 
-/// When the first version is proposed, in milliseconds: once there is a leader.
+/// Time of the first proposal, in milliseconds from the start of the run: late enough that there is a leader.
 const FIRST_PROPOSAL_MS: u64 = 300;
-/// When the first fault comes, in milliseconds: after a first version.
+/// Time of the first fault, in milliseconds from the start of the run: late enough that a first version is
+/// committed.
 const FIRST_FAULT_MS: u64 = 1_000;
-/// The end of a run without new faults, in milliseconds.
+/// Length of the last part of a run, in which no new fault is injected, in milliseconds.
 const LAST_FAULT_MARGIN_MS: u64 = 500;
-/// Delay of a slow link: some heartbeats.
+/// Delay of a slow link: as long as several heartbeats.
 const SLOW_LINK: Duration = Duration::from_millis(150);
 
-/// What is done to the processes and between them. Its `Debug` form is what operators see of a plan, and what a plan's
-/// digest is made of.
+/// A fault of links or processes, or a proposal. Processes are numbered from 0. The `Debug` form is what
+/// operators see of a plan, and a plan's digest is computed from it: other words there give each plan another
+/// digest.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// Sets the link between two processes, for each direction.
+    /// Sets the delivery of the link between two processes, in each direction.
     Link {
-        /// One process.
+        /// One of the processes.
         from: usize,
-        /// The other one.
+        /// The other process.
         to: usize,
-        /// From the one to the other.
-        forth: Delivery,
-        /// From the other to the one.
-        back: Delivery,
+        /// Delivery in the direction from `from` to `to`.
+        forward: Delivery,
+        /// Delivery in the direction from `to` to `from`.
+        backward: Delivery,
     },
-    /// Sets all links of one process.
+    /// Sets the delivery of the links between one process and all others.
     AllLinks {
-        /// The process.
+        /// Number of the process.
         process: usize,
-        /// From it to the others.
+        /// Delivery from the process to the others.
         outbound: Delivery,
-        /// From the others to it.
+        /// Delivery from the others to the process.
         inbound: Delivery,
     },
     /// Closes the connection between two processes.
     Close(usize, usize),
-    /// Closes it in the middle of the next message.
+    /// Closes the connection between two processes in the middle of the next message.
     CloseMidMessage {
-        /// One process.
+        /// One of the processes.
         from: usize,
-        /// The other one.
+        /// The other process.
         to: usize,
-        /// Bytes that still pass.
+        /// Number of bytes that still pass before the connection is closed.
         after_bytes: usize,
     },
-    /// Restores all links.
+    /// Restores immediate delivery on all links.
     Heal,
-    /// Kills a process (SIGKILL) and starts it again.
+    /// Kills a process (SIGKILL) and starts it again later.
     Kill {
-        /// The process.
+        /// Number of the process.
         process: usize,
-        /// Milliseconds until it is started again.
+        /// Time from the kill to the new start, in milliseconds.
         restart_after_ms: u64,
     },
-    /// Pauses a process (SIGSTOP, SIGCONT).
+    /// Pauses a process (SIGSTOP) and resumes it later (SIGCONT).
     Pause {
-        /// The process.
+        /// Number of the process.
         process: usize,
-        /// Milliseconds until it goes on.
+        /// Length of the pause, in milliseconds.
         duration_ms: u64,
     },
-    /// Proposes a new version at this process.
+    /// Proposes a new version through this process.
     Propose(usize),
 }
 
 impl Fault {
-    /// Whether it is one of a process, or a proposal: these take their time, while the plan goes on.
+    /// Whether the fault concerns a process or is a proposal. These take time, during which the plan goes on.
     pub(super) fn takes_time(&self) -> bool {
         matches!(self, Fault::Kill { .. } | Fault::Pause { .. } | Fault::Propose(_))
     }
@@ -78,8 +80,8 @@
 impl fmt::Debug for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Link { from, to, forth, back } => {
-                f.debug_tuple("Ways").field(from).field(to).field(forth).field(back).finish()
+            Fault::Link { from, to, forward, backward } => {
+                f.debug_tuple("Ways").field(from).field(to).field(forward).field(backward).finish()
             }
             Fault::AllLinks { process, outbound, inbound } => {
                 f.debug_tuple("Alone").field(process).field(outbound).field(inbound).finish()
@@ -100,10 +102,11 @@
     }
 }
 
-/// Faults by time, in milliseconds.
+/// Faults in the order of their times, each with its time in milliseconds from the start of the run.
 pub type Plan = Vec<(u64, Fault)>;
 
-/// The plan of a seed for so many milliseconds: proposals all through, and faults between them.
+/// Draws the plan of a seed: proposals during the whole run of `duration_ms` milliseconds, and faults between
+/// them. Equal arguments give equal plans.
 pub fn fault_plan(seed: u64, processes: usize, duration_ms: u64) -> Plan {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut plan: Plan = Vec::new();
@@ -122,14 +125,15 @@
 }
 
 fn random_fault(rng: &mut fastrand::Rng, processes: usize) -> Fault {
-    let ways = [Delivery::Immediate, Delivery::Withheld, Delivery::Dropped, Delivery::Delayed(SLOW_LINK)];
+    let deliveries =
+        [Delivery::Immediate, Delivery::Withheld, Delivery::Dropped, Delivery::Delayed(SLOW_LINK)];
     let from = rng.usize(..processes);
     let to = rng.usize(..processes);
-    let forth = ways[rng.usize(..ways.len())];
-    let back = ways[rng.usize(..ways.len())];
+    let forward = deliveries[rng.usize(..deliveries.len())];
+    let backward = deliveries[rng.usize(..deliveries.len())];
     match rng.u8(..8) {
-        0 | 1 => Fault::AllLinks { process: from, outbound: forth, inbound: back },
-        2 if from != to => Fault::Link { from, to, forth, back },
+        0 | 1 => Fault::AllLinks { process: from, outbound: forward, inbound: backward },
+        2 if from != to => Fault::Link { from, to, forward, backward },
         3 if from != to => Fault::Close(from, to),
         4 if from != to => Fault::CloseMidMessage { from, to, after_bytes: rng.usize(..200) },
         5 => Fault::Kill { process: from, restart_after_ms: rng.u64(0..1_200) },
--- a/crates/simulation/src/process_cluster/run.rs
+++ b/crates/simulation/src/process_cluster/run.rs
@@ -1,4 +1,5 @@
-//! A run: a plan of faults on real processes, with a probe for each that asks it about the subjects of the last proposals.
+//! Runs a plan of faults on real processes. Meanwhile one thread for each process probes it with reads about
+//! the subjects of the last proposals.
 
 use super::check::{Outcome, Violation, check};
 use super::{
@@ -13,18 +14,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// From one round of probes of a process to the next: short against a lease.
+/// Delay between two rounds of probes of a process: short compared with a lease.
 const PROBE_INTERVAL: Duration = Duration::from_millis(15);
-/// Proposals whose subjects a round asks about: the last version, and those that may still be acted on.
+/// Number of proposals whose subjects a round of probes reads about: the last one, and those whose versions may
+/// still be in effect at a process.
 const PROBED_PROPOSALS: usize = 4;
-/// Bits of a request's number that count within one process's probe.
+/// Number of low bits of a request's number that count the requests of one prober; the bits above hold the
+/// process's number.
 const REQUEST_BITS: u32 = 48;
-/// After the plan's end all processes that were paused or killed are back: the longest pause, and a start.
+/// Time from the end of the plan until all processes that were paused or killed run again: the longest pause,
+/// and a start.
 const SETTLING_TIME: Duration = Duration::from_millis(2_200);
-/// From one look at the processes to the next, while they converge.
+/// Interval between two reads of the processes' status while they converge.
 const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A probe that showed on which proposal's version a process acted, at some moment between the two.
+/// A probe that showed that a process acted on a proposal's version, at some moment between `sent_at` and
+/// `answered_at`.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Observation {
     pub process: usize,
@@ -33,41 +38,42 @@
     pub answered_at: Instant,
 }
 
-/// An accepted proposal.
+/// The version that an accepted proposal became, and the time of the answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Accepted {
     pub version: u64,
     pub answered_at: Instant,
 }
 
-/// What the threads of a run record.
+/// What the threads of a run record for the checks.
 #[derive(Default)]
 pub(super) struct Record {
     pub observations: Vec<Observation>,
     pub probes: usize,
     pub unleased: usize,
-    /// By proposal.
+    /// Accepted proposals, by their numbers.
     pub accepted: BTreeMap<u64, Accepted>,
     pub rejected: usize,
-    /// Number of the last proposal.
+    /// Number of the last proposal; the first one has number 1.
     pub proposals: u64,
     pub violations: Vec<Violation>,
 }
 
 impl Record {
     fn violation(&mut self, rule: &'static str, error: &ProcessClusterError) {
-        self.violations.push(Violation { rule, seen: error.to_string() });
+        self.violations.push(Violation { rule, observed: error.to_string() });
     }
 }
 
-/// A cluster in a run.
+/// A cluster and the state that the threads of a run share.
 struct Run {
     cluster: ProcessCluster,
     record: Mutex<Record>,
     is_over: Mutex<bool>,
 }
 
-/// Runs a plan on so many processes of a program. Conflicting versions may be acted on side by side for `max_overlap`.
+/// Starts a cluster of this many processes of a program, carries out the plan on it and checks the rules. Two
+/// processes may act on conflicting versions for up to `max_overlap`. The seed only names the cluster's folder.
 ///
 /// # Errors
 /// The processes cannot be started. Violations that are found during the run are part of the [`Outcome`], not
@@ -101,7 +107,7 @@
         shared.cluster.inject(Fault::Heal);
         thread::sleep(SETTLING_TIME);
         if let Err(error) = shared.converge() {
-            lock(&shared.record).violation("comes together", &error);
+            lock(&shared.record).violation("the cluster converges", &error);
         }
         *lock(&shared.is_over) = true;
     });
@@ -110,7 +116,7 @@
 }
 
 impl Run {
-    /// Injects a fault of a process, or proposes; takes as long as that does.
+    /// Injects a fault of a process, or makes a proposal; blocks until that is done.
     fn inject_in_process(&self, fault: Fault) {
         match fault {
             Fault::Kill { process, restart_after_ms } => {
@@ -118,7 +124,7 @@
                 self.cluster.kill(process);
                 thread::sleep(Duration::from_millis(restart_after_ms));
                 if let Err(error) = self.cluster.start_process(process) {
-                    lock(&self.record).violation("starts again", &error);
+                    lock(&self.record).violation("a killed process starts again", &error);
                 }
             }
             Fault::Pause { process, duration_ms } => {
@@ -131,7 +137,8 @@
         }
     }
 
-    /// Asks a process about the subjects of the last proposals, until the run is over.
+    /// Probes a process with reads about the subjects of the last proposals until the run is over. A failed
+    /// connection is opened anew in the next round.
     fn probe(&self, process: usize) {
         let mut connection = None::<(String, Gateway)>;
         let mut request = (process as u64 + 1) << REQUEST_BITS;
@@ -169,7 +176,7 @@
         }
     }
 
-    /// Proposes the next version at a process, and records the answer.
+    /// Proposes the next version through a process and records the answer; no answer counts as a rejection.
     fn propose(&self, process: usize) {
         let Ok(addresses) = self.cluster.addresses(process) else { return };
         let proposal = {
@@ -190,7 +197,7 @@
         }
     }
 
-    /// Proposes one more version until it is committed, and waits until all processes act on the same, last version.
+    /// Makes proposals until one more is accepted, and waits until all processes act on the same, last version.
     fn converge(&self) -> Result<(), ProcessClusterError> {
         let started = Instant::now();
         let accepted_before = lock(&self.record).accepted.len();
@@ -209,7 +216,7 @@
     }
 }
 
-/// Whether all processes act on one version, which each knows as the last one.
+/// Whether all processes act on the same version, above 0, and each reports it as the last committed one.
 fn is_converged(statuses: &[Option<Value>]) -> bool {
     let active = |status: &Option<Value>| {
         let status = status.as_ref()?;
--- a/crates/simulation/tests/guard.rs
+++ b/crates/simulation/tests/guard.rs
@@ -1,34 +1,38 @@
-//! The guard over child processes: no process of a run outlives the run, however the run ends.
+//! Tests of the guard: no child process of a run outlives the run, however the run ends.
 
 use gaugestand_simulation::guard::Guard;
 use std::os::unix::process::ExitStatusExt;
 use std::process::{Child, Command};
 
-// A run that is killed cannot clean up. Its processes would go on serving and holding ports; the guard's shell sees the
-// pipe end and kills what is on its list, and nothing else.
+// A run that is killed cannot clean up, and its child processes would go on serving and holding ports. The
+// guard's shell sees that the pipe is closed and has to kill the processes on its list, and no others.
 #[test]
-fn what_is_on_its_list_is_killed_when_the_pipe_ends_and_nothing_else() {
+fn guard_kills_the_watched_processes_and_no_others_when_its_pipe_is_closed() {
     let folder = std::env::temp_dir().join(format!("gaugestand-guard-{}", std::process::id()));
-    std::fs::create_dir_all(folder.join("in it")).expect("a folder");
-    let guard = Guard::over(&folder).expect("a shell");
-    let sleep = || Command::new("sleep").arg("1000").spawn().expect("it starts");
-    let mut all: Vec<Child> = (0..4).map(|_| sleep()).collect();
-    let mut other = sleep();
-    all.iter().for_each(|child| guard.watch(child));
-    // One that is stopped hears of no other signal; one that was ended is off the list, whichever stood beside it.
-    let stop = Command::new("kill").args(["-STOP", &all[0].id().to_string()]).status();
+    std::fs::create_dir_all(folder.join("in it")).expect("the folder is created");
+    let guard = Guard::over(&folder).expect("the guard's shell starts");
+    let sleep = || Command::new("sleep").arg("1000").spawn().expect("sleep starts");
+    let mut watched: Vec<Child> = (0..4).map(|_| sleep()).collect();
+    let mut unwatched = sleep();
+    watched.iter().for_each(|child| guard.watch(child));
+    // A stopped process handles no signal but SIGKILL. An ended one is taken off the list, and its neighbours
+    // in the list stay on it.
+    let stop = Command::new("kill").args(["-STOP", &watched[0].id().to_string()]).status();
     assert!(stop.expect("kill runs").success());
-    guard.end(&mut all[2]);
-    let mut again = sleep();
-    guard.watch(&again);
-    // As at the end of the run by SIGKILL: the system closes the pipe.
+    guard.end(&mut watched[2]);
+    let mut watched_later = sleep();
+    guard.watch(&watched_later);
+    // Closes the pipe, as the system does when the run is ended by SIGKILL.
     drop(guard);
-    for (i, child) in all.iter_mut().enumerate() {
-        assert_eq!(child.wait().expect("waited for").signal(), Some(9), "process {i}");
+    for (i, child) in watched.iter_mut().enumerate() {
+        assert_eq!(child.wait().expect("the process is waited for").signal(), Some(9), "process {i}");
     }
-    assert_eq!(again.wait().expect("waited for").signal(), Some(9));
-    assert!(other.try_wait().expect("asked").is_none(), "it was not on the list");
+    assert_eq!(watched_later.wait().expect("the process is waited for").signal(), Some(9));
+    assert!(
+        unwatched.try_wait().expect("the state of the process is read").is_none(),
+        "an unwatched process was killed"
+    );
     assert!(!folder.exists());
-    let _ = other.kill();
-    let _ = other.wait();
+    let _ = unwatched.kill();
+    let _ = unwatched.wait();
 }
--- a/crates/simulation/tests/worlds.rs
+++ b/crates/simulation/tests/worlds.rs
@@ -1,4 +1,5 @@
-//! Worlds from fixed seeds: the rules hold, a seed is a world, and the rules can fail.
+//! Tests of worlds from fixed seeds: no rule is broken, equal seeds give equal worlds, and each rule reports
+//! what breaks it.
 
 use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_simulation::faults::{Fault, draw_faults};
@@ -7,18 +8,20 @@
 use rayon::prelude::*;
 use std::collections::BTreeSet;
 
-const SECS: Micros = Micros::millis(15_000);
+/// Simulated length of each world: 15 s.
+const WORLD_LENGTH: Micros = Micros::millis(15_000);
 
 #[test]
-fn forty_worlds_keep_every_rule() {
+fn no_rule_is_broken_in_forty_worlds() {
     let outcomes: Vec<_> =
-        (0..40u64).into_par_iter().map(|seed| play(seed, SECS, &BTreeSet::new(), false)).collect();
+        (0..40u64).into_par_iter().map(|seed| play(seed, WORLD_LENGTH, &BTreeSet::new(), false)).collect();
     let broken: Vec<_> = outcomes.iter().filter(|o| !o.violations.is_empty()).collect();
     assert!(broken.is_empty(), "{broken:?}");
-    // They saw something: requests of all endings, and faults of every kind.
+    // The worlds must exercise the node: attempts with each outcome, skipped outbound calls and all 8 kinds of
+    // faults.
     let sum = |of: fn(&gaugestand_simulation::world::Outcome) -> u64| outcomes.iter().map(of).sum::<u64>();
     assert!(sum(|o| o.served) > 10_000 && sum(|o| o.rejected) > 100 && sum(|o| o.failed) > 0);
-    assert!(sum(|o| o.skipped) > 20, "{} calls left out", sum(|o| o.skipped));
+    assert!(sum(|o| o.skipped) > 20, "only {} calls were skipped", sum(|o| o.skipped));
     let fault_kinds: BTreeSet<_> = outcomes
         .iter()
         .flat_map(|o| &o.plan)
@@ -29,24 +32,26 @@
 }
 
 #[test]
-fn a_seed_is_a_world_and_another_seed_another() {
-    let busy = (0..50).find(|s| draw_faults(*s, SECS).iter().any(|(_, f)| matches!(f, Fault::Death(_))));
-    let seed = busy.expect("a world with a death");
-    let (a, b) = (play(seed, SECS, &BTreeSet::new(), false), play(seed, SECS, &BTreeSet::new(), true));
+fn equal_seeds_give_equal_worlds_and_other_seeds_or_faults_give_others() {
+    let seed_with_death =
+        (0..50).find(|s| draw_faults(*s, WORLD_LENGTH).iter().any(|(_, f)| matches!(f, Fault::Death(_))));
+    let seed = seed_with_death.expect("one of the seeds has a death of the node among its faults");
+    let (a, b) =
+        (play(seed, WORLD_LENGTH, &BTreeSet::new(), false), play(seed, WORLD_LENGTH, &BTreeSet::new(), true));
     assert_eq!((&a.digest, a.attempts, a.served), (&b.digest, b.attempts, b.served));
     assert!(b.trace.iter().any(|l| l.contains("fault: Death")), "{:?}", b.plan);
-    assert_ne!(a.digest, play(seed + 1, SECS, &BTreeSet::new(), false).digest);
-    // Leaving a fault out makes another world.
-    assert_ne!(a.digest, play(seed, SECS, &(0..9).collect(), false).digest);
+    assert_ne!(a.digest, play(seed + 1, WORLD_LENGTH, &BTreeSet::new(), false).digest);
+    // A world without some of its faults is another world.
+    assert_ne!(a.digest, play(seed, WORLD_LENGTH, &(0..9).collect(), false).digest);
 }
 
 fn ms(n: u64) -> Timestamp {
     Timestamp::millis(n)
 }
 
-/// What is told to the rules, and the rule that it breaks.
+/// Each case reports events to the rules and names the first rule that they break; none if all rules hold.
 #[test]
-fn each_rule_can_be_broken() {
+fn each_rule_reports_what_breaks_it() {
     let key = || Some(("k".to_string(), b"b".to_vec()));
     let rules = || {
         let mut rules = Rules::new(Micros::millis(9_000), Micros::millis(600));
@@ -55,14 +60,14 @@
         rules.on_sent("c", key(), ms(10_000), ms(14_000), 1);
         rules
     };
-    type Story = fn(&mut Rules);
-    let cases: [(Option<&str>, Story); 18] = [
+    type Events = fn(&mut Rules);
+    let cases: [(Option<&str>, Events); 18] = [
         (None, |r| {
             r.on_run_started(ms(1_001), "a");
             r.on_result("a", b"r".to_vec());
             r.on_answer(ms(1_100), "a", 200, b"r");
             r.on_answer(ms(10_001), "b", 200, b"r");
-            // Its window is over: it may run again.
+            // The window of the key is over: a request with it may run again.
             r.on_run_started(ms(10_002), "c");
         }),
         (Some("duplicate"), |r| {
@@ -98,14 +103,14 @@
             r.on_run_started(ms(1_001), "a");
         }),
         (Some("drain"), |r| r.on_stopped(ms(1_100))),
-        // One that crosses the close is sent again by its gateway.
+        // An attempt that was on its way when the process closed the connection is sent again by its gateway.
         (None, |r| r.on_stopped(ms(1_050))),
         (Some("drain"), |r| r.on_stopped(ms(1_051))),
         (Some("run"), |r| r.on_run_started(ms(1_100), "nobody")),
     ];
-    for (i, (rule, story)) in cases.into_iter().enumerate() {
+    for (i, (rule, events)) in cases.into_iter().enumerate() {
         let mut rules = rules();
-        story(&mut rules);
+        events(&mut rules);
         assert_eq!(rules.violations.first().map(|v| v.rule), rule, "case {i}: {:?}", rules.violations);
     }
 }
--- a/src/bin/simulator_adapter/error.rs
+++ b/src/bin/simulator_adapter/error.rs
@@ -74,7 +74,7 @@
     Malformed {
         /// Number of the line in the input, from 1.
         line: u64,
-        /// What is wrong with it.
+        /// What is wrong with the line.
         error: WireError,
     },
     /// A batch is closed by `commit` before any `frame` has set the time.
--- a/src/cluster_command.rs
+++ b/src/cluster_command.rs
@@ -1,9 +1,8 @@
 //! The sub-command `gaugestand fleet`: lets operators inspect and change what the cluster has committed.
 //!
 //! Each task makes one or a few calls to one node, at its second address; that node forwards proposals to the
-//! leader.
-//! The sub-command itself changes nothing. A call that was closed without an answer may still be carried out by
-//! the node, and the error text says so.
+//! leader. The sub-command itself changes nothing. A call that got no answer may still be carried out by the
+//! node, and the error text says so.
 
 mod admin_client;
 mod report;
@@ -73,7 +72,8 @@
 /// Which node is called, and how its answers are printed.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The node's second address; without it BALANCER_ADMIN_ADDR applies, then `admin_addr` of the configuration.
+    /// The node's second address; without it BALANCER_ADMIN_ADDR applies, then `admin_addr` of the
+    /// configuration.
     pub admin: Option<SocketAddr>,
     /// Whether to print JSON instead of text.
     pub json: bool,
@@ -89,7 +89,7 @@
     #[error("second address {0}: expected an IP address with a port, as in 10.0.0.4:7000")]
     InvalidAddress(String),
     #[error(
-        "call to the second address {address} failed: {error}; check that the node runs and listens there"
+        "call to the second address {address} failed: {error}; check that the node listens there, and see 'gaugestand fleet status': the node may still carry out the call"
     )]
     Connection { address: SocketAddr, error: std::io::Error },
     #[error("{0}: no answer; the node may still carry out the call: see 'gaugestand fleet status'")]
