--- a/benches/record.rs
+++ b/benches/record.rs
@@ -163,7 +163,7 @@
     let mut all = latencies();
     while began.elapsed() < time {
         let sent = Instant::now();
-        assert_eq!(gateway.read(&next_txn()).expect("an answer"), "200");
+        assert_eq!(gateway.quote(&next_txn()).expect("an answer"), "200");
         all.saturating_record(sent.elapsed().as_micros() as u64);
         thread::sleep(Duration::from_millis(2));
     }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -60,7 +60,7 @@
 #[test]
 fn counters_match_what_clients_and_kernel_saw() {
     let scene = scene();
-    let early = scene.gateway().read(&txn(1)).expect("an answer");
+    let early = scene.gateway().quote(&txn(1)).expect("an answer");
     assert_eq!(early, "503");
     let mut kernel = scene.connect_kernel();
     scene.await_healthy();
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -417,7 +417,7 @@
             continue;
         };
         let txn = format!("{:016x}", (0xffu64 << 32) + u64::from(reads));
-        match to.read(&txn) {
+        match to.quote(&txn) {
             Ok(status) if status == "200" => reads += 1,
             // A node that has just started has no kernel yet, and rejects.
             Ok(status) => assert_eq!(status, "503"),
--- a/tests/support/gateway.rs
+++ b/tests/support/gateway.rs
@@ -94,7 +94,7 @@
     }
 
     /// Sends an attempt of a request without a key and reads the status code of its response; an error if the connection ends first.
-    pub fn read(&mut self, txn: &str) -> std::io::Result<String> {
+    pub fn quote(&mut self, txn: &str) -> std::io::Result<String> {
         self.stream.write_all(&attempt_records(1, "quote", txn, &[], b"q"))?;
         Ok(self.read_response()?.status[..3].to_string())
     }
