--- a/tests/node/connections.rs
+++ b/tests/node/connections.rs
@@ -1,10 +1,11 @@
-//! Gateways' connections: the table's bound, idle and slow clients.
+//! Connections of gateways: the limits on connections and on open requests, and idle or slow clients.
 
 use crate::support::*;
 use std::io::Write;
 use std::time::Instant;
 
-/// A gateway opens one request more than a connection may have.
+/// A gateway opens 33 requests on one connection, which may have 32. The node must refuse the last one as
+/// overloaded.
 #[test]
 fn open_requests_of_a_connection_are_bounded() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -17,7 +18,8 @@
     kernel.expect_nothing(2);
 }
 
-/// More gateways connect than the table has places for; the earlier connections are idle.
+/// More gateways connect than the connection table has slots; the earlier connections are idle. The node must
+/// close idle connections instead of making the new ones wait.
 #[test]
 fn a_full_connection_table_closes_idle_connections() {
     let (mut scene, mut kernel) = Scene::with_kernel();
@@ -33,9 +35,10 @@
     assert!(scene.counter("connections_idle_closed") >= 6);
 }
 
-/// The connection table is full and every connection has an open request when a further gateway connects.
+/// A further gateway connects when the connection table is full and every connection has an open request. It
+/// must be served once a connection ends.
 #[test]
-fn a_full_connection_table_of_busy_connections_makes_new_ones_wait_and_loses_none() {
+fn a_new_connection_waits_while_the_table_is_full_of_busy_connections() {
     let (mut scene, mut kernel) = Scene::with_kernel();
     let mut busy: Vec<Gateway> = (0..40).map(|_| scene.gateway()).collect();
     for gateway in &mut busy {
@@ -51,7 +54,8 @@
     assert_eq!(&late.response().status[..3], "200");
 }
 
-/// A gateway sends health checks and never reads a response.
+/// A gateway sends health checks and never reads a response. The node must not buffer responses without a
+/// bound.
 #[test]
 fn a_gateway_that_does_not_read_is_disconnected() {
     let (mut scene, mut kernel) = Scene::with_kernel();
@@ -62,10 +66,10 @@
     kernel.expect_nothing(1);
 }
 
-/// Clients hold connections open: one is silent, one stops in the middle of a request, one sends a byte now and then.
-/// Each has to be ended within 3 s.
+/// Three clients hold connections open: one sends nothing, one stops in the middle of a request, one sends
+/// single bytes at intervals. The node must end each of these connections within 3 s.
 #[test]
-fn incomplete_requests_and_silent_connections_end_in_time_at_no_cost_to_others() {
+fn incomplete_requests_and_silent_connections_time_out_and_waiting_requests_do_not() {
     let (mut scene, mut kernel) = Scene::with_kernel();
     let began = Instant::now();
     let mut silent = scene.gateway();
@@ -77,7 +81,7 @@
     incomplete.send(&records[..records.len() - 8]);
     let mut trickling = scene.gateway();
     trickling.send(&[1, 5, 0, 1, 0xff, 0xff, 0, 0, 7]);
-    // Single bytes of a record are not progress.
+    // Single bytes of an incomplete record must not extend the connection's timeout.
     for byte in 0..4 {
         kernel.expect_nothing(25);
         trickling.send(&[byte]);
@@ -86,7 +90,7 @@
     assert!(silent.is_closed());
     assert!(trickling.is_closed());
     assert!(began.elapsed().as_millis() < 3_000, "{:?}", began.elapsed());
-    // A connection that waits for a run which takes longer than that stays.
+    // A connection that waits for a run stays open, even when the run takes longer than these timeouts.
     kernel.reap(TXN_A, "good", b"r");
     assert_eq!(status_and_body(&waiting.response()), (1, "200", &b"r"[..]));
     assert_eq!((scene.counter("connections_ended"), scene.counter("framing_lost")), (2, 1));
--- a/tests/node/drain.rs
+++ b/tests/node/drain.rs
@@ -1,10 +1,11 @@
-//! SIGTERM: the node leaves service, drains and ends.
+//! The drain after SIGTERM: the node reports that it is out of service, answers its open requests and exits.
 
 use crate::support::*;
 
-/// A run that is under way when the node drains is never reported to have ended.
+/// A run is under way when the node drains, and the kernel never reports its end. The node must fail the
+/// run's request and exit all the same.
 #[test]
-fn a_drain_is_reported_starts_no_late_runs_and_ends_with_every_request_answered() {
+fn a_drain_is_reported_starts_no_new_runs_and_ends_after_every_request_is_answered() {
     let (mut scene, mut kernel) = Scene::with_kernel();
     assert_eq!(scene.membership_report(), "HB n3 UP");
     let mut gateway = scene.gateway();
@@ -19,7 +20,7 @@
     let response = gateway.response();
     assert_eq!(status_and_body(&response), (2, "503", &[][..]));
     assert!(response.field("X-Throttle-Ms").is_some());
-    // The kernel never reports the end of the run: its request is answered all the same.
+    // The kernel has not reported the end of the first run; the node fails its request.
     assert_eq!(status_and_body(&gateway.response()), (1, "500", &[][..]));
     assert_eq!(scene.next_printed_counter("requests_read"), 2);
     assert!(scene.exits_successfully());
--- a/tests/node/health_checks.rs
+++ b/tests/node/health_checks.rs
@@ -1,10 +1,10 @@
-//! Health checks by gateways: shallow ones, and deep ones which probe the kernel.
+//! Health checks of gateways: shallow checks, and deep checks, which probe the kernel.
 
 use crate::support::*;
 use serde_json::json;
 
 #[test]
-fn health_checks_carry_the_free_capacity_and_deep_ones_ask_the_kernel() {
+fn health_checks_report_the_free_capacity_and_deep_checks_probe_the_kernel() {
     let (scene, mut kernel) = Scene::with_kernel();
     kernel.expect_nothing(80);
     let mut gateway = scene.gateway();
@@ -12,8 +12,8 @@
     assert_eq!(&response.status[..3], "200");
     assert!(response.field("X-Capacity").is_some());
     for (end, status) in [("good", "200"), ("bad", "503")] {
-        // The result of a probe is cached for a second: 160 polls of the gauges take longer. Idle connections are closed by
-        // then.
+        // The node caches the result of a probe for a second. 160 polls of the gauges take longer than that,
+        // and long enough for the node to close idle connections.
         kernel.expect_nothing(160);
         let mut gateway = scene.gateway();
         gateway.send(&request_records(
@@ -30,8 +30,8 @@
     }
 }
 
-/// Many gateways check the node's health at once, each on its own. A probe costs the kernel as much as a request: one for
-/// each check would fill the cores.
+/// Many gateways send deep health checks at the same time. A probe costs the kernel as much as a request, so
+/// that one probe for each check would use up the kernel's cores.
 #[test]
 fn concurrent_deep_checks_share_one_probe_and_its_result_is_cached() {
     for (end, status) in [("good", "200"), ("bad", "503")] {
@@ -44,7 +44,7 @@
         }
         let post = kernel.command();
         assert_eq!(post["event"], "POST");
-        // All checks are read by then, and there is no probe for any of the others.
+        // Waits until the node has read all checks; none of the others starts a probe.
         while scene.counter("checks_read") < 24 {
             kernel.expect_nothing(1);
         }
@@ -62,7 +62,7 @@
     }
 }
 
-/// The kernel never answers the probe of a deep health check. Later checks must not wait for it.
+/// The kernel never answers the probe of a deep health check. Later checks must not wait for the lost probe.
 #[test]
 fn a_deep_check_whose_probe_is_lost_fails_and_the_next_one_probes_again() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -79,9 +79,10 @@
     assert_eq!(&gateway.response().status[..3], "200");
 }
 
-/// The kernel's connection breaks for a moment during a deep health check, though the work gets done.
+/// The connection to the kernel breaks during a deep health check. The node must send the probe again on the
+/// new connection.
 #[test]
-fn a_deep_check_survives_a_broken_kernel_connection() {
+fn a_deep_check_whose_kernel_connection_breaks_probes_again_on_the_new_one() {
     let (scene, mut kernel) = Scene::with_kernel();
     kernel.expect_nothing(3);
     let mut gateway = scene.gateway();
--- a/tests/node/keyed_requests.rs
+++ b/tests/node/keyed_requests.rs
@@ -1,4 +1,4 @@
-//! Requests with a key: they run at most once in their window.
+//! Keyed requests: the runs of one idempotency key within its window.
 
 use crate::support::*;
 
@@ -22,8 +22,8 @@
     kernel.expect_nothing(5);
 }
 
-/// A keyed run fails or is cut off after it may have had its effect. Its client sends the request again; a rejection would
-/// say that the request never ran.
+/// A keyed run fails or is preempted after it may have had its effect, and its client sends the request
+/// again. The node must answer the retry with a failure: a rejection would say that the request never ran.
 #[test]
 fn after_a_failed_keyed_run_its_retries_fail_and_are_not_rejected() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -39,7 +39,7 @@
     kernel.expect_nothing(5);
 }
 
-/// The kernel loses a keyed run before it has started anything of it.
+/// The kernel reports that it lost a keyed run before the run started. A later attempt must run.
 #[test]
 fn a_keyed_attempt_that_never_started_lets_the_next_attempt_run() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -52,7 +52,8 @@
     kernel.expect("SCHED", TXN_B);
 }
 
-/// A client uses another one's key with a body of its own. The result of that key must not be served to it.
+/// A client sends a request with another client's idempotency key and a different body. It must not be
+/// answered with the result that is stored for that key.
 #[test]
 fn a_key_with_another_body_is_a_conflict_and_never_gets_the_stored_result() {
     let (mut scene, mut kernel) = Scene::with_kernel();
--- a/tests/node/logging.rs
+++ b/tests/node/logging.rs
@@ -3,9 +3,9 @@
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-/// Whoever reads the program's standard error goes away.
+/// The process that reads the program's standard error closes the pipe. The node must go on serving.
 #[test]
-fn a_closed_standard_error_does_no_harm() {
+fn a_closed_standard_error_does_not_stop_the_node() {
     let (mut scene, mut kernel) = Scene::with_kernel();
     scene.close_stderr();
     scene.signal("-USR1");
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn logs_can_be_json_and_their_level_can_be_reloaded() {
+fn the_log_can_be_json_and_a_reload_changes_its_level_but_not_its_form() {
     let mut scene = Scene::with_script(Some("log(form = \"json\", level = \"info\")"), |_| ());
     scene.reload_script("log(form = \"json\", level = \"error\")");
     scene.await_log_line("\"message\":\"the new configuration is in effect\"");
@@ -24,7 +24,7 @@
         let before = scene.counter(counted);
         let began = Instant::now();
         scene.reload_script(text);
-        // The lines of both reloads are below the level now; the counters are printed all the same.
+        // The log lines of both reloads are below the log level `error`; SIGUSR1 still prints the counters.
         loop {
             scene.signal("-USR1");
             let mut counted_now = 0;
@@ -41,17 +41,22 @@
             if counted_now > before {
                 break;
             }
-            assert!(began.elapsed() < Duration::from_secs(20), "no reload was counted");
+            assert!(
+                began.elapsed() < Duration::from_secs(20),
+                "counter {counted} did not rise within 20 s of the reload"
+            );
         }
     }
 }
 
-/// Whoever reads the program's standard error stalls, until the pipe and the queue of lines are full.
+/// The process that reads the program's standard error stalls until the pipe and the node's queue of log
+/// lines are full. The node must drop log lines rather than block.
 #[test]
-fn a_stalled_log_reader_costs_log_lines_and_no_requests() {
+fn a_stalled_log_reader_loses_log_lines_but_no_requests() {
     let (mut scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
-    // Each list of counters is some 2 KB: the pipe fills up, then the queue of lines, then lines are dropped.
+    // Each list of counters is about 2 KB: the pipe fills up, then the queue of log lines, and then the node
+    // drops lines.
     for _ in 0..400 {
         scene.signal("-USR1");
         gateway.health_check("");
@@ -60,7 +65,7 @@
     kernel.expect("SCHED", TXN_A);
     kernel.reap(TXN_A, "good", b"read");
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"read"[..]));
-    // The reader goes on, and the next list of counters has the number of lines that were dropped.
+    // The test reads standard error again; a later list of counters states the number of dropped lines.
     let mut dropped = 0;
     for _ in 0..500 {
         dropped = scene.counter("log_lines_dropped");
@@ -68,5 +73,5 @@
             break;
         }
     }
-    assert!(dropped > 0, "nothing was dropped");
+    assert!(dropped > 0, "log_lines_dropped is 0 after the log reader stalled");
 }
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -1,4 +1,5 @@
-//! One node, the real program, between scripted peers on loopback.
+//! Tests of one node: each test starts the compiled program and scripts its kernel, store, membership service
+//! and gateways on loopback.
 
 mod connections;
 mod drain;
--- a/tests/node/malformed_input.rs
+++ b/tests/node/malformed_input.rs
@@ -1,12 +1,14 @@
-//! Input that cannot be parsed: it fails its own request, or ends its own connection where the framing is lost.
+//! Malformed input: it must fail only its own request or, where the framing is lost, end only its own
+//! connection.
 
 use crate::support::*;
 use serde_json::json;
 use std::io::Write;
 
-/// A gateway sends requests with invalid fields, unknown records, and in the end bytes that are no record at all.
+/// A gateway sends requests with invalid fields, then records of unknown types, and finally bytes that are
+/// not a FastCGI record.
 #[test]
-fn a_malformed_request_fails_alone_and_is_counted() {
+fn a_malformed_request_is_counted_and_affects_no_other_request() {
     let (mut scene, mut kernel) = Scene::with_kernel();
     let long = "x".repeat(2049);
     type Case<'a> = (&'a str, &'a [(&'a str, &'a str)], &'a str, &'a str);
@@ -27,12 +29,16 @@
         assert_eq!(&gateway.response().status[..3], status, "{class} {changes:?}");
     }
     let mut gateway = scene.gateway();
-    // A role that the node does not implement, and a management record of an unknown type.
+    // A begin record with a role that the node does not implement, and a management record of an unknown
+    // type.
     gateway.send(&fcgi_record(BEGIN_REQUEST, 4, &[0, 9, 1, 0, 0, 0, 0, 0]));
     assert_eq!(gateway.response().protocol_status, 3);
     gateway.send(&fcgi_record(77, 0, &[]));
-    assert_eq!(gateway.next_record().expect("a record"), (11, 0, vec![77, 0, 0, 0, 0, 0, 0, 0]));
-    // The framing is lost: requests before that are answered, then the connection is closed.
+    assert_eq!(
+        gateway.next_record().expect("an unknown-type record from the node"),
+        (11, 0, vec![77, 0, 0, 0, 0, 0, 0, 0])
+    );
+    // After the framing is lost, the node answers the requests that it read before and closes the connection.
     gateway.request(5, "quote", TXN_A, b"q");
     gateway.send(&[9; 40]);
     kernel.expect("SCHED", TXN_A);
@@ -42,9 +48,9 @@
     assert_eq!((scene.counter("requests_bad"), scene.counter("framing_lost")), (9, 1));
 }
 
-/// Kernel and store send messages that make no sense.
+/// The kernel and the store send malformed messages.
 #[test]
-fn malformed_messages_from_kernel_and_store_are_skipped_or_end_that_connection() {
+fn malformed_notices_are_skipped_and_a_malformed_reply_ends_its_store_connection() {
     let (mut scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     kernel.notify(json!({"event": "NOVEL", "fate": "x"}), false);
@@ -61,7 +67,8 @@
     assert_eq!(scene.counter("lines_bad"), 4);
 }
 
-/// A client sends bodies or parameters without an end. The response does not wait for it.
+/// A client sends bodies or parameters that exceed the size limit and never end. The node must answer without
+/// waiting for their end.
 #[test]
 fn an_oversized_request_is_rejected_before_its_end_and_ends_its_connection() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -75,14 +82,16 @@
         assert_eq!(status_and_body(&client.response()), (1, "413", &[][..]));
         assert!(client.is_closed());
     }
-    // Nor may records of a request that has ended go on for ever.
+    // Records for a request that is not open must not be read without end either: the node closes the
+    // connection.
     let mut client = scene.gateway();
     let stray = fcgi_record(STDIN, 1, &[0; 1000]);
     assert!((0..100_000).any(|_| client.stream.write_all(&stray).is_err()));
     kernel.expect_nothing(1);
 }
 
-/// A client sends the same bad request again the moment it is rejected.
+/// A client resends a bad request as soon as it gets its response. The node must end the connection after a
+/// few of them.
 #[test]
 fn repeated_bad_requests_end_a_connection_on_which_nothing_was_served() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -92,8 +101,8 @@
         assert_eq!(&client.response().status[..3], "404");
     }
     client.request(1, "unknown", TXN_A, &[]);
-    assert!(client.next_record().is_err(), "it is not answered any more");
-    // A transaction id that the kernel rejects makes a bad request too.
+    assert!(client.next_record().is_err(), "the node answered a fifth bad request on one connection");
+    // An attempt whose transaction id the kernel rejects counts as a bad request too.
     let mut client = scene.gateway();
     for n in 0..4 {
         let id = format!("9b1f03aa5c7e2d6{n}");
@@ -103,7 +112,7 @@
         assert_eq!(status_and_body(&client.response()), (1, "500", &[][..]));
     }
     assert!(client.is_closed());
-    // A gateway that was served before keeps its connection: it may have other requests under way.
+    // A connection on which a request was served stays open: the gateway may have other requests on it.
     let mut gateway = scene.gateway();
     for id in [TXN_A, TXN_B] {
         gateway.request(1, "quote", id, b"q");
--- a/tests/node/reload.rs
+++ b/tests/node/reload.rs
@@ -1,11 +1,12 @@
-//! Configurations: their check before the start, and reloads by SIGHUP.
+//! The configuration: `check-config` before the start, and reloads by SIGHUP.
 
 use crate::support::*;
 use serde_json::{Value, json};
 use std::net::{TcpListener, UdpSocket};
 use std::time::Duration;
 
-/// An operator checks configurations, each of which has one mistake.
+/// An operator runs `check-config` on configurations that each have one mistake. The report must name the
+/// mistake.
 #[test]
 fn an_invalid_configuration_is_reported_in_one_line() {
     assert!(check_config(&configuration(1, 2, 3)).status.success());
@@ -23,7 +24,7 @@
         ("/settings/classes/0/effect", json!("odd"), "effect"),
     ] {
         let mut invalid = configuration(1, 2, 3);
-        *invalid.pointer_mut(path).expect("there") = value;
+        *invalid.pointer_mut(path).expect("the configuration has this path") = value;
         let output = check_config(&invalid);
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
@@ -33,7 +34,8 @@
     }
 }
 
-/// New peers, and the scene's configuration with their addresses in place of the present ones.
+/// A second kernel, store and membership service, and the scene's configuration with their addresses in place
+/// of the first ones.
 struct MovedPeers {
     kernel: TcpListener,
     store: TcpListener,
@@ -43,24 +45,25 @@
 
 impl MovedPeers {
     fn of(scene: &Scene) -> Self {
-        let listen = || TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listen = || TcpListener::bind("127.0.0.1:0").expect("binding a loopback port");
         let kernel = listen();
         let store = listen();
-        let members = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        members.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
+        let members = UdpSocket::bind("127.0.0.1:0").expect("binding a loopback port");
+        members.set_read_timeout(Some(Duration::from_secs(20))).expect("setting the read timeout");
         let mut configuration = scene.configuration();
         for (key, address) in [
             ("kernel", kernel.local_addr()),
             ("store", store.local_addr()),
             ("members", members.local_addr()),
         ] {
-            configuration[key] = json!(address.expect("bound").to_string());
+            configuration[key] = json!(address.expect("the address of a bound socket").to_string());
         }
         MovedPeers { kernel, store, members, configuration }
     }
 }
 
-/// Kernel, store and membership service move while a run waits for its call. The reload must lose neither.
+/// Kernel, store and membership service move to other addresses while a run waits for its outbound call. The
+/// reload must lose neither the run nor the call.
 #[test]
 fn a_reload_moves_all_connections_while_runs_and_calls_go_on() {
     let (mut scene, mut kernel) = Scene::with_kernel();
@@ -75,14 +78,15 @@
     let configuration = configuration.to_string();
     scene.reload(&configuration);
     assert!(scene.next_log_line().contains("in effect"));
-    // Once more, with nothing changed.
+    // A second reload, with nothing changed.
     scene.reload(&configuration);
     assert!(scene.next_log_line().contains("in effect"));
-    let mut kernel = Kernel::new(new_kernel.accept().expect("a link").0);
+    let mut kernel = Kernel::new(new_kernel.accept().expect("a connection from the node").0);
     assert_eq!(kernel.command(), json!({"event": "OPEN", "cursor": 1}));
     kernel.boot();
     kernel.cursor = 1;
-    // The call that is out ends on its old connection; its reply goes to the new kernel.
+    // The store's reply to the pending call arrives on the old connection, and the node sends it to the new
+    // kernel.
     store.reply(format!("{TXN_A} OK 1\r\nr\r\n").as_bytes());
     assert_eq!(kernel.expect("IODONE", TXN_A), b"r");
     kernel.reap(TXN_A, "good", b"booked");
@@ -90,21 +94,22 @@
     gateway.request(2, "quote", TXN_B, b"q");
     kernel.expect("SCHED", TXN_B);
     kernel.request_call(TXN_B, b"d");
-    let mut store = StoreConnection::new(new_store.accept().expect("a link").0);
+    let mut store = StoreConnection::new(new_store.accept().expect("a connection from the node").0);
     assert_eq!(store.expect_call(TXN_B), b"d");
     let mut datagram = [0; 64];
-    let len = new_members.recv(&mut datagram).expect("a report");
+    let len = new_members.recv(&mut datagram).expect("a membership report");
     assert_eq!(&datagram[..len], b"HB n3 UP");
     assert_eq!((scene.counter("reloads"), scene.counter("reloads_failed")), (2, 0));
 }
 
-/// An operator reloads configurations, each of which has one mistake beside a change that is valid.
+/// An operator reloads configurations that each have one valid change and one mistake. The node must not
+/// apply the valid change either.
 #[test]
 fn an_invalid_reload_is_reported_in_one_line_and_changes_nothing() {
     let (mut scene, mut kernel) = Scene::with_kernel();
     let MovedPeers { kernel: new_kernel, .. } = MovedPeers::of(&scene);
     let mut valid = scene.configuration();
-    valid["kernel"] = json!(new_kernel.local_addr().expect("bound").to_string());
+    valid["kernel"] = json!(new_kernel.local_addr().expect("the address of a bound socket").to_string());
     for (path, value, named) in [
         ("/store", json!("nowhere"), "store"),
         ("/settings/extra/cores", json!(0), "cores"),
@@ -114,7 +119,7 @@
         ("/name", json!("n4"), "name"),
     ] {
         let mut invalid = valid.clone();
-        *invalid.pointer_mut(path).expect("there") = value;
+        *invalid.pointer_mut(path).expect("the configuration has this path") = value;
         scene.reload(&invalid.to_string());
         let line = scene.next_log_line();
         assert!(line.contains(named) && line.contains("stays"), "{line}");
@@ -129,15 +134,16 @@
     assert_eq!((scene.counter("reloads"), scene.counter("reloads_failed")), (0, 7));
 }
 
-/// The kernel moves while its connection is down, and once more while the node drains.
+/// The kernel moves to another address while the node is disconnected from it, and again while the node
+/// drains.
 #[test]
-fn a_reload_finds_the_moved_kernel_while_disconnected_and_during_a_drain() {
+fn a_reload_connects_to_a_moved_kernel_while_disconnected_and_during_a_drain() {
     let (mut scene, kernel) = Scene::with_kernel();
     let MovedPeers { kernel: new_kernel, configuration, .. } = MovedPeers::of(&scene);
     drop(kernel);
-    drop(std::mem::replace(&mut scene.kernel, TcpListener::bind("127.0.0.1:0").expect("a port")));
+    drop(std::mem::replace(&mut scene.kernel, TcpListener::bind("127.0.0.1:0").expect("binding a port")));
     scene.reload(&configuration.to_string());
-    let mut kernel = Kernel::new(new_kernel.accept().expect("a link").0);
+    let mut kernel = Kernel::new(new_kernel.accept().expect("a connection from the node").0);
     kernel.command();
     kernel.boot();
     let mut gateway = scene.gateway();
@@ -146,7 +152,7 @@
     scene.signal("-TERM");
     let MovedPeers { kernel: next_kernel, configuration, .. } = MovedPeers::of(&scene);
     scene.reload(&configuration.to_string());
-    let mut kernel = Kernel::new(next_kernel.accept().expect("a link").0);
+    let mut kernel = Kernel::new(next_kernel.accept().expect("a connection from the node").0);
     assert_eq!(kernel.command()["event"], "OPEN");
     kernel.boot();
     kernel.expect("SCHED", TXN_A);
--- a/tests/node/requests.rs
+++ b/tests/node/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to their response.
+//! Requests, from the arrival of their records to their response.
 
 use crate::support::*;
 use serde_json::json;
@@ -8,7 +8,7 @@
 fn a_request_is_run_and_served_with_its_result_unchanged() {
     let (scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
-    // One period of the concurrency limit passes before there is a free capacity to announce.
+    // The node states its free capacity only after one period of the concurrency limit.
     kernel.expect_nothing(80);
     let body = [0u8, 255, b'\n', b'"', 128];
     let result = [7u8, 0, b'\r', b'\n', 254];
@@ -19,16 +19,17 @@
     kernel.reap(TXN_A, "good", &result);
     let response = gateway.response();
     assert_eq!((status_and_body(&response), response.protocol_status), ((1, "200", &result[..]), 0));
-    let capacity: f64 = response.field("X-Capacity").expect("a free value").parse().expect("a number");
+    let capacity: f64 =
+        response.field("X-Capacity").expect("the free capacity in X-Capacity").parse().expect("a number");
     assert!(capacity >= 0.0);
-    // The connection and the request id can be used again, and a run that fails fails its request.
+    // The gateway may reuse the connection and the request id. The second run fails, and so does its request.
     gateway.request(1, "quote", TXN_B, &[]);
     assert!(kernel.expect("SCHED", TXN_B).is_empty());
     kernel.reap(TXN_B, "bad", &[]);
     assert_eq!(status_and_body(&gateway.response()), (1, "500", &[][..]));
 }
 
-/// The network delivers a request one byte at a time, with padded records.
+/// The records of a request are padded and arrive one byte at a time.
 #[test]
 fn a_request_that_arrives_byte_by_byte_with_padding_is_parsed_the_same() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -41,7 +42,8 @@
     assert_eq!(status_and_body(&gateway.response()), (3, "200", &b"r"[..]));
 }
 
-/// A gateway aborts its requests: one while it runs, one in the same packet as its begin, one after its response was sent.
+/// A gateway aborts requests: one during its run, one in the same write as its other records, and one again
+/// after its response.
 #[test]
 fn an_aborted_request_is_preempted_and_gets_at_most_one_response() {
     let (mut scene, mut kernel) = Scene::with_kernel();
@@ -52,7 +54,7 @@
     kernel.expect("PREEMPT", TXN_A);
     kernel.reap(TXN_A, "cut", &[]);
     assert_eq!(gateway.response().id, 1);
-    // Sent and aborted in one piece; then an abort that arrives after the response was sent.
+    // The second request is sent and aborted in one write, and aborted once more after its response.
     let mut bytes = attempt_records(2, "quote", TXN_B, &[], b"q");
     bytes.extend(fcgi_record(ABORT_REQUEST, 2, &[]));
     gateway.send(&bytes);
@@ -68,24 +70,28 @@
     assert_eq!(scene.counter("aborts_read"), 2);
 }
 
-/// The kernel's connection breaks while a run is under way and is never made again.
+/// The connection to the kernel breaks during a run, and the node cannot reconnect.
 #[test]
 fn a_request_gets_its_response_by_its_deadline_though_the_kernel_is_lost() {
     let scene = Scene::new(|c| c["settings"]["classes"][1]["hard-limit"] = json!(4_000_000_000u64));
     let mut kernel = scene.connect_kernel();
     let mut gateway = scene.gateway();
-    // Half of its 4 s have passed before the node reads it: deadlines count from the ingress time.
+    // Deadlines count from the ingress time: half of the request's 4 s have passed before the node reads it.
     let ingress = (unix_ms() - 2_000).to_string();
     let began = Instant::now();
     gateway.send(&attempt_records(1, "booking", TXN_A, &[("HTTP_X_INGRESS_TIME", &ingress)], b"b"));
     kernel.expect("SCHED", TXN_A);
     drop(kernel);
     let response = gateway.response();
-    assert_eq!(status_and_body(&response).1, "500", "it may have run");
+    assert_eq!(
+        status_and_body(&response).1,
+        "500",
+        "the attempt may have run, so that its answer is a failure"
+    );
     assert!(began.elapsed().as_millis() < 2_500, "{:?}", began.elapsed());
 }
 
-/// A gateway sends requests before the node has a kernel to run them on.
+/// A gateway sends requests before the kernel is connected and up.
 #[test]
 fn requests_and_health_checks_are_rejected_until_the_kernel_is_up() {
     let scene = Scene::new(|_| ());
@@ -96,14 +102,15 @@
     assert_eq!(status_and_body(&response), (2, "503", &[][..]));
     assert!(response.field("X-Throttle-Ms").is_some());
     let mut kernel = scene.connect_kernel();
-    // The kernel's notice and a gateway's request come on two connections: the node may read either first.
+    // The kernel's notice and the gateway's request arrive on two connections, and the node may read either
+    // first: the test waits until the node has read the notice.
     scene.await_healthy();
     gateway.request(3, "quote", TXN_B, b"q");
     kernel.expect("SCHED", TXN_B);
     assert!(scene.membership_report().starts_with("HB n3 UP"));
 }
 
-/// A gateway sends a second attempt with the transaction id of one that still runs.
+/// A gateway sends a second attempt with the transaction id of an attempt that is still running.
 #[test]
 fn an_attempt_with_a_transaction_id_in_use_fails_and_never_runs() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -116,10 +123,10 @@
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
 }
 
-/// A gateway waits for less than the deadline of the class. A response after that reaches nobody: the attempt's own
-/// time to live binds.
+/// A gateway states a time to live (TTL) that is shorter than the deadline of its class. It does not wait for
+/// a later response, so that the TTL must apply.
 #[test]
-fn an_attempt_gets_its_response_within_its_stated_ttl_and_an_invalid_ttl_is_rejected() {
+fn an_attempt_is_answered_within_its_ttl_and_malformed_fields_are_bad_requests() {
     let (scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     let began = Instant::now();
@@ -132,7 +139,7 @@
     ));
     kernel.expect("SCHED", TXN_A);
     assert_eq!(status_and_body(&gateway.response()).1, "500");
-    // The deadline of its class is later.
+    // The deadline of the class, 6 s, is later.
     assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
     gateway.send(&attempt_records(1, "quote", TXN_B, &[("HTTP_X_TTL_MS", "0")], b"q"));
     assert_eq!(status_and_body(&gateway.response()).1, "503");
--- a/tests/node/store_calls.rs
+++ b/tests/node/store_calls.rs
@@ -1,17 +1,17 @@
-//! Calls that runs make to the store through the node.
+//! Outbound calls, which runs make to the store through the node.
 
 use crate::support::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
 #[test]
-fn calls_and_their_replies_pass_unchanged() {
+fn outbound_calls_and_their_replies_are_forwarded_unchanged() {
     let (scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     gateway.request(1, "booking", TXN_A, b"b");
     kernel.expect("SCHED", TXN_A);
     let call = b"\r\n\0call";
-    // It contains the line of another reply.
+    // The body of the reply contains a line that is itself a valid reply.
     let reply = b"\xff\r\n9b1f03aa5c7e2d41 BUSY\r\n";
     kernel.request_call(TXN_A, call);
     let mut store = scene.accept_store();
@@ -25,9 +25,10 @@
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"booked"[..]));
 }
 
-/// The store's connection breaks while a call is out. Whether the call had its effect cannot be known.
+/// A connection to the store breaks while a call is pending, so that the node cannot know whether the call
+/// had its effect.
 #[test]
-fn a_broken_store_connection_proves_nothing_about_a_call() {
+fn a_broken_store_connection_fails_a_keyed_run_and_a_repeatable_run_retries_its_call() {
     let (scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     gateway.request(1, "booking", TXN_A, b"b");
@@ -36,9 +37,11 @@
     let mut store = scene.accept_store();
     store.expect_call(TXN_A);
     drop(store);
-    // The run has had its chance to take effect: it fails, is not rejected, and its call is not retried.
+    // The keyed run may have had its effect: the node fails it instead of rejecting it, and does not retry
+    // its call.
     assert_eq!(status_and_body(&gateway.response()).1, "500");
-    // A run that may be repeated retries its call on a new connection, and so does one whose call was rejected.
+    // A run that may be repeated retries its call on a new connection, after a broken connection as after a
+    // BUSY reply.
     gateway.request(2, "quote", TXN_B, b"q");
     kernel.expect("SCHED", TXN_B);
     kernel.request_call(TXN_B, b"c");
@@ -51,9 +54,10 @@
     scene.accept_store().expect_call(TXN_B);
 }
 
-/// The store does not listen yet when the first call is made.
+/// The store does not listen yet when a run requests its call. A refused connection shows that the call had
+/// no effect, so that the node may retry it even for a keyed run.
 #[test]
-fn a_refused_store_connection_proves_that_a_call_never_ran() {
+fn a_keyed_run_retries_its_call_after_a_refused_store_connection() {
     let scene = Scene::new(|_| ());
     let mut kernel = scene.connect_kernel();
     let mut gateway = scene.gateway();
@@ -68,7 +72,8 @@
     assert_eq!(kernel.expect("IODONE", TXN_A), b"r");
 }
 
-/// The store is overloaded and answers BUSY six times in a row. Retries without a pause would add to its load.
+/// The store is overloaded and replies BUSY six times in a row. Retries without a pause would add to its
+/// load.
 #[test]
 fn a_call_that_the_store_rejects_is_retried_with_backoff() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -82,13 +87,15 @@
         store.expect_call(TXN_A);
         store.reply(format!("{TXN_A} BUSY\r\n").as_bytes());
     }
-    // Pauses of 4.5 ms and its doubles, for a latency objective of 3 s; a busy machine only makes them longer.
+    // For a latency objective of 3 s, the pauses are 4.5 ms, doubled after each retry; on a busy machine they
+    // only become longer.
     assert!(began.elapsed().as_millis() >= 100, "{:?}", began.elapsed());
 }
 
-/// The store fails calls of keyed runs: after they may have had their effect, or because the call is void.
+/// The store replies to calls of keyed runs with ERR or LATE, after which they may have had their effect, or
+/// with VOID: the call never ran, as no run waits for its reply.
 #[test]
-fn a_call_that_may_have_had_its_effect_fails_a_keyed_run_and_a_void_call_waits_for_its_end() {
+fn err_and_late_replies_fail_a_keyed_run_at_once_and_a_void_reply_when_the_run_ends() {
     let (scene, mut kernel) = Scene::with_kernel();
     let mut gateway = scene.gateway();
     let mut store = None;
@@ -108,10 +115,10 @@
     }
 }
 
-/// The store sends a malformed reply to one of two calls that are out. Each has a connection of its own, so that the other
-/// one is not affected.
+/// The store sends a malformed reply to one of two pending calls. Each call has its own connection, so that
+/// the other call must not be affected.
 #[test]
-fn a_malformed_reply_costs_only_its_own_call() {
+fn a_malformed_reply_affects_only_the_call_on_its_connection() {
     for malformed in [
         &b"\x00\xffnoise\r\n"[..],
         b"9b1f03aa5c7e2d41 OK 3000000000\r\nxxxx",
@@ -129,7 +136,7 @@
             stores.push(store);
         }
         stores[0].reply(malformed);
-        // The run may be repeated, and so may its call: it is retried on another connection.
+        // The run may be repeated, and so the node retries its call on another connection.
         let mut retry = scene.accept_store();
         retry.expect_call(TXN_A);
         stores[1].reply(format!("{TXN_B} OK 1\r\nr\r\n").as_bytes());
@@ -139,7 +146,8 @@
     }
 }
 
-/// The store sends a reply twice, and one with an unknown id. Neither may pass for the reply to another call.
+/// The store sends a reply with an unknown id, and a reply twice. The node must not take either for the reply
+/// to another call.
 #[test]
 fn a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_call() {
     let (mut scene, mut kernel) = Scene::with_kernel();
@@ -161,26 +169,27 @@
     assert!(scene.counter("replies_unasked") >= 1);
 }
 
-/// A scene whose `quote` runs may skip their call, with one run that has asked for its call.
+/// A scene whose `quote` runs may skip their outbound call, and whose store does not listen. The one run has
+/// requested its call.
 fn scene_with_skippable_call() -> (Scene, Kernel, Gateway) {
     let scene = Scene::new(|c| c["settings"]["extra"]["class-skip-worth"] = json!([0.3, 0.0]));
     let mut kernel = scene.connect_kernel();
     let mut gateway = scene.gateway();
     gateway.request(1, "quote", TXN_A, b"q");
     kernel.expect("SCHED", TXN_A);
-    // The store does not listen: the call cannot be made.
+    // The store does not listen, so that the node cannot make the call.
     kernel.request_call(TXN_A, b"c");
     (scene, kernel, gateway)
 }
 
-/// The store is away and the run may do without its call. The kernel's connection breaks before it is known whether the
-/// kernel read that.
+/// The store is unreachable, and the run may skip its call. The connection to the kernel breaks before the
+/// node knows whether the kernel has read the command to skip the call.
 #[test]
-fn a_skipped_call_is_announced_by_its_notice_number_and_again_on_a_new_connection() {
+fn the_command_to_skip_a_call_names_its_notice_and_is_resent_on_a_new_connection() {
     let (scene, mut kernel, mut gateway) = scene_with_skippable_call();
     let skip_command = json!({"event": "NOIO", "handle": TXN_A, "cursor": 1});
     assert_eq!(kernel.command(), skip_command);
-    // The connection breaks: the node cannot know whether the command was read.
+    // After the connection has broken, the node cannot know whether the kernel has read the command.
     drop(kernel);
     let mut kernel = scene.accept_kernel();
     assert_eq!(kernel.command(), json!({"event": "OPEN", "cursor": 1}));
@@ -191,9 +200,9 @@
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"poorer"[..]));
 }
 
-/// The kernel rejects the command by which a run would go on without its call.
+/// The kernel rejects the command to continue a run without its call.
 #[test]
-fn a_run_whose_skipped_call_the_kernel_rejects_fails_at_once() {
+fn a_run_fails_at_once_when_the_kernel_rejects_the_command_to_skip_its_call() {
     let (_scene, mut kernel, mut gateway) = scene_with_skippable_call();
     kernel.expect("NOIO", TXN_A);
     let began = Instant::now();
@@ -202,9 +211,9 @@
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
 }
 
-/// The store is away while the node drains.
+/// The store is unreachable while the node drains.
 #[test]
-fn a_run_may_skip_its_call_during_a_drain_and_is_served_before_the_end() {
+fn a_run_that_skips_its_call_during_a_drain_is_answered_with_its_result() {
     let scene = Scene::new(|c| c["settings"]["extra"]["class-skip-worth"] = json!([0.3, 0.0]));
     let mut kernel = scene.connect_kernel();
     let mut gateway = scene.gateway();
