--- a/tests/support/configuration.rs
+++ b/tests/support/configuration.rs
@@ -1,10 +1,12 @@
-//! The configuration that the tests start the program with, and `check-config` on it.
+//! The configuration with which the tests start the program, and runs of `check-config` on a configuration.
 
 use super::program::program;
 use serde_json::{Value, json};
 use std::process::Output;
 
-/// One class that may be repeated and one keyed class, both with calls. The arguments are ports of the peers.
+/// A configuration with two classes whose runs make outbound calls: `quote`, which may be repeated, and
+/// `booking`, which is keyed. The arguments are the loopback ports of the kernel, the store and the
+/// membership service.
 pub fn configuration(kernel: u16, store: u16, members: u16) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "goal-time": 3_000_000_000u64, "hard-limit": 6_000_000_000u64,
@@ -27,7 +29,8 @@
                 "drain-grace": 300_000_000, "fall": 2_000_000_000, "fall-multiple": 5.0}}})
 }
 
-/// Raises every limit of admission, for benches that measure something else.
+/// Raises the limits and deadlines of a configuration so that admission rejects no request. For benches that
+/// do not measure admission.
 pub fn lift_limits(configuration: &mut Value) {
     configuration["limits"]["sockets"] = 1024.into();
     configuration["settings"]["extra"]["cores"] = 512.into();
@@ -39,7 +42,7 @@
     }
 }
 
-/// The output of `check-config` on a configuration.
+/// Runs `check-config` on a configuration and returns its status and output.
 pub fn check_config(configuration: &Value) -> Output {
     let (mut command, path) = program(configuration, "check-config");
     let output = command.output().expect("the program runs");
--- a/tests/support/frame_corruptor.rs
+++ b/tests/support/frame_corruptor.rs
@@ -1,5 +1,6 @@
-//! A proxy between two processes of a node which corrupts the snapshot that the predecessor hands over, as if a program
-//! with another layout of its state had sent it. Sockets that are passed along with frames are passed on.
+//! A proxy between two processes of a node. It corrupts the engine state that the predecessor hands over, as
+//! if a build with another layout of the state had sent it, and passes on the sockets that accompany the
+//! frames.
 
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
@@ -13,34 +14,36 @@
 use std::path::{Path, PathBuf};
 use std::thread;
 
-/// How the frame that holds the engine's state starts, in CBOR.
+/// First bytes, in CBOR, of the frame that holds the engine's state.
 const STATE_FRAME_PREFIX: &[u8] = b"\xa1\x64Rest";
-/// Length in bytes of the greeting that each side sends first.
+/// Length in bytes of the greeting that each side sends before its first frame.
 const GREETING_LEN: usize = 8;
 
-/// The folder in which a successor finds the proxy instead of its predecessor.
+/// The proxy. It serves until the predecessor has ended; its folder is removed when this is dropped.
 pub struct FrameCorruptor {
     folder: PathBuf,
 }
 
 impl FrameCorruptor {
-    /// Serves a folder of its own with a socket for each of the predecessor's folder, and the same lock files.
+    /// Starts a proxy for the predecessor with the given hand-over folder. The proxy has a folder of its own,
+    /// which holds a socket for each of the predecessor's sockets and hard links to its lock files.
     pub fn between(predecessor: &Path) -> Self {
         let folder = super::temporary_path("spoilt");
-        fs::create_dir(&folder).expect("a folder");
-        for entry in fs::read_dir(predecessor).expect("a folder").flatten() {
+        fs::create_dir(&folder).expect("creating the proxy's folder");
+        for entry in fs::read_dir(predecessor).expect("reading the predecessor's folder").flatten() {
             let from = entry.path();
             let to = folder.join(entry.file_name());
             if from.extension().is_some_and(|e| e == "lock") {
-                fs::hard_link(from, to).expect("the same lock");
+                fs::hard_link(from, to).expect("linking a lock file");
             } else {
-                let listener = UnixListener::bind(to).expect("a socket");
+                let listener = UnixListener::bind(to).expect("binding a proxy socket");
                 thread::spawn(move || serve(listener, &from));
             }
         }
         FrameCorruptor { folder }
     }
 
+    /// The hand-over folder to start the successor with, so that it connects to the proxy.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
@@ -52,20 +55,21 @@
     }
 }
 
-/// Proxies connections until the predecessor has ended; then nobody answers here either.
+/// Proxies connections to the predecessor's socket, and stops listening once the predecessor has ended.
 fn serve(listener: UnixListener, predecessor: &Path) {
     while let Ok((successor, _)) = listener.accept() {
         let Ok(predecessor) = UnixStream::connect(predecessor) else { return };
-        let from = predecessor.try_clone().expect("a socket");
-        let to = successor.try_clone().expect("a socket");
+        let from = predecessor.try_clone().expect("cloning a socket");
+        let to = successor.try_clone().expect("cloning a socket");
         thread::spawn(move || forward(&from, &to, true));
         thread::spawn(move || forward(&successor, &predecessor, false));
     }
 }
 
-/// Passes on what comes until one side ends; frame by frame, with the state corrupted, if `corrupts`.
+/// Forwards bytes and descriptors until one side closes the connection. If `corrupts`, forwards whole frames
+/// and corrupts the one that holds the engine's state.
 fn forward(from: &UnixStream, to: &UnixStream, corrupts: bool) {
-    let mut waiting = Vec::new();
+    let mut pending = Vec::new();
     let mut descriptors = Vec::new();
     let mut buffer = vec![0; 64 * 1024];
     let mut greeted = false;
@@ -82,12 +86,13 @@
         if read.bytes == 0 {
             break;
         }
-        waiting.extend(&buffer[..read.bytes]);
-        while let Some(mut frame) = next_piece(&mut waiting, &mut greeted, corrupts) {
+        pending.extend(&buffer[..read.bytes]);
+        while let Some(mut frame) = next_chunk(&mut pending, &mut greeted, corrupts) {
             if frame.len() > 4 && frame[4..].starts_with(STATE_FRAME_PREFIX) {
                 frame[6] = b'?';
             }
-            // A socket may come before its frame: the receiver assigns them in order.
+            // A descriptor may be sent before the frame that it belongs to: the receiver assigns descriptors
+            // to frames in order.
             if send(to, &frame, &std::mem::take(&mut descriptors)).is_none() {
                 break 'connection;
             }
@@ -96,20 +101,22 @@
     let _ = (from.shutdown(std::net::Shutdown::Both), to.shutdown(std::net::Shutdown::Both));
 }
 
-/// The greeting or frame that is complete, or whatever there is if frames do not matter.
-fn next_piece(waiting: &mut Vec<u8>, greeted: &mut bool, frames: bool) -> Option<Vec<u8>> {
+/// Takes the next chunk to forward from `pending`: if `frames`, the greeting or the next frame once it is
+/// complete, and otherwise all bytes. `greeted` states whether the greeting has been taken.
+fn next_chunk(pending: &mut Vec<u8>, greeted: &mut bool, frames: bool) -> Option<Vec<u8>> {
     let len = match (frames, *greeted) {
-        (false, _) => waiting.len(),
+        (false, _) => pending.len(),
         (true, false) => GREETING_LEN,
-        (true, true) => 4 + u32::from_be_bytes(*waiting.first_chunk::<4>()?) as usize,
+        (true, true) => 4 + u32::from_be_bytes(*pending.first_chunk::<4>()?) as usize,
     };
-    if len == 0 || waiting.len() < len {
+    if len == 0 || pending.len() < len {
         return None;
     }
     *greeted = true;
-    Some(waiting.drain(..len).collect())
+    Some(pending.drain(..len).collect())
 }
 
+/// Sends all bytes, and the descriptors with the first of them. `None` if the connection is broken.
 fn send(to: &UnixStream, bytes: &[u8], descriptors: &[OwnedFd]) -> Option<()> {
     let borrowed: Vec<_> = descriptors.iter().map(|fd| fd.as_fd()).collect();
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
--- a/tests/support/kernel.rs
+++ b/tests/support/kernel.rs
@@ -1,6 +1,7 @@
-//! The kernel's end of its connection: reads commands and sends notices as the test says.
+//! The kernel's end of its connection to the node. It reads commands and sends notices as the test directs.
 //!
-//! Of itself it answers only questions for gauges (`SYSINFO`), which come all the time.
+//! It does nothing unasked, except that its methods answer the polls for gauges (`SYSINFO`) that arrive while
+//! they wait.
 
 use super::{TEST_TIMEOUT, with_read_timeout};
 use base64::Engine as _;
@@ -15,14 +16,14 @@
     lines: BufReader<TcpStream>,
     /// Number of the last numbered notice that was sent.
     pub cursor: u64,
-    /// Number of questions for gauges that were answered.
+    /// Number of polls for gauges that were answered on this connection.
     pub gauge_replies: u64,
-    /// What they are answered with, in the order of the configuration's `gauges`.
+    /// Values that answer a poll for gauges, in the order of the configuration's `gauges`.
     pub gauge_values: [f64; 4],
 }
 
 impl Kernel {
-    /// The node's connection to the kernel, just accepted.
+    /// Takes over a connection from the node that was just accepted.
     pub fn new(stream: TcpStream) -> Self {
         Kernel {
             lines: BufReader::new(with_read_timeout(stream)),
@@ -32,38 +33,41 @@
         }
     }
 
-    /// Sends a notice; a numbered one counts up the cursor.
+    /// Sends a notice. If `numbered`, increments the cursor and sends it as the notice's number.
     pub fn notify(&mut self, mut notice: Value, numbered: bool) {
         if numbered {
             self.cursor += 1;
             notice["cursor"] = json!(self.cursor);
         }
-        self.lines.get_mut().write_all(format!("{notice}\n").as_bytes()).expect("the node reads");
+        self.lines.get_mut().write_all(format!("{notice}\n").as_bytes()).expect("sending to the node");
     }
 
-    /// Sends the beginning of a notice.
+    /// Sends the beginning of a notice, without a line end.
     pub fn notify_partially(&mut self, text: &str) {
-        self.lines.get_mut().write_all(text.as_bytes()).expect("the node reads");
+        self.lines.get_mut().write_all(text.as_bytes()).expect("sending to the node");
     }
 
-    /// Reports that the kernel is up.
+    /// Sends the notice that the kernel is up.
     pub fn boot(&mut self) {
         self.notify(json!({"event": "BOOTED", "fate": "old", "lasted": 5}), false);
     }
 
-    /// The next command, be it a question for gauges.
+    /// Reads the next command, which may be a poll for gauges.
     pub fn next_message(&mut self) -> Value {
         let mut line = String::new();
-        self.lines.read_line(&mut line).expect("a command");
-        serde_json::from_str(&line).expect("one JSON object a line")
+        self.lines.read_line(&mut line).expect("a command from the node");
+        serde_json::from_str(&line).expect("a command as one line of JSON")
     }
 
-    /// The next command that is not a question for gauges; those are answered.
+    /// Reads the next command that is not a poll for gauges, and answers the polls before it.
     pub fn command(&mut self) -> Value {
         let began = Instant::now();
         loop {
             let command = self.next_message();
-            assert!(began.elapsed() < TEST_TIMEOUT, "nothing but questions for gauges");
+            assert!(
+                began.elapsed() < TEST_TIMEOUT,
+                "the node sent only polls for gauges, and no other command"
+            );
             if command["event"] != "SYSINFO" {
                 return command;
             }
@@ -71,51 +75,49 @@
         }
     }
 
-    /// Answers questions for gauges until the connection ends, and fails if any other command comes.
+    /// Answers polls for gauges until the connection ends. Panics if the node sends any other command.
     pub fn expect_only_gauges_until_end(&mut self) {
         let mut line = String::new();
         while self.lines.read_line(&mut line).is_ok_and(|n| n > 0) {
-            let command: Value = serde_json::from_str(&line).expect("one JSON object a line");
+            let command: Value = serde_json::from_str(&line).expect("a command as one line of JSON");
             assert_eq!(command["event"], "SYSINFO", "{command}");
-            // The connection may end meanwhile.
+            // The write may fail, as the node may close the connection at any time.
             let answer = json!({"event": "INFO", "ticket": command["ticket"], "figures": self.gauge_values});
             let _ = self.lines.get_mut().write_all(format!("{answer}\n").as_bytes());
             line.clear();
         }
     }
 
-    /// Answers a question for gauges.
-    pub fn answer_gauges(&mut self, question: &Value) {
+    /// Answers a poll for gauges.
+    pub fn answer_gauges(&mut self, poll: &Value) {
         self.gauge_replies += 1;
-        self.notify(
-            json!({"event": "INFO", "ticket": question["ticket"], "figures": self.gauge_values}),
-            false,
-        );
+        self.notify(json!({"event": "INFO", "ticket": poll["ticket"], "figures": self.gauge_values}), false);
     }
 
-    /// Reads a command for this request, and its body.
+    /// Reads the next command, which must be `event` for the request `id`, and returns its body. Answers the
+    /// polls for gauges before it.
     pub fn expect(&mut self, event: &str, id: &str) -> Vec<u8> {
         let command = self.command();
         assert_eq!((&command["event"], &command["handle"]), (&json!(event), &json!(id)), "{command}");
-        STANDARD.decode(command["arg"].as_str().unwrap_or("")).expect("base64")
+        STANDARD.decode(command["arg"].as_str().unwrap_or("")).expect("a command body in base64")
     }
 
-    /// Answers so many questions for gauges, and fails if any other command comes.
-    pub fn expect_nothing(&mut self, questions: u64) {
-        for _ in 0..questions {
+    /// Answers the next `polls` polls for gauges. Panics if the node sends any other command.
+    pub fn expect_nothing(&mut self, polls: u64) {
+        for _ in 0..polls {
             let command = self.next_message();
             assert_eq!(command["event"], "SYSINFO", "{command}");
             self.answer_gauges(&command);
         }
     }
 
-    /// Reports that the run of this request has ended.
+    /// Sends the notice that the run of the request `id` has ended with this fate and result.
     pub fn reap(&mut self, id: &str, fate: &str, result: &[u8]) {
         let arg = STANDARD.encode(result);
         self.notify(json!({"event": "REAP", "handle": id, "fate": fate, "lasted": 7, "arg": arg}), true);
     }
 
-    /// Asks, for the run of this request, for a call of the store.
+    /// Sends the notice that the run of the request `id` requests an outbound call with this body.
     pub fn request_call(&mut self, id: &str, body: &[u8]) {
         self.notify(json!({"event": "IOREQ", "handle": id, "arg": STANDARD.encode(body)}), true);
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,7 +1,8 @@
-//! What the tests of the program share: the program itself, and peers on loopback which do only what a test says.
+//! Support for the tests of the compiled program: starts the program and plays its peers on loopback, as a
+//! test directs.
 //!
-//! Each test has its own program, files and ports. Nothing here decides whether a test passes, except that a peer panics
-//! when what it waits for does not come within [`TEST_TIMEOUT`] or is not what it was told to expect.
+//! Each test has its own process, files and ports. The support code fails a test only where the program does
+//! not start or end, or where a peer does not receive what it expects within [`TEST_TIMEOUT`].
 #![allow(dead_code, missing_docs, unused_imports)]
 
 mod admin;
@@ -32,21 +33,22 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Longest that any test waits for anything: far beyond what it takes on a busy machine.
+/// Longest time that a test waits for one event: far longer than an event takes on a busy machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Milliseconds since 1970, as gateways state the time of ingress.
+/// Unix time (since 1970) in milliseconds, the unit in which gateways state the ingress time.
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("a system time after 1970").as_millis() as u64
 }
 
+/// Sets [`TEST_TIMEOUT`] as the read timeout of a stream, and turns off Nagle's algorithm.
 fn with_read_timeout(stream: TcpStream) -> TcpStream {
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout");
-    stream.set_nodelay(true).expect("no delay");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("setting the read timeout");
+    stream.set_nodelay(true).expect("setting TCP_NODELAY");
     stream
 }
 
-/// A path in the system's folder for temporary files that no other test has.
+/// A path with this extension in the system's folder for temporary files. It is unique to the call.
 pub fn temporary_path(extension: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!("gaugestand-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
