--- a/benches/record.rs
+++ b/benches/record.rs
@@ -1,7 +1,9 @@
-//! What the idempotency store costs: throughput, latency, stalls, recovery, memory, and CPU where it is off.
+//! Measures the idempotency store: throughput, latency, stalls, recovery and memory, and the CPU time of a
+//! node without it.
 //!
-//! `cargo bench --bench record -- [throughput|stall|recovery|cpu|memory|calls]`. For `cpu` and `memory`,
-//! GAUGESTAND_BEFORE names an earlier build to compare with. Figures go into docs/design/record.md.
+//! `cargo bench --bench record -- [throughput|stall|recovery|cpu|memory|calls]`; without an argument, all of
+//! them run. For `cpu`, `memory` and `calls`, the environment variable GAUGESTAND_BEFORE is the path of an
+//! earlier build to compare with. The results are kept in docs/design/record.md.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -21,10 +23,13 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// The backends that are measured, and none.
+/// A backend of the idempotency store that is measured, or none (`Off`). Its files are removed when this is
+/// dropped.
 enum Store {
     Off,
+    /// The path of the database file.
     Sqlite(PathBuf),
+    /// The fake server and the path of the password file.
     Postgres(Postgres, PathBuf),
 }
 
@@ -41,36 +46,40 @@
         Store::all_with_commit_time(Duration::ZERO)
     }
 
-    /// All of them; a commit of the database takes this long.
-    fn all_with_commit_time(time: Duration) -> [Store; 3] {
+    /// No store and a store of each backend. A commit of the PostgreSQL server takes `commit_time`.
+    fn all_with_commit_time(commit_time: Duration) -> [Store; 3] {
         let password = temporary_path("pass");
-        std::fs::write(&password, "pw").expect("written");
-        // On the disk of the build: in a file system in memory a commit would cost nothing.
-        let file =
-            Path::new(env!("CARGO_TARGET_TMPDIR")).join(temporary_path("db").file_name().expect("a name"));
-        let server = Postgres::start("pw").expect("listens");
-        server.set_commit_time(time);
+        std::fs::write(&password, "pw").expect("writing the password file");
+        // The file lies on the disk of the build directory: in an in-memory file system a commit would cost
+        // nothing.
+        let file = Path::new(env!("CARGO_TARGET_TMPDIR"))
+            .join(temporary_path("db").file_name().expect("a path with a file name"));
+        let server = Postgres::start("pw").expect("starting the fake PostgreSQL server");
+        server.set_commit_time(commit_time);
         [Store::Off, Store::Sqlite(file), Store::Postgres(server, password)]
     }
 
-    fn script(&self, more: &str) -> Option<String> {
+    /// The operators' settings for the store, or `None` if it is off. `options` follows the arguments of
+    /// `record`.
+    fn script(&self, options: &str) -> Option<String> {
         match self {
             Store::Off => None,
             Store::Sqlite(path) => Some(format!(
-                "record(backend = \"sqlite\", path = \"{}\", sync = \"full\"{more})",
+                "record(backend = \"sqlite\", path = \"{}\", sync = \"full\"{options})",
                 path.display()
             )),
             Store::Postgres(server, password) => Some(format!(
                 "record(backend = \"postgres\", address = \"{}\", database = \"d\", user = \"u\", \
-                 password_file = \"{}\"{more})",
+                 password_file = \"{}\"{options})",
                 server.address(),
                 password.display()
             )),
         }
     }
 
-    fn scene(&self, more: &str) -> Scene {
-        Scene::with_script(self.script(more).as_deref(), lift_limits)
+    /// Starts a node with the store. `options` follows the arguments of `record` in the settings.
+    fn scene(&self, options: &str) -> Scene {
+        Scene::with_script(self.script(options).as_deref(), lift_limits)
     }
 }
 
@@ -86,53 +95,56 @@
     }
 }
 
-/// Latencies in microseconds, up to a minute.
-fn latencies() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 60_000_000, 3).expect("sound bounds")
+/// An empty histogram of latencies in microseconds, up to a minute.
+fn latency_histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds")
 }
 
-/// A transaction id that no earlier request of this bench had.
+/// A transaction id that no earlier attempt in this bench had.
 fn next_txn() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// Keyed requests from so many clients, one at a time each, for this long: their rate a second and their latencies.
-fn measure_bookings(scene: &Scene, clients: usize, time: Duration) -> (f64, Histogram<u64>) {
+/// Sends keyed requests from `clients` clients, each one request at a time, for `duration`. Returns the
+/// requests answered with 200 per second and their latencies.
+fn measure_bookings(scene: &Scene, clients: usize, duration: Duration) -> (f64, Histogram<u64>) {
     let began = Instant::now();
-    let mut all = latencies();
+    let mut all = latency_histogram();
     thread::scope(|scope| {
         let clients: Vec<_> = (0..clients)
             .map(|_| {
                 let address = scene.address.clone();
                 scope.spawn(move || {
                     let mut gateway = Gateway::connect(&address);
-                    let mut own = latencies();
-                    while began.elapsed() < time {
+                    let mut client_latencies = latency_histogram();
+                    while began.elapsed() < duration {
                         let sent = Instant::now();
                         let txn = next_txn();
-                        let (status, _) = gateway.book(&txn, &format!("k{txn}"), "b").expect("an answer");
+                        let (status, _) =
+                            gateway.book(&txn, &format!("k{txn}"), "b").expect("an answer to the booking");
                         if status == "200" {
-                            own.saturating_record(sent.elapsed().as_micros() as u64);
+                            client_latencies.saturating_record(sent.elapsed().as_micros() as u64);
                         }
                     }
-                    own
+                    client_latencies
                 })
             })
             .collect();
         for client in clients {
-            all.add(client.join().expect("a client")).expect("alike");
+            all.add(client.join().expect("the client thread")).expect("histograms with the same bounds");
         }
     });
     (all.len() as f64 / began.elapsed().as_secs_f64(), all)
 }
 
+/// Measures the rate and the latencies of bookings for each backend, with 1, 16 and 256 clients.
 fn throughput() {
-    println!("store     out  bookings/s   p50 us   p99 us");
+    println!("store clients  bookings/s   p50 us   p99 us");
     let [.., slow_database] = Store::all_with_commit_time(Duration::from_millis(1));
     for (index, store) in Store::all().into_iter().chain([slow_database]).enumerate() {
         if index == 3 {
-            println!("the same with a commit that takes the server 1 ms:");
+            println!("postgres with a commit time of 1 ms:");
         }
         for clients in [1, 16, 256] {
             let scene = store.scene(", entries = 2000000, memory_mb = 2048");
@@ -156,39 +168,46 @@
     }
 }
 
-/// Round trips of requests without a key at a steady rate for this long.
-fn measure_reads(scene: &Scene, time: Duration) -> Histogram<u64> {
+/// Sends requests without a key for `duration`, each 2 ms after the previous response, and returns their
+/// round-trip times.
+fn measure_quotes(scene: &Scene, duration: Duration) -> Histogram<u64> {
     let mut gateway = scene.gateway();
     let began = Instant::now();
-    let mut all = latencies();
-    while began.elapsed() < time {
+    let mut all = latency_histogram();
+    while began.elapsed() < duration {
         let sent = Instant::now();
-        assert_eq!(gateway.quote(&next_txn()).expect("an answer"), "200");
+        assert_eq!(gateway.quote(&next_txn()).expect("an answer to the quote"), "200");
         all.saturating_record(sent.elapsed().as_micros() as u64);
         thread::sleep(Duration::from_millis(2));
     }
     all
 }
 
+/// Measures whether requests without a key are slower while the SQLite file is locked by another connection.
 fn stall() {
     let [_, store, _] = Store::all();
     let Store::Sqlite(path) = &store else { return };
     let scene = store.scene("");
     let _kernel = AutoKernel::serve(&scene.kernel);
     scene.await_healthy();
-    measure_reads(&scene, Duration::from_secs(1));
+    measure_quotes(&scene, Duration::from_secs(1));
     let mut ratios = Vec::new();
     for _ in 0..5 {
-        let free = measure_reads(&scene, Duration::from_secs(2));
-        let lock = Connection::open(path).expect("a connection");
-        lock.busy_timeout(Duration::from_secs(5)).expect("set");
-        lock.execute_batch("BEGIN IMMEDIATE").expect("the lock");
-        // A keyed request opens the circuit breaker, so that the store is probed all the time.
-        let status = scene.gateway().book(&next_txn(), "stall", "b").expect("an answer").0;
-        let stalled = measure_reads(&scene, Duration::from_secs(2));
+        let free = measure_quotes(&scene, Duration::from_secs(2));
+        let lock = Connection::open(path).expect("opening the SQLite file");
+        lock.busy_timeout(Duration::from_secs(5)).expect("setting the busy timeout");
+        lock.execute_batch("BEGIN IMMEDIATE").expect("locking the SQLite file");
+        // The keyed request opens the circuit breaker, so that the node probes the store repeatedly from then
+        // on.
+        let status = scene.gateway().book(&next_txn(), "stall", "b").expect("an answer to the booking").0;
+        let stalled = measure_quotes(&scene, Duration::from_secs(2));
         drop(lock);
         let p99 = |histogram: &Histogram<u64>| histogram.value_at_quantile(0.99);
-        println!("reads p99: free {} us, store held {} us; booking {status}", p99(&free), p99(&stalled));
+        println!(
+            "quotes p99: store free {} us, store locked {} us; status of the booking {status}",
+            p99(&free),
+            p99(&stalled)
+        );
         ratios.push(p99(&stalled) as f64 / p99(&free) as f64);
         await_breaker_closed();
     }
@@ -196,21 +215,23 @@
     println!("ratio of p99, median of 5: {:.3} ({:.3} to {:.3})", ratios[2], ratios[0], ratios[4]);
 }
 
-/// Waits for longer than the time between two probes of the store.
+/// Waits until the circuit breaker has closed: longer than the interval between two probes of the store.
 fn await_breaker_closed() {
     thread::sleep(Duration::from_millis(3_100));
 }
 
-/// Resident memory of the program, and its peak, in kB.
-fn memory_of(pid: u32) -> (u64, u64) {
-    let text = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("a process");
-    let get = |name: &str| {
-        let line = text.lines().find(|line| line.starts_with(name)).expect("a line");
+/// Resident memory of a process and its peak since the start, in kB.
+fn resident_and_peak_kb(pid: u32) -> (u64, u64) {
+    let text = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("reading the process status");
+    let field = |name: &str| {
+        let line = text.lines().find(|line| line.starts_with(name)).expect("a line of this name");
         line.split_whitespace().nth(1).and_then(|number| number.parse().ok()).expect("a number")
     };
-    (get("VmRSS:"), get("VmHWM:"))
+    (field("VmRSS:"), field("VmHWM:"))
 }
 
+/// Measures the time from the start of a node until it is healthy, and its memory, by the number of rows in
+/// the store.
 fn recovery() {
     println!("store        rows   recovery ms   resident kB   peak kB");
     for rows in [0u64, 10_000, 100_000, 1_000_000] {
@@ -233,7 +254,7 @@
             match &store {
                 Store::Off => continue,
                 Store::Sqlite(path) => {
-                    let mut file = Sqlite::open(path, &Options::default()).expect("a store");
+                    let mut file = Sqlite::open(path, &Options::default()).expect("opening the store file");
                     (0..rows)
                         .step_by(5_000)
                         .for_each(|from| assert_eq!(file.execute(&work(from)), Outcome::Done));
@@ -245,11 +266,11 @@
                         database: "d".into(),
                         node: "n3".into(),
                     };
-                    let (mut client, _) =
-                        BlockingClient::take_name(server.address(), login, 0).expect("a login");
+                    let (mut client, _) = BlockingClient::take_name(server.address(), login, 0)
+                        .expect("logging in to the fake server");
                     (0..rows).step_by(5_000).for_each(|from| {
                         let batch = Batch { number: from + 1, work: work(from) };
-                        assert_eq!(client.execute(&batch).expect("sound"), Outcome::Done);
+                        assert_eq!(client.execute(&batch).expect("a reply to the batch"), Outcome::Done);
                     });
                 }
             }
@@ -257,33 +278,35 @@
             let scene = store.scene(", entries = 2000000, memory_mb = 4096");
             let _kernel = AutoKernel::serve(&scene.kernel);
             scene.await_healthy();
-            let (resident, peak) = memory_of(scene.pid());
+            let (resident, peak) = resident_and_peak_kb(scene.pid());
             println!("{:8} {rows:9} {:13} {resident:13} {peak:9}", store.name(), began.elapsed().as_millis());
         }
     }
 }
 
-/// CPU time of a process, in ms.
-fn cpu_of(pid: u32) -> u64 {
-    let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
-    let fields: Vec<&str> = text.rsplit(')').next().expect("fields").split_whitespace().collect();
+/// User and system CPU time of a process since its start, in ms.
+fn cpu_time_ms(pid: u32) -> u64 {
+    let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("reading the process state");
+    let fields: Vec<&str> =
+        text.rsplit(')').next().expect("the fields after the process name").split_whitespace().collect();
     let ticks = |index: usize| fields[index].parse::<u64>().expect("a number");
-    // User and system time, in hundredths of a second.
+    // The fields are the user and the system time, in hundredths of a second.
     (ticks(11) + ticks(12)) * 10
 }
 
-/// CPU for a request without a store, in microseconds, with so many clients.
-fn cpu_per_booking(clients: usize) -> f64 {
+/// CPU time per booking in microseconds, of a node without a store and with `clients` clients.
+fn cpu_us_per_booking(clients: usize) -> f64 {
     let scene = Store::Off.scene("");
     let _kernel = AutoKernel::serve(&scene.kernel);
     scene.await_healthy();
     measure_bookings(&scene, clients, Duration::from_millis(500));
-    let before = cpu_of(scene.pid());
+    let before = cpu_time_ms(scene.pid());
     let (_, histogram) = measure_bookings(&scene, clients, Duration::from_secs(3));
-    (cpu_of(scene.pid()) - before) as f64 * 1000.0 / histogram.len() as f64
+    (cpu_time_ms(scene.pid()) - before) as f64 * 1000.0 / histogram.len() as f64
 }
 
-/// Measures with an earlier build instead of this one. Nothing else in this bench may run meanwhile.
+/// Calls `measure` while nodes are started from the build at the path `build`. The override applies to the
+/// whole process, so that no other measurement may run at the same time.
 fn with_earlier_build<T>(build: &std::ffi::OsStr, measure: impl FnOnce() -> T) -> T {
     override_program(Some(build));
     let measured = measure();
@@ -291,16 +314,19 @@
     measured
 }
 
+/// Compares the CPU time per booking of an earlier build with that of this build.
 fn cpu() {
     let Some(before) = std::env::var_os("GAUGESTAND_BEFORE") else {
-        return println!("cpu: GAUGESTAND_BEFORE names no earlier build");
+        return println!(
+            "cpu: skipped, as GAUGESTAND_BEFORE is not set; set it to the path of an earlier build"
+        );
     };
     for clients in [1, 8] {
         let mut ratios: Vec<f64> = (0..5)
             .map(|_| {
-                let earlier = with_earlier_build(&before, || cpu_per_booking(clients));
-                let now = cpu_per_booking(clients);
-                println!("CPU for a booking, {clients} out: before {earlier:.1} us, now {now:.1} us");
+                let earlier = with_earlier_build(&before, || cpu_us_per_booking(clients));
+                let now = cpu_us_per_booking(clients);
+                println!("CPU per booking, {clients} clients: before {earlier:.1} us, now {now:.1} us");
                 now / earlier
             })
             .collect();
@@ -309,8 +335,8 @@
     }
 }
 
-/// System calls of a build for a booking, counted by strace where it is installed.
-fn calls() {
+/// Counts the system calls per booking of the earlier build, if any, and of this build. Needs strace.
+fn system_calls() {
     let builds =
         std::env::var_os("GAUGESTAND_BEFORE").into_iter().chain([env!("CARGO_BIN_EXE_gaugestand").into()]);
     for build in builds {
@@ -321,17 +347,18 @@
             counts.display(),
             std::path::Path::new(&build).display()
         );
-        std::fs::write(&wrapper, script).expect("written");
+        std::fs::write(&wrapper, script).expect("writing the wrapper script");
         std::process::Command::new("chmod").arg("+x").arg(&wrapper).status().expect("chmod runs");
         let bookings = with_earlier_build(wrapper.as_os_str(), || {
             let mut scene = Store::Off.scene("");
             let _kernel = AutoKernel::serve(&scene.kernel);
             scene.await_healthy();
             let (_, histogram) = measure_bookings(&scene, 1, Duration::from_secs(3));
-            // The node ends by itself, so that strace writes what it has counted.
+            // SIGTERM goes to the node, the child of strace: strace writes its counts when the node has
+            // exited.
             let pid = scene.pid();
-            let traced =
-                std::fs::read_to_string(format!("/proc/{pid}/task/{pid}/children")).expect("a process");
+            let traced = std::fs::read_to_string(format!("/proc/{pid}/task/{pid}/children"))
+                .expect("the children of strace");
             std::process::Command::new("kill").args(["-TERM", traced.trim()]).status().expect("kill runs");
             scene.exits_successfully();
             histogram.len()
@@ -349,23 +376,24 @@
     }
 }
 
+/// Measures the memory of an idle node: an earlier build, each backend, and a script without a store.
 fn memory() {
-    let idle = |store: &Store, name: &str| {
+    let measure_idle = |store: &Store, name: &str| {
         let scene = store.scene("");
         let _kernel = AutoKernel::serve(&scene.kernel);
         scene.await_healthy();
-        let (resident, peak) = memory_of(scene.pid());
+        let (resident, peak) = resident_and_peak_kb(scene.pid());
         println!("{name:10} resident {resident} kB, peak {peak} kB");
     };
     if let Some(before) = std::env::var_os("GAUGESTAND_BEFORE") {
-        with_earlier_build(&before, || idle(&Store::Off, "before"));
+        with_earlier_build(&before, || measure_idle(&Store::Off, "before"));
     }
     for store in Store::all() {
-        idle(&store, store.name());
+        measure_idle(&store, store.name());
     }
     let scene = Scene::with_script(Some("log(level = \"info\")"), lift_limits);
-    let (resident, peak) = memory_of(scene.pid());
-    println!("script     resident {resident} kB, peak {peak} kB (settings alone, no store)");
+    let (resident, peak) = resident_and_peak_kb(scene.pid());
+    println!("script     resident {resident} kB, peak {peak} kB (operators' settings without a store)");
 }
 
 fn main() {
@@ -377,7 +405,7 @@
         ("recovery", recovery),
         ("cpu", cpu),
         ("memory", memory),
-        ("calls", calls),
+        ("calls", system_calls),
     ];
     println!("{} cores", thread::available_parallelism().map_or(0, usize::from));
     for (name, run) in all {
--- a/benches/upgrade.rs
+++ b/benches/upgrade.rs
@@ -1,6 +1,6 @@
-//! How long the hand-over from one process of a node to its successor takes, by the state that is handed over.
+//! Measures how long the hand-over from a process of a node to its successor takes, by the size of the state.
 //!
-//! `cargo bench --bench upgrade`. Figures go into docs/design/operation.md.
+//! `cargo bench --bench upgrade`. The results are kept in docs/design/operation.md.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -12,21 +12,23 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Hand-overs of each size.
+/// Number of hand-overs that are measured for each size of the state.
 const ROUNDS: usize = 7;
-/// Most open requests of a connection, as the node allows.
+/// Most open requests that the node allows on a gateway's connection.
 const MAX_REQUESTS_PER_CONNECTION: u64 = 32;
 
-/// What one hand-over took, in milliseconds.
+/// Measured times of one hand-over, in milliseconds.
 struct Handover {
-    /// From the start of the successor until it was ready.
+    /// From the start of the successor until it answered that it is ready.
     ready: f64,
-    /// Longest wait of a client that sent health checks all the time while the predecessor was told to end.
+    /// Longest response time of a client that sent one health check after the other from 20 ms before the
+    /// predecessor got SIGTERM until 300 ms after it.
     longest_wait: f64,
 }
 
-/// Replaces a node which has this many keys, each with a result, and this many open attempts that the kernel never ends.
-fn replace(keys: u64, open: u64) -> Handover {
+/// Measures one hand-over of a process that holds `keys` idempotency keys with a result each, and `open` open
+/// attempts whose runs never complete.
+fn measure_handover(keys: u64, open: u64) -> Handover {
     let scene = Scene::replaceable_with(|configuration| {
         lift_limits(configuration);
         configuration["limits"]["memory_mb"] = 512.into();
@@ -41,7 +43,9 @@
     let body = "b".repeat(200);
     let mut gateway = scene.gateway();
     for n in 0..keys {
-        let (status, _) = gateway.book(&format!("{n:016x}"), &format!("{n:032x}"), &body).expect("an answer");
+        let (status, _) = gateway
+            .book(&format!("{n:016x}"), &format!("{n:032x}"), &body)
+            .expect("an answer to the booking");
         assert_eq!(status, "200");
     }
     let mut waiting: Vec<Gateway> = Vec::new();
@@ -50,7 +54,7 @@
         if slot == 0 {
             waiting.push(scene.gateway());
         }
-        let gateway = waiting.last_mut().expect("one");
+        let gateway = waiting.last_mut().expect("the connection that was pushed for slot 0");
         let txn = format!("{:016x}", (1 << 40) + n);
         gateway.send(&attempt_records(slot as u16 + 1, "quote", &txn, &[], body.as_bytes()));
     }
@@ -77,12 +81,12 @@
         scene.signal("-TERM");
         thread::sleep(Duration::from_millis(300));
         is_over.store(true, Ordering::Relaxed);
-        client.join().expect("no panic")
+        client.join().expect("the client thread")
     });
     Handover { ready: ready.as_secs_f64() * 1e3, longest_wait: longest_wait.as_secs_f64() * 1e3 }
 }
 
-/// Median, least and most.
+/// The median of the samples, then the least and the greatest in parentheses.
 fn summary(mut samples: Vec<f64>) -> String {
     samples.sort_by(f64::total_cmp);
     format!("{:8.1} ({:.1}, {:.1})", samples[samples.len() / 2], samples[0], samples[samples.len() - 1])
@@ -91,10 +95,10 @@
 fn main() {
     println!("{}", json!({"rounds": ROUNDS, "body and result, bytes": 200}));
     println!(
-        "  keys  open   to yes, ms: median (least, most)   longest wait over the change, ms: median (least, most)"
+        "  keys  open   ready, ms: median (least, most)    longest wait at hand-over, ms: median (least, most)"
     );
     for (keys, open) in [(0, 0), (1_000, 0), (10_000, 0), (30_000, 0), (0, 32), (0, 320)] {
-        let handovers: Vec<Handover> = (0..ROUNDS).map(|_| replace(keys, open)).collect();
+        let handovers: Vec<Handover> = (0..ROUNDS).map(|_| measure_handover(keys, open)).collect();
         let ready = summary(handovers.iter().map(|handover| handover.ready).collect());
         let longest_wait = summary(handovers.iter().map(|handover| handover.longest_wait).collect());
         println!("{keys:6} {open:5}   {ready:32}   {longest_wait}");
