--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -63,7 +63,7 @@
 #[test]
 fn counters_match_what_clients_and_kernel_saw() {
     let scene = scene();
-    let early = scene.gateway().read(&txn(1)).expect("the node answers");
+    let early = scene.gateway().quote(&txn(1)).expect("the node answers");
     assert_eq!(early, "503");
     let mut kernel = scene.connect_kernel();
     scene.await_healthy();
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -453,7 +453,7 @@
             continue;
         };
         let txn = format!("{:016x}", (0xffu64 << 32) + u64::from(reads));
-        match connected.read(&txn) {
+        match connected.quote(&txn) {
             Ok(status) if status == "200" => reads += 1,
             // A node that has just started rejects requests until its kernel is connected.
             Ok(status) => assert_eq!(status, "503"),
