--- a/crates/fakes/src/kernel.rs
+++ b/crates/fakes/src/kernel.rs
@@ -1,4 +1,4 @@
-//! A kernel on real sockets, without cores: every run completes at once.
+//! Fake of the kernel on real sockets. It simulates no cores: every run completes at once.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -8,8 +8,9 @@
 use std::net::{TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A kernel that completes every run at once, for successive incarnations of a node. The result of a run is its body
-/// and the number of the run among all, so that no two results are equal.
+/// A kernel that completes every run at once and serves successive incarnations of a node. The result of a
+/// run consists of the body of its request and the number of the run among all runs of the kernel, so that no
+/// two results are equal.
 #[derive(Clone, Debug, Default)]
 pub struct AutoKernel {
     runs: Arc<Mutex<Vec<CompletedRun>>>,
@@ -22,29 +23,30 @@
     result: String,
 }
 
-/// What one incarnation of the node has at one address of the kernel, across its connections.
+/// State that the kernel keeps for one incarnation of the node at one address of the kernel, across all
+/// connections of that incarnation.
 #[derive(Debug, Default)]
 struct Incarnation {
-    /// Lines; the cursor of the first is 1.
+    /// Notices sent to this incarnation, each a line of JSON; the cursor of the first is 1.
     notices: Vec<String>,
-    /// Of the runs that were begun.
+    /// Handles of the runs that this incarnation has started.
     handles: BTreeSet<String>,
 }
 
 impl AutoKernel {
-    /// A kernel that never completes a run.
+    /// Creates a kernel that never completes a run: it ignores SCHED commands.
     pub fn never_completing() -> Self {
         AutoKernel { never_completes: true, ..AutoKernel::default() }
     }
 
-    /// Serves on this listener until the test ends.
+    /// Creates a kernel that serves on `listener` in background threads until the test process ends.
     pub fn serve(listener: &TcpListener) -> Self {
         let kernel = AutoKernel::default();
         kernel.serve_also(listener);
         kernel
     }
 
-    /// Serves on this listener as well: one kernel with several addresses.
+    /// Serves on a further listener, in background threads: one kernel can have several addresses.
     pub fn serve_also(&self, listener: &TcpListener) {
         let Ok(listener) = listener.try_clone() else { return };
         let kernel = self.clone();
@@ -71,7 +73,8 @@
             let reply = match command["event"].as_str() {
                 Some("OPEN") => incarnation.open(&command),
                 Some("SYSINFO") => gauges(&command),
-                Some("SCHED") if !self.never_completes => match self.run(&command, &mut incarnation) {
+                Some("SCHED") if !self.never_completes => match self.complete_run(&command, &mut incarnation)
+                {
                     Some(notice) => notice,
                     None => continue,
                 },
@@ -83,8 +86,9 @@
         }
     }
 
-    /// Completes the run that this command begins; nothing if it was begun before, as commands may be repeated.
-    fn run(&self, command: &Value, incarnation: &mut Incarnation) -> Option<String> {
+    /// Completes the run that `command` starts and returns the notice of its end. Returns `None` if this
+    /// incarnation has started the run before, because a node may repeat commands.
+    fn complete_run(&self, command: &Value, incarnation: &mut Incarnation) -> Option<String> {
         if !incarnation.handles.insert(command["handle"].to_string()) {
             return None;
         }
@@ -101,7 +105,7 @@
         Some(line)
     }
 
-    /// Results of the runs of this body, in order.
+    /// Results of all runs of requests with this body, in the order of the runs.
     pub fn results(&self, body: &str) -> Vec<String> {
         let runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         runs.iter().filter(|run| run.body == body).map(|run| run.result.clone()).collect()
@@ -109,8 +113,9 @@
 }
 
 impl Incarnation {
-    /// Replies to a new connection: that the kernel is up, and every notice after the cursor. A cursor of 0 is that of a
-    /// new incarnation, which starts without notices.
+    /// Returns the reply to the OPEN command of a new connection: a notice that the kernel is up, and every
+    /// notice after the cursor that the command states. A cursor of 0 is that of a new incarnation, which
+    /// starts without notices.
     fn open(&mut self, command: &Value) -> String {
         let cursor = command["cursor"].as_u64().unwrap_or(0) as usize;
         if cursor == 0 {
@@ -121,7 +126,7 @@
     }
 }
 
-/// Answers a question for gauges: those of a machine with little to do.
+/// Returns the reply to a SYSINFO command: the gauges of a machine with little load.
 fn gauges(command: &Value) -> String {
     json!({"event": "INFO", "ticket": command["ticket"], "figures": [0.1, 0.0, 0.1, 3.0]}).to_string() + "\n"
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,7 +1,7 @@
 //! Fakes of the systems around a node, written from public specifications, with injectable faults.
 //!
-//! They listen on loopback only, at ports that the system picks, and do what their test says. The product does not
-//! depend on them.
+//! The fakes listen on loopback only, at ports that the operating system assigns, and behave as their test
+//! instructs them. The node does not depend on this crate.
 #![forbid(unsafe_code)]
 
 pub mod kernel;
--- a/crates/fakes/src/postgres/client.rs
+++ b/crates/fakes/src/postgres/client.rs
@@ -1,6 +1,6 @@
-//! One client of the server: its login, its prepared statements and its transactions.
+//! The connection of one client to the fake server: login, prepared statements and transactions.
 
-use super::database::{Call, Database, Param, Shared};
+use super::database::{BoundStatement, Database, Param, Shared};
 use super::scram::ScramServer;
 use super::{Fault, MAX_MESSAGE_BYTES};
 use gaugestand_idempotency::postgres::sql;
@@ -13,9 +13,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// Protocol 3.0, as the startup message names it.
+/// Protocol version 3.0, as it is encoded in the startup message.
 const PROTOCOL_VERSION: [u8; 4] = [0, 3, 0, 0];
-/// Kinds of authentication requests.
+/// Codes of the authentication messages (tag `R`) that the server sends.
 const AUTHENTICATION_OK: [u8; 4] = [0, 0, 0, 0];
 const AUTHENTICATION_SASL_CONTINUE: [u8; 4] = [0, 0, 0, 11];
 const AUTHENTICATION_SASL_FINAL: [u8; 4] = [0, 0, 0, 12];
@@ -24,24 +24,27 @@
     id: u64,
     shared: Arc<Shared>,
     stream: TcpStream,
-    /// The run of the server, between restarts, in which it connected.
-    run: u64,
+    /// Value of [`Database::stops`] when the client connected. A later value means that the server was
+    /// stopped since.
+    stops: u64,
     /// Texts of the prepared statements, by name.
     prepared: HashMap<String, String>,
-    bound: Option<Call>,
-    /// Writes of the open transaction.
-    writes: Vec<Call>,
-    /// A statement has failed: messages are skipped up to Sync.
+    /// The statement of the latest Bind message, which Execute executes.
+    bound: Option<BoundStatement>,
+    /// Writes of the open transaction; they are applied at its commit.
+    writes: Vec<BoundStatement>,
+    /// Whether a statement of the open transaction has failed; messages are then skipped up to the next Sync.
     has_failed: bool,
+    /// Messages to the client that have not been written to the socket yet.
     output: Vec<u8>,
 }
 
-/// The error that ends the connection.
-fn broken<T>() -> io::Result<T> {
+/// Returns the I/O error with which the server ends the connection.
+fn connection_reset<T>() -> io::Result<T> {
     Err(io::ErrorKind::ConnectionReset.into())
 }
 
-/// The strings of a message, each with a zero at its end.
+/// Returns the strings of a message, each of which ends in a zero byte.
 fn strings(body: &[u8]) -> Vec<String> {
     let mut strings: Vec<String> =
         body.split(|byte| *byte == 0).map(|text| String::from_utf8_lossy(text).into_owned()).collect();
@@ -50,7 +53,7 @@
 }
 
 impl Client {
-    pub(super) fn new(shared: Arc<Shared>, stream: TcpStream, run: u64) -> Self {
+    pub(super) fn new(shared: Arc<Shared>, stream: TcpStream, stops: u64) -> Self {
         let mut database = shared.database();
         database.clients += 1;
         let id = database.clients;
@@ -59,7 +62,7 @@
             id,
             shared,
             stream,
-            run,
+            stops,
             prepared: HashMap::new(),
             bound: None,
             writes: Vec::new(),
@@ -68,7 +71,8 @@
         }
     }
 
-    /// Serves until the connection ends, and closes it whatever the reason.
+    /// Serves the client until the connection or the server ends, then releases the client's locks and closes
+    /// the connection.
     pub(super) fn run(mut self) {
         let _ = self.serve();
         self.unlock();
@@ -80,7 +84,7 @@
         self.stream.read_exact(&mut len)?;
         let startup = self.read_body(len)?;
         if startup.get(..4) != Some(&PROTOCOL_VERSION[..]) {
-            return broken();
+            return connection_reset();
         }
         self.log_in()?;
         self.send(b'S', b"server_version\x0015.0 (stand-in)\0");
@@ -104,7 +108,7 @@
         self.send(b'R', b"\x00\x00\x00\x0aSCRAM-SHA-256\0\0");
         self.flush()?;
         let (_, client_first) = self.read_message()?;
-        let Some(scram) = ScramServer::new(&client_first) else { return broken() };
+        let Some(scram) = ScramServer::new(&client_first) else { return connection_reset() };
         self.send(b'R', &[&AUTHENTICATION_SASL_CONTINUE, scram.server_first()].concat());
         self.flush()?;
         let (_, client_final) = self.read_message()?;
@@ -112,7 +116,7 @@
             self.shared.database().rejected_logins += 1;
             self.send_error("28P01", "password authentication failed");
             self.flush()?;
-            return broken();
+            return connection_reset();
         };
         self.shared.database().logins += 1;
         self.send(b'R', &[&AUTHENTICATION_SASL_FINAL, server_final.as_bytes()].concat());
@@ -121,9 +125,9 @@
     }
 }
 
-/// Messages.
+/// Reads and writes the messages of the protocol.
 impl Client {
-    /// Queues a message.
+    /// Adds a message to the output; [`Client::flush`] writes it to the socket.
     fn send(&mut self, tag: u8, body: &[u8]) {
         self.output.push(tag);
         self.output.extend((body.len() as u32 + 4).to_be_bytes());
@@ -171,7 +175,7 @@
     fn read_body(&mut self, len: [u8; 4]) -> io::Result<Vec<u8>> {
         let len = (u32::from_be_bytes(len) as usize).saturating_sub(4);
         if len > MAX_MESSAGE_BYTES {
-            return broken();
+            return connection_reset();
         }
         let mut body = vec![0; len];
         self.stream.read_exact(&mut body)?;
@@ -179,7 +183,7 @@
     }
 }
 
-/// Statements.
+/// Executes the client's statements.
 impl Client {
     fn query(&mut self, body: &[u8]) -> io::Result<()> {
         let database = self.shared.database();
@@ -211,7 +215,7 @@
 
     fn parse(&mut self, body: &[u8]) -> io::Result<()> {
         let strings = strings(body);
-        let [name, query, ..] = &strings[..] else { return broken() };
+        let [name, query, ..] = &strings[..] else { return connection_reset() };
         self.prepared.insert(name.clone(), query.clone());
         self.send(b'1', &[]);
         Ok(())
@@ -227,56 +231,56 @@
         }
         let count = reader.int2()?;
         let params = (0..count).map(|_| reader.param()).collect::<io::Result<_>>()?;
-        let Some(query) = self.prepared.get(&statement).cloned() else { return broken() };
-        self.bound = Some(Call { query, params });
+        let Some(query) = self.prepared.get(&statement).cloned() else { return connection_reset() };
+        self.bound = Some(BoundStatement { query, params });
         self.send(b'2', &[]);
         Ok(())
     }
 
     fn execute(&mut self) -> io::Result<()> {
-        let Some(call) = self.bound.clone() else { return broken() };
+        let Some(statement) = self.bound.clone() else { return connection_reset() };
         let shared = self.shared.clone();
         let mut database = shared.database();
-        if database.run != self.run {
-            return broken();
+        if database.stops != self.stops {
+            return connection_reset();
         }
-        match call.query.as_str() {
+        match statement.query.as_str() {
             sql::TAKE_NAME => {
-                database = self.lock(database, &call.text(0))?;
-                let epoch = database.epochs.entry(call.text(0)).or_insert(0);
+                database = self.lock(database, &statement.text(0))?;
+                let epoch = database.epochs.entry(statement.text(0)).or_insert(0);
                 *epoch += 1;
                 self.send_row(&[Some(epoch.to_be_bytes().to_vec())]);
                 self.send(b'C', b"INSERT 0 1\0");
             }
-            sql::LOAD_PAGE => self.load_page(&database, &call),
+            sql::LOAD_PAGE => self.load_page(&database, &statement),
             sql::LOOKUP => {
-                let key = (call.text(0), call.text(1));
+                let key = (statement.text(0), statement.text(1));
                 if let Some(row) = database.rows.get(&key) {
                     self.send_row(&row.columns(&key.1));
                 }
                 self.send(b'C', b"SELECT 1\0");
             }
             sql::FENCE => {
-                database = self.lock(database, &call.text(0))?;
-                if database.epochs.get(&call.text(0)) != Some(&call.int(1)) {
+                database = self.lock(database, &statement.text(0))?;
+                if database.epochs.get(&statement.text(0)) != Some(&statement.int(1)) {
                     self.fail("22012", "division by zero");
                     return Ok(());
                 }
-                database.locks.insert(call.text(0), self.id);
-                self.writes.push(call);
+                database.locks.insert(statement.text(0), self.id);
+                self.writes.push(statement);
                 self.send(b'C', b"UPDATE 1\0");
             }
-            sql::PUT => self.write(call, b"INSERT 0 1\0"),
-            sql::REMOVE | sql::PRUNE => self.write(call, b"DELETE 1\0"),
+            sql::PUT => self.write(statement, b"INSERT 0 1\0"),
+            sql::REMOVE | sql::PRUNE => self.write(statement, b"DELETE 1\0"),
             _ => self.fail("42601", "syntax error"),
         }
         Ok(())
     }
 
-    fn load_page(&mut self, database: &Database, call: &Call) {
-        let node = call.text(0);
-        let last_key = call.text(1);
-        let max_rows = call.int(2) as usize;
+    fn load_page(&mut self, database: &Database, statement: &BoundStatement) {
+        let node = statement.text(0);
+        let last_key = statement.text(1);
+        let max_rows = statement.int(2) as usize;
         let from = (Excluded((node.clone(), last_key)), Unbounded);
         let rows = database.rows.range(from).take_while(|((owner, _), _)| *owner == node).take(max_rows);
         let mut count = 0;
@@ -287,40 +291,42 @@
         self.send(b'C', format!("SELECT {count}\0").as_bytes());
     }
 
-    /// Adds a write to the transaction.
-    fn write(&mut self, call: Call, tag: &[u8]) {
-        self.writes.push(call);
+    /// Adds a write to the open transaction and reports the command tag `tag` to the client.
+    fn write(&mut self, statement: BoundStatement, tag: &[u8]) {
+        self.writes.push(statement);
         self.send(b'C', tag);
     }
 
-    /// Fails the transaction.
+    /// Reports an error to the client and fails the open transaction.
     fn fail(&mut self, code: &str, text: &str) {
         self.send_error(code, text);
         self.has_failed = true;
     }
 }
 
-/// Transactions.
+/// Locks and ends transactions.
 impl Client {
-    /// Waits until no other transaction has the row of this node locked, as an update of it would.
+    /// Waits until no other client's transaction holds the lock on the node's epoch row, as an UPDATE of the
+    /// row does in PostgreSQL.
     fn lock<'a>(
         &self,
         mut database: MutexGuard<'a, Database>,
         node: &str,
     ) -> io::Result<MutexGuard<'a, Database>> {
-        while database.run == self.run && database.locks.get(node).is_some_and(|id| *id != self.id) {
+        while database.stops == self.stops && database.locks.get(node).is_some_and(|id| *id != self.id) {
             database = self.shared.wait(database);
         }
-        if database.run == self.run { Ok(database) } else { broken() }
+        if database.stops == self.stops { Ok(database) } else { connection_reset() }
     }
 
-    /// Releases the transaction's locks: it has ended.
+    /// Releases the locks of the client's transaction, which has ended.
     fn unlock(&self) {
         self.shared.database().locks.retain(|_, id| *id != self.id);
         self.shared.changed.notify_all();
     }
 
-    /// Ends the transaction: all of it or nothing.
+    /// Ends the open transaction at a Sync message: commits all of its writes, or none if a statement has
+    /// failed.
     fn sync(&mut self) -> io::Result<()> {
         let writes = mem::take(&mut self.writes);
         let has_failed = mem::take(&mut self.has_failed);
@@ -330,18 +336,19 @@
         self.send_ready()
     }
 
-    fn commit(&mut self, writes: &[Call]) -> io::Result<()> {
+    /// Commits the writes of the open transaction, with the fault that was injected for it.
+    fn commit(&mut self, writes: &[BoundStatement]) -> io::Result<()> {
         let shared = self.shared.clone();
         let mut database = shared.database();
-        let failing = database.failing.map(Fault::Error);
-        let fault = failing.or_else(|| database.faults.pop_front()).unwrap_or(Fault::None);
+        let forced_error = database.forced_error.map(Fault::Error);
+        let fault = forced_error.or_else(|| database.faults.pop_front()).unwrap_or(Fault::None);
         match fault {
             Fault::StallBefore => database = self.stall(database)?,
-            Fault::BreakBefore => return broken(),
+            Fault::BreakBefore => return connection_reset(),
             Fault::Error(code) => {
                 drop(database);
                 self.output.clear();
-                self.send_error(code, "as the script says");
+                self.send_error(code, "injected error");
                 return Ok(());
             }
             Fault::None | Fault::StallAfter | Fault::BreakAfter | Fault::Garbage => {}
@@ -357,32 +364,33 @@
         shared.changed.notify_all();
         match fault {
             Fault::StallAfter => drop(self.stall(database)?),
-            Fault::BreakAfter => return broken(),
+            Fault::BreakAfter => return connection_reset(),
             Fault::Garbage => {
                 drop(database);
                 self.output = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
                 self.flush()?;
-                return broken();
+                return connection_reset();
             }
             Fault::None | Fault::StallBefore | Fault::BreakBefore | Fault::Error(_) => {}
         }
         Ok(())
     }
 
-    /// Stalls until it is released; a restart meanwhile loses what is not committed.
+    /// Stalls the transaction until the test releases it. If the server is stopped meanwhile, returns an
+    /// error, and a transaction that is not committed is lost.
     fn stall<'a>(&self, mut database: MutexGuard<'a, Database>) -> io::Result<MutexGuard<'a, Database>> {
         let released = database.released;
         database.stalled += 1;
         self.shared.changed.notify_all();
-        while database.released == released && database.run == self.run {
+        while database.released == released && database.stops == self.stops {
             database = self.shared.wait(database);
         }
         database.stalled -= 1;
-        if database.run == self.run { Ok(database) } else { broken() }
+        if database.stops == self.stops { Ok(database) } else { connection_reset() }
     }
 }
 
-/// Reads the parts of a Bind message.
+/// Reads the fields of a Bind message.
 struct Reader<'a> {
     rest: &'a [u8],
 }
@@ -394,9 +402,9 @@
         Ok(head)
     }
 
-    /// A string with a zero at its end.
+    /// Reads a string that ends in a zero byte.
     fn string(&mut self) -> io::Result<String> {
-        let Some(len) = self.rest.iter().position(|byte| *byte == 0) else { return broken() };
+        let Some(len) = self.rest.iter().position(|byte| *byte == 0) else { return connection_reset() };
         let text = String::from_utf8_lossy(&self.rest[..len]).into_owned();
         self.rest = &self.rest[len + 1..];
         Ok(text)
@@ -407,7 +415,7 @@
         Ok(u16::from_be_bytes(bytes))
     }
 
-    /// A parameter after its length; a negative one stands for NULL.
+    /// Reads the length of a parameter, then the parameter; a negative length stands for NULL.
     fn param(&mut self) -> io::Result<Param> {
         let bytes = self.take(4)?.try_into().map_err(io::Error::other)?;
         match usize::try_from(i32::from_be_bytes(bytes)) {
--- a/crates/fakes/src/postgres/database.rs
+++ b/crates/fakes/src/postgres/database.rs
@@ -1,4 +1,4 @@
-//! What the server stores, and the faults of its next transactions.
+//! The data of the fake server, the faults of its next transactions, and its counters.
 
 use super::Fault;
 use gaugestand_idempotency::postgres::sql;
@@ -7,33 +7,34 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A parameter of a statement, in binary form; nothing for NULL.
+/// A parameter of a statement or a column of a row, in binary form; `None` for NULL.
 pub(super) type Param = Option<Vec<u8>>;
 
-/// State of a row whose run has begun and has no result yet.
+/// Value of the state column of an intent: the run has started and has no result yet.
 const INTENT: i16 = 0;
 
-/// A row of the table of keys, in the order of its columns after node and key.
+/// A row of the table of idempotency keys, without the columns node and key. The fields are in the order of
+/// the columns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRow {
-    /// The attempt that runs it: 16 bytes.
+    /// Id of the attempt whose run holds the key, 16 bytes.
     pub holder: Vec<u8>,
-    /// Fingerprint of the body: 16 bytes (column `print`).
+    /// Fingerprint of the request body, 16 bytes (column `print`).
     pub fingerprint: Vec<u8>,
-    /// Ingress of that attempt, in microseconds of Unix time (column `ran`).
+    /// Ingress time of the holder, in microseconds of Unix time (column `ran`).
     pub ingress: i64,
-    /// End of its window, in microseconds of Unix time (column `until`).
+    /// End of the key's deduplication window, in microseconds of Unix time (column `until`).
     pub expires: i64,
-    /// Order among writes (column `stamp`).
+    /// Sequence number of the write of this row: a later write has a higher number (column `stamp`).
     pub sequence: i64,
-    /// 0 intent, 1 completed, 2 failed.
+    /// State of the run: 0 is an intent, 1 completed, 2 failed.
     pub state: i16,
-    /// Of a completed one.
+    /// Result of the run, if the run has completed.
     pub result: Option<Vec<u8>>,
 }
 
 impl StoredRow {
-    /// From the parameters of a put.
+    /// Reads a row from the parameters of a PUT statement.
     fn from_params(params: &[Param]) -> Self {
         let bytes = |index: usize| param(params, index).clone().unwrap_or_default();
         StoredRow {
@@ -47,11 +48,13 @@
         }
     }
 
+    /// Whether this row replaces `old` in a PUT: its sequence number is higher, or it is equal and `old` is
+    /// an intent.
     fn replaces(&self, old: &StoredRow) -> bool {
         self.sequence > old.sequence || self.sequence == old.sequence && old.state == INTENT
     }
 
-    /// The columns of a select, with the key before them.
+    /// Columns that a SELECT returns for this row: the key, then the fields of the row.
     pub(super) fn columns(&self, key: &str) -> Vec<Param> {
         vec![
             Some(key.as_bytes().to_vec()),
@@ -66,14 +69,14 @@
     }
 }
 
-/// A prepared statement with its bound parameters.
+/// A prepared statement with the parameters bound to it.
 #[derive(Clone)]
-pub(super) struct Call {
+pub(super) struct BoundStatement {
     pub(super) query: String,
     pub(super) params: Vec<Param>,
 }
 
-impl Call {
+impl BoundStatement {
     pub(super) fn param(&self, index: usize) -> &Param {
         param(&self.params, index)
     }
@@ -101,55 +104,57 @@
 
 #[derive(Default)]
 pub(super) struct Database {
-    /// The tables were created.
+    /// Whether the tables exist.
     pub(super) has_tables: bool,
-    /// What the schema table reports as its version.
+    /// Version that the schema table reports.
     pub(super) version: i32,
-    /// By node.
+    /// Epoch of each node, by node name.
     pub(super) epochs: BTreeMap<String, i64>,
-    /// By node and key.
+    /// Rows of the table of idempotency keys, by node name and key.
     pub(super) rows: BTreeMap<(String, String), StoredRow>,
-    /// Faults of the next transactions that write, one each.
+    /// Faults of the next transactions that write, one for each transaction.
     pub(super) faults: VecDeque<Fault>,
-    /// Every transaction that writes fails with this code while it is set.
-    pub(super) failing: Option<&'static str>,
-    /// Replies go out a byte at a time.
+    /// SQLSTATE code with which every transaction that writes fails; `None` if they do not fail.
+    pub(super) forced_error: Option<&'static str>,
+    /// Whether replies are written to the socket one byte at a time.
     pub(super) sends_single_bytes: bool,
     /// How long a commit takes.
     pub(super) commit_time: Duration,
     /// Number of transactions that wrote and were committed.
     pub(super) commits: u64,
-    /// Number of releases.
+    /// Number of times that the test has released stalled transactions.
     pub(super) released: u64,
-    /// Number of transactions that stall now.
+    /// Number of transactions that are stalled at the moment.
     pub(super) stalled: u64,
-    /// The client whose transaction has the row of a node locked, by node.
+    /// Id of the client whose transaction holds the lock on a node's epoch row, by node name.
     pub(super) locks: HashMap<String, u64>,
-    /// Number of clients so far.
+    /// Number of clients that have connected so far; the latest client has it as its id.
     pub(super) clients: u64,
+    /// Handles of the open connections, with which a stop of the server closes them.
     pub(super) connections: Vec<TcpStream>,
-    /// Number of restarts: connections of an earlier run are closed.
-    pub(super) run: u64,
+    /// Number of times that the server was stopped; clients that connected before the latest stop are
+    /// disconnected.
+    pub(super) stops: u64,
     pub(super) logins: u64,
     pub(super) rejected_logins: u64,
 }
 
 impl Database {
-    /// Executes a write of a transaction that commits.
-    pub(super) fn apply(&mut self, call: &Call) {
-        let key = (call.text(0), call.text(1));
-        match call.query.as_str() {
+    /// Executes one write of a transaction that commits.
+    pub(super) fn apply(&mut self, statement: &BoundStatement) {
+        let key = (statement.text(0), statement.text(1));
+        match statement.query.as_str() {
             sql::PUT => {
-                let row = StoredRow::from_params(&call.params);
+                let row = StoredRow::from_params(&statement.params);
                 if self.rows.get(&key).is_none_or(|old| row.replaces(old)) {
                     self.rows.insert(key, row);
                 }
             }
-            sql::REMOVE if self.rows.get(&key).is_some_and(|old| old.sequence <= call.int(2)) => {
+            sql::REMOVE if self.rows.get(&key).is_some_and(|old| old.sequence <= statement.int(2)) => {
                 self.rows.remove(&key);
             }
             sql::PRUNE => {
-                let now = call.int(1);
+                let now = statement.int(1);
                 self.rows.retain(|(node, _), row| *node != key.0 || row.expires > now);
             }
             _ => {}
@@ -157,10 +162,10 @@
     }
 }
 
-/// What all threads of the server share.
+/// State that all threads of the server share.
 pub(super) struct Shared {
     pub(super) database: Mutex<Database>,
-    /// Notified when anything in the database may have changed.
+    /// Notified whenever the database may have changed.
     pub(super) changed: Condvar,
     pub(super) password: Vec<u8>,
 }
@@ -170,7 +175,7 @@
         self.database.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a change.
+    /// Waits until the database may have changed; releases the lock on the database meanwhile.
     pub(super) fn wait<'a>(&self, database: MutexGuard<'a, Database>) -> MutexGuard<'a, Database> {
         self.changed.wait(database).unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/fakes/src/postgres/mod.rs
+++ b/crates/fakes/src/postgres/mod.rs
@@ -1,8 +1,10 @@
-//! A PostgreSQL server as far as the idempotency store needs one: protocol 3.0 with SCRAM-SHA-256 (RFC 5802, 7677),
-//! prepared statements and one transaction up to each Sync. It knows the store's own statements by their text.
+//! Fake of a PostgreSQL server, as far as the idempotency store needs one: protocol 3.0 with SCRAM-SHA-256
+//! (RFC 5802, 7677), prepared statements, and one transaction up to each Sync message. The server recognises
+//! the store's statements by their exact text and rejects all others.
 //!
-//! It keeps what it has acknowledged, also across its own restarts; what it has not acknowledged is kept or lost, as the
-//! injected faults say. A stall ends when the test releases it, not after a time; only a bench makes commits take time.
+//! The server keeps every write that it has acknowledged, also across its own restarts. A write that it has
+//! not acknowledged is kept or lost, depending on the injected fault. A stall lasts until the test releases
+//! it, not for a fixed time; only benches make commits take time.
 
 mod client;
 mod database;
@@ -19,31 +21,31 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longest message of a client, in bytes.
+/// Longest message that the server accepts from a client, in bytes.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// How often a restarted server tries to get its port back, a millisecond apart.
+/// Number of times that a restarted server tries to bind its port again, one millisecond apart.
 const REBIND_ATTEMPTS: usize = 1_000;
 
-/// What goes wrong with a transaction that writes.
+/// Fault of a transaction that writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// The transaction commits without a fault.
     None,
-    /// It stalls before the commit, until [`Postgres::release`].
+    /// The transaction stalls before its commit, until [`Postgres::release`].
     StallBefore,
-    /// It commits and acknowledges that only after [`Postgres::release`].
+    /// The transaction commits, and the server acknowledges the commit only after [`Postgres::release`].
     StallAfter,
-    /// The connection breaks before the commit.
+    /// The connection is closed before the commit: the transaction is lost.
     BreakBefore,
-    /// It commits, and the connection breaks before the reply.
+    /// The transaction commits, and the connection is closed before the reply.
     BreakAfter,
-    /// It fails with this code.
+    /// The transaction fails with this SQLSTATE code.
     Error(&'static str),
-    /// It commits, and the reply is garbage.
+    /// The transaction commits, the reply is no message of the protocol, and the connection is closed.
     Garbage,
 }
 
-/// The server.
+/// The fake server. Dropping it stops the server.
 pub struct Postgres {
     shared: Arc<Shared>,
     address: SocketAddr,
@@ -51,7 +53,7 @@
 }
 
 impl Postgres {
-    /// A server with no tables yet, which asks everybody for this password.
+    /// Starts a server without tables on a loopback port. Every client has to authenticate with `password`.
     ///
     /// # Errors
     /// The system has no loopback port to listen on.
@@ -69,11 +71,11 @@
     fn serve(&mut self, listener: TcpListener) -> io::Result<()> {
         self.listener = Some(listener.try_clone()?);
         let shared = self.shared.clone();
-        let run = shared.database().run;
+        let stops = shared.database().stops;
         thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
                 let mut database = shared.database();
-                if database.run != run {
+                if database.stops != stops {
                     return;
                 }
                 let _ = stream.set_nodelay(true);
@@ -82,21 +84,21 @@
                 }
                 drop(database);
                 let shared = shared.clone();
-                thread::spawn(move || Client::new(shared, stream, run).run());
+                thread::spawn(move || Client::new(shared, stream, stops).run());
             }
         });
         Ok(())
     }
 
-    /// Where it listens, also after a restart.
+    /// Address at which the server listens; it stays the same after a restart.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes all connections and the listener; what was not committed is lost.
+    /// Closes all connections and the listener; transactions that were not committed are lost.
     pub fn stop(&mut self) {
         let mut database = self.shared.database();
-        database.run += 1;
+        database.stops += 1;
         for connection in database.connections.drain(..) {
             let _ = connection.shutdown(Shutdown::Both);
         }
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Listens again at the same address, with all that it has acknowledged.
+    /// Listens again at the same address, with all writes that the server has acknowledged.
     ///
     /// # Errors
     /// [`io::ErrorKind::AddrInUse`] if the port cannot be bound again after several attempts; the server
@@ -125,27 +127,27 @@
         self.serve(listener.ok_or(io::ErrorKind::AddrInUse)?)
     }
 
-    /// Injects faults into the next transactions that write, one each.
+    /// Injects `faults` into the next transactions that write, one fault for each transaction.
     pub fn inject_faults(&self, faults: &[Fault]) {
         self.shared.database().faults.extend(faults);
     }
 
-    /// Fails all transactions that write with this code, until it is set to `None`.
+    /// Makes all transactions that write fail with this SQLSTATE code, until the code is set to `None`.
     pub fn fail_writes_with(&self, code: Option<&'static str>) {
-        self.shared.database().failing = code;
+        self.shared.database().forced_error = code;
     }
 
-    /// Replies go out in pieces of one byte.
+    /// Sets whether the server writes its replies to the socket one byte at a time.
     pub fn send_single_bytes(&self, on: bool) {
         self.shared.database().sends_single_bytes = on;
     }
 
-    /// Sets how long each commit takes, as on a disk.
+    /// Sets how long each commit takes, to simulate the latency of a disk.
     pub fn set_commit_time(&self, time: Duration) {
         self.shared.database().commit_time = time;
     }
 
-    /// Sets the version that the schema table reports.
+    /// Creates the tables if there are none, and sets the version that the schema table reports.
     pub fn set_version(&self, version: i32) {
         let mut database = self.shared.database();
         database.version = version;
@@ -160,13 +162,14 @@
         }
     }
 
-    /// Ends the present stalls.
+    /// Ends all stalls of the moment; later transactions may stall again.
     pub fn release(&self) {
         self.shared.database().released += 1;
         self.shared.changed.notify_all();
     }
 
-    /// Waits until the row of a key fulfils a condition.
+    /// Waits until `holds` returns true for the row of a node's key; `holds` gets `None` while there is no
+    /// row.
     pub fn await_row(&self, node: &str, key: &str, holds: impl Fn(Option<&StoredRow>) -> bool) {
         let key = (node.to_string(), key.to_string());
         let mut database = self.shared.database();
@@ -175,22 +178,22 @@
         }
     }
 
-    /// The row of a key.
+    /// Row of a node's key, if there is one.
     pub fn row(&self, node: &str, key: &str) -> Option<StoredRow> {
         self.shared.database().rows.get(&(node.to_string(), key.to_string())).cloned()
     }
 
-    /// Number of rows.
+    /// Number of rows of all nodes.
     pub fn rows(&self) -> usize {
         self.shared.database().rows.len()
     }
 
-    /// Transactions that wrote and were committed.
+    /// Number of transactions that wrote and were committed.
     pub fn commits(&self) -> u64 {
         self.shared.database().commits
     }
 
-    /// Number of logins that were accepted, and that were rejected.
+    /// Number of logins that were accepted, and number of those that were rejected.
     pub fn logins(&self) -> (u64, u64) {
         let database = self.shared.database();
         (database.logins, database.rejected_logins)
--- a/crates/fakes/src/postgres/scram.rs
+++ b/crates/fakes/src/postgres/scram.rs
@@ -6,18 +6,18 @@
 use sha2::{Digest, Sha256};
 use std::io;
 
-/// The least that RFC 7677 recommends.
+/// Number of PBKDF2 iterations: the minimum that RFC 7677 recommends.
 const ITERATIONS: u32 = 4096;
 const SALT: &[u8] = b"gaugestand-salt!";
 
-/// An exchange after the client's first message.
+/// State of one authentication exchange, from the client's first message on.
 pub(super) struct ScramServer {
     client_first_bare: Vec<u8>,
     server_first: String,
 }
 
 impl ScramServer {
-    /// Reads the client's first message; `None` if it is malformed.
+    /// Reads the client's first message; returns `None` if it is malformed.
     pub(super) fn new(client_first: &[u8]) -> Option<Self> {
         let client_first_bare = after(client_first, b"n,,")?.to_vec();
         let client_nonce = after(&client_first_bare, b",r=").unwrap_or_default();
@@ -26,12 +26,13 @@
         Some(ScramServer { client_first_bare, server_first })
     }
 
-    /// The server's first message.
+    /// The server's first message: the combined nonce, the salt and the number of iterations.
     pub(super) fn server_first(&self) -> &[u8] {
         self.server_first.as_bytes()
     }
 
-    /// The server's final message, if the client's proves that it knows the password.
+    /// Returns the server's final message, or `None` if the client's final message does not prove that the
+    /// client knows the password.
     pub(super) fn server_final(&self, password: &[u8], client_final: &[u8]) -> io::Result<Option<String>> {
         let at = find(client_final, b",p=").unwrap_or(client_final.len());
         let without_proof = &client_final[..at];
@@ -56,7 +57,7 @@
     bytes.windows(pattern.len()).position(|window| window == pattern)
 }
 
-/// What follows the first occurrence of a pattern.
+/// Returns the bytes after the first occurrence of `pattern`.
 fn after<'a>(bytes: &'a [u8], pattern: &[u8; 3]) -> Option<&'a [u8]> {
     find(bytes, pattern).map(|at| &bytes[at + pattern.len()..])
 }
--- a/crates/fakes/src/relay.rs
+++ b/crates/fakes/src/relay.rs
@@ -1,5 +1,5 @@
-//! A TCP relay between two nodes on loopback which injects network faults: partitions in one direction or both, delay,
-//! and connections that close in the middle of a message.
+//! A TCP relay between two nodes on loopback, which injects network faults: partitions in one direction or
+//! both directions, delays, and connections that close in the middle of a message.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,38 +8,40 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest time after which a change of the faults takes effect on a connection without traffic.
+/// Longest time until a change of the faults takes effect on a connection without traffic.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Most bytes that are read at once.
+/// Most bytes that the relay reads from a socket at once.
 const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
-/// How bytes are delivered in one direction.
+/// How the relay delivers the bytes that arrive in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Delivery {
-    /// At once.
+    /// The bytes are delivered at once.
     #[default]
     Immediate,
-    /// After this time.
+    /// The bytes are delivered this long after they arrived at the relay.
     Delayed(Duration),
-    /// Not until it is set to another delivery, then in order: a partition that the connection survives.
+    /// The bytes are withheld until another delivery is set, and then delivered in order: a partition that
+    /// the connection survives.
     Withheld,
-    /// Never: the connection ends when there are bytes to deliver, which are lost.
+    /// The bytes are lost: the relay closes the connection as soon as bytes arrive.
     Dropped,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Faults {
-    /// From the connecting side to the accepting one, and back.
+    /// Delivery from the connecting side to the accepting side (index 0), and back (index 1).
     deliveries: [Delivery; 2],
-    /// New connections are closed at once.
+    /// Whether the relay closes new connections at once.
     refuses_connections: bool,
-    /// Number of times that all connections were closed.
+    /// Number of times that all connections were closed; a connection is closed when this number changes.
     closures: u64,
-    /// The next connection that carries bytes closes after so many of them.
+    /// If set, the next connection on which bytes arrive is closed after this many of them, at most, were
+    /// delivered.
     close_after: Option<usize>,
 }
 
-/// A relay to one address. It stops when it is dropped.
+/// A relay to one target address. Dropping it closes its connections and its listener.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -48,8 +50,9 @@
 }
 
 impl Relay {
-    /// Relays connections to `target`, which may change, as a node that restarts has another address; closes them while
-    /// there is none.
+    /// Starts a relay that accepts connections on a loopback port and relays them to the address in `target`.
+    /// That address may change, because a node that restarts listens at another one. While it is `None`, new
+    /// connections are closed.
     ///
     /// # Errors
     /// The system has no loopback port to listen on.
@@ -76,38 +79,40 @@
         Ok(relay)
     }
 
-    /// Where to connect to.
+    /// Address at which the relay accepts connections.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    fn change(&self, change: impl FnOnce(&mut Faults)) {
+    fn update_faults(&self, update: impl FnOnce(&mut Faults)) {
         if let Ok(mut faults) = self.faults.lock() {
-            change(&mut faults);
+            update(&mut faults);
         }
     }
 
-    /// Sets the delivery from the connecting side to the accepting one, and back.
+    /// Sets the delivery from the connecting side to the accepting side (`forward`), and back (`backward`),
+    /// for all connections.
     pub fn set_delivery(&self, forward: Delivery, backward: Delivery) {
-        self.change(|faults| faults.deliveries = [forward, backward]);
+        self.update_faults(|faults| faults.deliveries = [forward, backward]);
     }
 
-    /// Closes all connections, and new ones at once if `refuse_connections`.
+    /// Closes all connections. If `refuse_connections` is true, new ones are closed at once as well, until
+    /// [`Relay::heal`] or the next call of this method.
     pub fn close_connections(&self, refuse_connections: bool) {
-        self.change(|faults| {
+        self.update_faults(|faults| {
             faults.closures += 1;
             faults.refuses_connections = refuse_connections;
         });
     }
 
-    /// Closes the connection that next carries bytes, after so many of them.
+    /// Closes the connection on which bytes arrive next, after at most `bytes` of them were delivered.
     pub fn close_after(&self, bytes: usize) {
-        self.change(|faults| faults.close_after = Some(bytes));
+        self.update_faults(|faults| faults.close_after = Some(bytes));
     }
 
-    /// Undoes all faults; closed connections stay closed.
+    /// Ends all faults; connections that were closed stay closed.
     pub fn heal(&self) {
-        self.change(|faults| *faults = Faults { closures: faults.closures, ..Faults::default() });
+        self.update_faults(|faults| *faults = Faults { closures: faults.closures, ..Faults::default() });
     }
 }
 
@@ -140,7 +145,8 @@
     }
 }
 
-/// Delivers bytes in one direction until either side or a fault ends the connection.
+/// Delivers bytes in one direction until either side or a fault ends the connection. `direction` is the index
+/// into [`Faults::deliveries`].
 fn relay_direction(
     direction: usize,
     mut from: &TcpStream,
@@ -151,7 +157,7 @@
     let closures_at_start = faults.lock().map_or(0, |faults| faults.closures);
     let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let _ = to.set_nodelay(true);
-    let mut waiting: Vec<(Instant, Vec<u8>)> = Vec::new();
+    let mut undelivered: Vec<(Instant, Vec<u8>)> = Vec::new();
     let mut chunk = vec![0; MAX_CHUNK_BYTES];
     while !is_stopped.load(Ordering::Relaxed) {
         let Ok(faults_now) = faults.lock().map(|faults| *faults) else { return };
@@ -170,7 +176,7 @@
                     let _ = to.write_all(&chunk[..max_bytes.min(len)]);
                     return;
                 }
-                _ => waiting.push((Instant::now(), chunk[..len].to_vec())),
+                _ => undelivered.push((Instant::now(), chunk[..len].to_vec())),
             },
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(_) => return,
@@ -180,8 +186,8 @@
             Delivery::Delayed(delay) => received_at.elapsed() >= delay,
             Delivery::Withheld | Delivery::Dropped => false,
         };
-        let ready = waiting.iter().take_while(|(received_at, _)| is_due(*received_at)).count();
-        for (_, bytes) in waiting.drain(..ready) {
+        let ready = undelivered.iter().take_while(|(received_at, _)| is_due(*received_at)).count();
+        for (_, bytes) in undelivered.drain(..ready) {
             if to.write_all(&bytes).is_err() {
                 return;
             }
