--- a/crates/simulation/src/fakes/gateway.rs
+++ b/crates/simulation/src/fakes/gateway.rs
@@ -1,28 +1,28 @@
-//! A gateway on a real socket: one connection, one request at a time. It sends no more than the node needs, and knows no
-//! retries: what a node answers is what a test sees.
+//! Fake of a gateway on a real socket: one connection with one request at a time. It sends only the fields
+//! that the node needs and never retries, so that a test sees every answer of the node.
 
 use super::fastcgi::{self, Answer, Reader};
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// What an attempt was answered.
+/// The answer to an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// It ran, with this result.
+    /// The attempt ran, or its key had run before; this is the result.
     Served(Vec<u8>),
-    /// It never ran; another node may take it.
+    /// The attempt never ran; another node may run a retry.
     Rejected,
-    /// It never ran, and no node takes it.
+    /// The attempt never ran, and the node asked the gateway not to retry it at another node.
     Blocked,
-    /// It failed, with this status.
+    /// The attempt failed with this HTTP status.
     Failed(u16),
 }
 
-/// Bytes that are read at a time: more than an answer has.
+/// Most bytes read from the socket at once; an answer is shorter.
 const READ_BYTES: usize = 8 * 1024;
 
-/// A connection to a node.
+/// A connection from a gateway to a node.
 #[derive(Debug)]
 pub struct Gateway {
     stream: TcpStream,
@@ -30,10 +30,10 @@
 }
 
 impl Gateway {
-    /// Connects. An answer that takes longer than `timeout` is an error.
+    /// Connects to the node at `to`. An answer that takes longer than `timeout` is an error.
     ///
     /// # Errors
-    /// Nothing listens at the address, or the system refuses a socket option.
+    /// The connection to the address fails, or the system rejects a socket option.
     pub fn connect(to: &str, timeout: Duration) -> io::Result<Self> {
         let stream = TcpStream::connect(to)?;
         stream.set_read_timeout(Some(timeout))?;
@@ -41,7 +41,7 @@
         Ok(Gateway { stream, reader: Reader::default() })
     }
 
-    /// A read without a subject.
+    /// Sends a read (class `quote`) without a resource key and waits for its answer. `txn` is the request id.
     ///
     /// # Errors
     /// No answer came within the timeout, the node closed the connection, or its answer cannot be read. A
@@ -50,19 +50,19 @@
         self.exchange(txn, "quote", ("HTTP_X_SHED_ORDER", "0.5".into()), b"q")
     }
 
-    /// A read about a subject.
+    /// Sends a read (class `quote`) with the resource key `resource` and waits for its answer.
     ///
     /// # Errors
-    /// As for [`Gateway::read`].
-    pub fn read_about(&mut self, txn: u64, subject: u64) -> io::Result<Reply> {
-        self.exchange(txn, "quote", ("HTTP_X_ROW", format!("{subject:016x}")), b"q")
+    /// The errors of [`Gateway::read`].
+    pub fn read_about(&mut self, txn: u64, resource: u64) -> io::Result<Reply> {
+        self.exchange(txn, "quote", ("HTTP_X_ROW", format!("{resource:016x}")), b"q")
     }
 
-    /// An attempt of a keyed request.
+    /// Sends an attempt of a request of class `booking` with an idempotency key and waits for its answer.
     ///
     /// # Errors
-    /// As for [`Gateway::read`]; it is unknown whether the request ran, and only a retry with the same key is
-    /// safe.
+    /// The errors of [`Gateway::read`]. After an error it is unknown whether the request ran, and only a
+    /// retry with the same key is safe.
     pub fn book(&mut self, txn: u64, key: &str, body: &[u8]) -> io::Result<Reply> {
         self.exchange(txn, "booking", ("HTTP_X_TXN_KEY", key.to_string()), body)
     }
--- a/crates/simulation/src/fakes/kernel.rs
+++ b/crates/simulation/src/fakes/kernel.rs
@@ -1,5 +1,5 @@
-//! Fake of the kernel: its cores are shared by all runs, lose efficiency with too many of them and are slow while cold;
-//! its notices are numbered and said again on a new link.
+//! Fake of the kernel. All runs share its cores, which lose efficiency when there are too many runs and are
+//! slow while the kernel is cold. Its notices are numbered, and it repeats them on a new link.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -7,84 +7,94 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most notices that are kept to be said again on a new link.
+/// Number of the latest notices that the kernel keeps, to repeat them on a new link.
 const MAX_KEPT_NOTICES: usize = 4_000;
-/// A run makes its outbound call when this share of its work is left.
+/// Share of a run's work that is left when the run makes its outbound call.
 const CALL_AT_SHARE: f64 = 0.5;
 
-/// What the world knows of a request that was sent to the node: the kernel compares its commands with it.
+/// Properties of a request that a gateway sent to the node. The kernel compares the node's commands with
+/// them.
 #[derive(Clone, Debug)]
 pub struct RequestFacts {
-    /// Its class.
+    /// Name of the request's class.
     pub class: String,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// Its work on one core of speed 1.
+    /// CPU time that its run needs on one core of speed 1.
     pub work: Micros,
-    /// Its run makes an outbound call.
+    /// Whether the run of the request makes an outbound call.
     pub calls: bool,
-    /// The run may continue without that call.
+    /// Whether the run may continue without that call.
     pub skips: bool,
 }
 
 #[derive(Debug)]
 struct Run {
-    /// Microseconds of work that are left on one core of speed 1.
+    /// Work that is left, in microseconds on one core of speed 1.
     work_left: f64,
-    /// Work left at which it makes its call, until it has.
+    /// Value of `work_left` at which the run makes its outbound call; `None` if it makes none or has made it.
     call_at: Option<f64>,
+    /// Whether the run waits for the reply to its outbound call; it uses no core meanwhile.
     awaits_call: bool,
-    /// Number of the notice that requested its call.
+    /// Cursor of the notice that requested the outbound call; 0 before that.
     call_notice: u64,
     skips: bool,
     started: Timestamp,
 }
 
-/// Something that the kernel observed, for the rules.
+/// An observation of the kernel that the rules check.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
     /// The run of this request started.
     Started(String),
-    /// The run of this request ended with this result.
+    /// The run of this request completed with this result.
     Result(String, Vec<u8>),
-    /// A command has another class or body than the request had.
-    ChangedOnTheWay(String),
-    /// A command that the site does not allow.
-    NotAllowed(String),
+    /// A command for this request has another class or body than the request that the gateway sent.
+    AlteredRequest(String),
+    /// The node sent a command that the settings of the site do not allow; the text says which.
+    ForbiddenCommand(String),
 }
 
 /// The kernel of one node.
 #[derive(Debug)]
 pub struct Kernel {
     cores: f64,
-    /// Speed of the cores: 1 unless a fault makes them slow.
+    /// Speed of the cores relative to normal: 1, or less while a fault slows them down.
     pub speed: f64,
     started_at: Timestamp,
+    /// Time from the start of a cold kernel until its cores reach full speed.
     warmup_duration: Micros,
+    /// Speed at the start of a cold kernel, as a share of the full speed.
     cold_speed_share: f64,
+    /// Whether the kernel started cold.
     cold: bool,
-    /// Runs can be stopped.
+    /// Whether the kernel can preempt runs; set by the world from the settings of its site.
     pub can_preempt: bool,
-    /// Runs that went on without their call.
+    /// Number of runs that continued without their outbound call.
     pub skipped: u64,
+    /// Cursor of the latest notice; 0 before the first.
     cursor: u64,
     kept_notices: VecDeque<(u64, String)>,
     runs: BTreeMap<String, Run>,
     requests: BTreeMap<String, RequestFacts>,
+    /// Time up to which the runs have been simulated.
     advanced_to: Timestamp,
     input: Vec<u8>,
-    /// Lines to be sent on the link.
+    /// Lines that are to be sent to the node on the link.
     pub output: Vec<u8>,
+    /// Whether there is a link to a node.
     linked: bool,
-    /// What the rules want to know, since the last look.
+    /// Observations since the world last took them to report them to the rules.
     pub observed: Vec<Observation>,
-    /// How many were on the cores, and since when: for the crowd's mean.
+    /// For each interval of the last 2 s, its start and the number of runs on the cores multiplied by the
+    /// length of the interval in microseconds: the base of the mean concurrency.
     concurrency_samples: VecDeque<(Timestamp, f64)>,
+    /// Number of results so far; part of each result, so that no two are equal.
     results: u64,
 }
 
 impl Kernel {
-    /// A kernel that comes up now, cold or warm.
+    /// Creates a kernel that starts at `now`, cold or warm, with `cores` cores.
     pub fn new(now: Timestamp, cores: f64, cold: bool) -> Self {
         Kernel {
             cores,
@@ -109,17 +119,17 @@
         }
     }
 
-    /// A request came to the machine.
-    pub fn add_request(&mut self, id: &str, requests: RequestFacts) {
-        self.requests.insert(id.to_string(), requests);
+    /// Registers a request that a gateway sends to the node.
+    pub fn add_request(&mut self, id: &str, facts: RequestFacts) {
+        self.requests.insert(id.to_string(), facts);
     }
 
     fn on_cores(&self) -> usize {
         self.runs.values().filter(|r| !r.awaits_call).count()
     }
 
-    /// Share of its full speed.
-    fn warmth(&self, now: Timestamp) -> f64 {
+    /// Speed that the kernel has reached at `now` while it warms up, as a share of the full speed.
+    fn warmup_speed(&self, now: Timestamp) -> f64 {
         if !self.cold {
             return 1.0;
         }
@@ -127,54 +137,59 @@
         (self.cold_speed_share + (1.0 - self.cold_speed_share) * done).min(1.0)
     }
 
-    /// Work a microsecond that each run gets.
+    /// Work that each run on the cores gets done in a microsecond, in microseconds on one core of speed 1.
     fn rate(&self, now: Timestamp) -> f64 {
         let n = self.on_cores() as f64;
-        let concurrency_samples = 1.0 / (1.0 + 0.08 * (n / self.cores - 2.0).max(0.0));
-        self.speed * self.warmth(now) * concurrency_samples * (self.cores / n.max(1.0)).min(1.0)
+        let efficiency = 1.0 / (1.0 + 0.08 * (n / self.cores - 2.0).max(0.0));
+        self.speed * self.warmup_speed(now) * efficiency * (self.cores / n.max(1.0)).min(1.0)
     }
 
-    /// When the next run is at its call or over, if nothing changes.
+    /// When the next run makes its outbound call or ends, if no command arrives before. `None` if no run is
+    /// on the cores.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let rate = self.rate(self.advanced_to);
-        let to_go = |r: &Run| r.work_left - r.call_at.unwrap_or(0.0);
-        let least = self.runs.values().filter(|r| !r.awaits_call).map(to_go).min_by(f64::total_cmp)?;
+        let work_to_next_event = |r: &Run| r.work_left - r.call_at.unwrap_or(0.0);
+        let least =
+            self.runs.values().filter(|r| !r.awaits_call).map(work_to_next_event).min_by(f64::total_cmp)?;
         Some(self.advanced_to.plus(Micros((least / rate).ceil().max(1.0) as u64)))
     }
 
-    /// Time passes up to `now`.
+    /// Simulates the runs up to `now`: requests their outbound calls and ends those whose work is done.
     pub fn advance(&mut self, now: Timestamp) {
         let passed = now.since(self.advanced_to).0 as f64 * self.rate(self.advanced_to);
         self.sample_concurrency(now);
         self.advanced_to = now;
-        let (mut called, mut over) = (Vec::new(), Vec::new());
+        let (mut calling, mut completed) = (Vec::new(), Vec::new());
         for (id, run) in self.runs.iter_mut().filter(|(_, r)| !r.awaits_call) {
             run.work_left -= passed;
             if run.call_at.is_some_and(|at| run.work_left <= at + 0.5) {
                 (run.call_at, run.awaits_call) = (None, true);
-                called.push(id.clone());
+                calling.push(id.clone());
             } else if run.work_left <= 0.5 {
-                over.push((id.clone(), run.started));
+                completed.push((id.clone(), run.started));
             }
         }
-        for id in called {
+        for id in calling {
             let arg = STANDARD.encode(format!("call of {id}"));
-            self.notice(json!({"event": "IOREQ", "handle": id, "arg": arg}));
+            self.send_notice(json!({"event": "IOREQ", "handle": id, "arg": arg}));
             let cursor = self.cursor;
             if let Some(run) = self.runs.get_mut(&id) {
                 run.call_notice = cursor;
             }
         }
-        for (id, started) in over {
+        for (id, started) in completed {
             self.runs.remove(&id);
             self.results += 1;
             let result = format!("result {} of {id}", self.results).into_bytes();
             self.observed.push(Observation::Result(id.clone(), result.clone()));
             let (arg, lasted) = (STANDARD.encode(&result), now.since(started).0 as f64 / 1000.0);
-            self.notice(json!({"event": "REAP", "handle": id, "fate": "good", "lasted": lasted, "arg": arg}));
+            self.send_notice(
+                json!({"event": "REAP", "handle": id, "fate": "good", "lasted": lasted, "arg": arg}),
+            );
         }
     }
 
+    /// Adds the interval up to `now` to the samples and drops samples older than 2 s.
     fn sample_concurrency(&mut self, now: Timestamp) {
         self.concurrency_samples
             .push_back((self.advanced_to, self.on_cores() as f64 * now.since(self.advanced_to).0 as f64));
@@ -183,74 +198,78 @@
         }
     }
 
-    /// Requests on the cores for each core, in the mean of 2 s, over what it survives: 1 or more is a fall.
+    /// Number of runs on each core, as the mean of the last 2 s, divided by the number at which the kernel
+    /// falls over: 1 or more means that it falls over. A kernel that warms up falls over at fewer runs.
     pub fn concurrency_load(&self, now: Timestamp) -> f64 {
         let mean = self.concurrency_samples.iter().map(|c| c.1).sum::<f64>() / 2e6 / self.cores;
-        mean / (1.0 + 4.0 * self.warmth(now))
+        mean / (1.0 + 4.0 * self.warmup_speed(now))
     }
 
-    fn line(&mut self, text: &str) {
+    /// Adds a line to the output if there is a link; without a link the line is lost.
+    fn send_line(&mut self, text: &str) {
         if self.linked {
             self.output.extend(text.as_bytes());
             self.output.push(b'\n');
         }
     }
 
-    fn notice(&mut self, mut notice: Value) {
+    /// Gives a notice the next cursor, sends it and keeps it, to repeat it on a new link.
+    fn send_notice(&mut self, mut notice: Value) {
         self.cursor += 1;
         notice["cursor"] = json!(self.cursor);
         let text = notice.to_string();
-        self.line(&text);
+        self.send_line(&text);
         self.kept_notices.push_back((self.cursor, text));
         if self.kept_notices.len() > MAX_KEPT_NOTICES {
             self.kept_notices.pop_front();
         }
     }
 
-    /// A new link takes the place of the one before.
-    pub fn link(&mut self, started_at: bool) {
+    /// Records that a new link replaces the previous one, or that the link is gone. Discards the input and
+    /// the output of the previous link.
+    pub fn set_linked(&mut self, linked: bool) {
         self.input.clear();
         self.output.clear();
-        self.linked = started_at;
+        self.linked = linked;
     }
 
-    /// Takes in bytes of the link.
-    pub fn take(&mut self, now: Timestamp, bytes: &[u8]) {
+    /// Receives bytes of the link and executes the commands that they complete.
+    pub fn receive(&mut self, now: Timestamp, bytes: &[u8]) {
         self.advance(now);
         self.input.extend(bytes);
         while let Some(end) = self.input.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = self.input.drain(..=end).collect();
             if let Ok(command) = serde_json::from_slice::<Value>(&line) {
-                self.command(now, &command);
+                self.execute(now, &command);
             }
         }
     }
 
-    fn command(&mut self, now: Timestamp, command: &Value) {
+    fn execute(&mut self, now: Timestamp, command: &Value) {
         let id = command["handle"].as_str().unwrap_or_default().to_string();
         match command["event"].as_str() {
             Some("OPEN") => {
                 let (from, lasted) =
                     (command["cursor"].as_u64().unwrap_or(0), now.since(self.started_at).0 as f64 / 1e3);
                 let fate = if self.cold { "new" } else { "old" };
-                self.line(&json!({"event": "BOOTED", "fate": fate, "lasted": lasted}).to_string());
-                let again: Vec<String> =
+                self.send_line(&json!({"event": "BOOTED", "fate": fate, "lasted": lasted}).to_string());
+                let repeated: Vec<String> =
                     self.kept_notices.iter().filter(|(n, _)| *n > from).map(|(_, t)| t.clone()).collect();
-                again.iter().for_each(|text| self.line(text));
+                repeated.iter().for_each(|text| self.send_line(text));
             }
             Some("SYSINFO") => {
                 let n = self.on_cores() as f64;
                 let figures = [(n / self.cores).min(1.0), n, 0.2, 8.0];
-                self.line(
+                self.send_line(
                     &json!({"event": "INFO", "ticket": command["ticket"], "figures": figures}).to_string(),
                 );
             }
             Some("POST") => {
-                self.line(
+                self.send_line(
                     &json!({"event": "POSTED", "ticket": command["ticket"], "fate": "good"}).to_string(),
                 );
             }
-            Some("SCHED") => self.sched(now, id, command),
+            Some("SCHED") => self.start_run(now, id, command),
             Some("IODONE") => {
                 if let Some(run) = self.runs.get_mut(&id) {
                     run.awaits_call = false;
@@ -259,45 +278,43 @@
             Some("NOIO") => {
                 let Some(run) = self.runs.get_mut(&id) else { return };
                 if !run.skips {
-                    self.observed
-                        .push(Observation::NotAllowed(format!("{id} had to go on without its call")));
+                    self.observed.push(Observation::ForbiddenCommand(format!(
+                        "the node sent NOIO for {id}, whose run may not continue without its outbound call"
+                    )));
                 } else if run.awaits_call && command["cursor"] == run.call_notice {
                     run.awaits_call = false;
                     self.skipped += 1;
                 }
             }
             Some("PREEMPT") if !self.can_preempt => {
-                self.observed.push(Observation::NotAllowed(format!("{id} had to stop")));
+                self.observed.push(Observation::ForbiddenCommand(format!(
+                    "the node sent PREEMPT for {id}, but this kernel cannot preempt runs"
+                )));
             }
             Some("PREEMPT") if self.runs.remove(&id).is_some() => {
-                self.notice(json!({"event": "REAP", "handle": id, "fate": "cut", "lasted": 1}));
+                self.send_notice(json!({"event": "REAP", "handle": id, "fate": "cut", "lasted": 1}));
             }
             _ => {}
         }
     }
 
-    fn sched(&mut self, now: Timestamp, id: String, command: &Value) {
-        let Some(requests) = self.requests.get(&id) else {
+    /// Starts the run of a request, unless it is running already. The request must have been registered.
+    fn start_run(&mut self, now: Timestamp, id: String, command: &Value) {
+        let Some(facts) = self.requests.get(&id) else {
             let text = json!({"event": "EINVAL", "fate": "SCHED", "handle": id}).to_string();
-            return self.line(&text);
+            return self.send_line(&text);
         };
         let body = STANDARD.decode(command["arg"].as_str().unwrap_or("")).unwrap_or_default();
-        if command["entry"].as_str() != Some(requests.class.as_str()) || body != requests.body {
-            self.observed.push(Observation::ChangedOnTheWay(id.clone()));
+        if command["entry"].as_str() != Some(facts.class.as_str()) || body != facts.body {
+            self.observed.push(Observation::AlteredRequest(id.clone()));
         }
         if self.runs.contains_key(&id) {
             return;
         }
-        let work_left = requests.work.0 as f64;
-        let call_at = requests.calls.then_some(work_left * CALL_AT_SHARE);
-        let run = Run {
-            work_left,
-            call_at,
-            awaits_call: false,
-            call_notice: 0,
-            skips: requests.skips,
-            started: now,
-        };
+        let work_left = facts.work.0 as f64;
+        let call_at = facts.calls.then_some(work_left * CALL_AT_SHARE);
+        let run =
+            Run { work_left, call_at, awaits_call: false, call_notice: 0, skips: facts.skips, started: now };
         self.runs.insert(id.clone(), run);
         self.observed.push(Observation::Started(id));
     }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,8 +1,9 @@
-//! A network and a clock that exist only in the simulation: each connection is two buffers with delays.
+//! The simulated network and the virtual clock of a world. A connection consists of two buffers with delays.
 //!
-//! Bytes arrive in order on each connection, in pieces of any size, after a delay drawn from the seed. Nothing happens
-//! between two events. The node reaches the network through its seam ([`crate::system`]); whatever else takes part (the
-//! fakes of gateways, kernel and downstream tier) calls it directly and is here called an actor.
+//! Bytes arrive in order on each connection, in pieces of any size, after a delay drawn from the seed.
+//! Nothing happens between two events. The node uses the network through its I/O interface
+//! ([`crate::system`]). The fakes of gateways, kernel and downstream tier call the network directly; this
+//! module calls them actors.
 
 use crate::random::SimRng;
 use gaugestand_admission::time::{Micros, Moment, Timestamp, UnixTime};
@@ -13,32 +14,35 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Unix time at which every world begins: any date does, as long as it is the same in every run.
+/// Unix time at which every world starts. Any date will do, as long as it is the same in every run.
 const WALL_CLOCK_START: UnixTime = UnixTime::millis(1_764_576_000_000);
-/// Where the monotonic clock begins: well above zero, so that subtracting from an early time does not saturate.
+/// Monotonic time at which every world starts: well above zero, so that subtractions from an early time do
+/// not saturate.
 const MONOTONIC_START: Timestamp = Timestamp::millis(3_600_000);
-/// Most bytes on their way and unread in one direction, as the buffers of real sockets hold.
+/// Most bytes in one direction of a connection that the node has written and the other side has not read,
+/// similar to the buffers of real sockets.
 const WINDOW_BYTES: usize = 256 * 1024;
-/// Delay of a packet: this at least, plus an exponentially distributed part with this mean and this bound.
+/// Delay of a packet: a minimum plus an exponentially distributed part, which has this mean and this maximum.
 const MIN_DELAY: Micros = Micros(20);
 const MEAN_EXTRA_DELAY: Micros = Micros(80);
 const MAX_EXTRA_DELAY: Micros = Micros(2_000);
-/// Chance that bytes arrive in one piece.
-const WHOLE_CHANCE: f64 = 0.9;
+/// Probability that the bytes of a write, or those left of it, arrive in one piece.
+const SINGLE_PIECE_PROBABILITY: f64 = 0.9;
 
-/// What is on its way to one side of a connection.
+/// A packet in flight to one side of a connection.
 #[derive(Debug)]
 enum Packet {
     Bytes(Vec<u8>),
+    /// The sender ends its stream.
     End,
     Reset,
-    /// A connection request reaches the listener's side.
+    /// A request for a connection to the listener at this address.
     Connect(SocketAddr),
-    /// The answer to that: accepted or refused.
+    /// The answer to a request for a connection: true if a listener has queued it, false if there is none.
     ConnectAnswer(bool),
 }
 
-/// What the node's poller watches a connection for.
+/// Poll interest of the node in a connection; `key` identifies the connection in [`Ready`].
 #[derive(Clone, Copy, Debug)]
 struct Interest {
     key: usize,
@@ -46,32 +50,35 @@
     writing: bool,
 }
 
-/// One side of a connection.
+/// State of one side of a connection.
 #[derive(Debug, Default)]
 struct Endpoint {
+    /// Bytes that have arrived and have not been read.
     inbox: VecDeque<u8>,
-    /// The other side has ended its stream.
+    /// Whether the end of the other side's stream has arrived.
     ended: bool,
+    /// Whether a reset by the other side has arrived.
     reset: bool,
-    /// Its owner has not closed it.
+    /// Whether the owner of this side has it open.
     is_open: bool,
-    /// Its owner has ended the stream to the other side.
+    /// Whether the owner of this side has ended the stream to the other side.
     write_shut: bool,
-    /// Whether it was connected or refused, once that is known.
+    /// Whether the connection was accepted (true) or refused; `None` until that is known.
     connected: Option<bool>,
-    /// What the node watches it for; `None` where it belongs to an actor.
+    /// Poll interest of the node; `None` if this side belongs to an actor.
     interest: Option<Interest>,
-    /// Bytes sent to the other side that it has not read.
+    /// Number of bytes that this side has sent and the other side has not read.
     unread_by_peer: usize,
-    /// When the last packet to the other side arrives: the next does not overtake it.
+    /// Arrival time of the latest packet to the other side. The next packet arrives no earlier, so that
+    /// packets stay in order.
     last_arrival: Timestamp,
 }
 
-/// One side of a connection, by the connection's number.
+/// Identifies one side of a connection by the number of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Side {
     connection: usize,
-    /// The side that accepted the connection, not the one that began it.
+    /// Whether this is the side that accepts the connection, not the one that requested it.
     accepting: bool,
 }
 
@@ -85,45 +92,50 @@
     }
 }
 
-/// How the node watches its listener.
+/// Poll interest of the node in one of its listeners; `key` identifies the listener in [`Ready`].
 #[derive(Clone, Copy, Debug)]
 struct ListenerInterest {
     key: usize,
     reading: bool,
 }
 
+/// A listener and the connections that wait at it.
 #[derive(Debug, Default)]
 struct Backlog {
-    /// `None` where an actor listens.
+    /// Poll interest of the node; `None` if an actor listens.
     interest: Option<ListenerInterest>,
-    /// Connections that wait to be accepted.
+    /// Numbers of the connections that wait to be accepted, oldest first.
     waiting: VecDeque<usize>,
 }
 
-/// The simulated network, with its clock.
+/// The simulated network of one world, with its clock.
 #[derive(Debug)]
 pub struct Network {
+    /// Virtual monotonic time.
     now: Timestamp,
-    /// The wall clock is off by this, in microseconds.
+    /// Offset of the wall clock from the time that has passed on the monotonic clock, in microseconds.
     wall_clock_offset: i64,
     rng: SimRng,
     endpoints: BTreeMap<Side, Endpoint>,
     next_connection: usize,
+    /// Packets that have not arrived, with the side that receives them, by arrival time and packet number.
     in_flight: BTreeMap<(Timestamp, u64), (Side, Packet)>,
     next_packet: u64,
     listeners: BTreeMap<SocketAddr, Backlog>,
+    /// Datagrams that the node has sent and no actor has taken, with their destinations.
     datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    /// Sides of actors on which something has arrived.
-    news: BTreeSet<Side>,
-    /// Whether a signal is pending, by the key under which the node watches for it.
+    /// Sides of actors on which a packet has arrived since an actor last looked.
+    changed_sides: BTreeSet<Side>,
+    /// Whether a signal is pending, by the key under which the node watches for signals.
     pending_signals: BTreeMap<usize, bool>,
+    /// Key under which the node watches for a signal, by signal number.
     signal_keys: BTreeMap<i32, usize>,
-    /// Of all that the node has sent.
+    /// Hash of all bytes that the node has sent on connections, with their times.
     digest: blake3::Hasher,
 }
 
 impl Network {
-    /// A network of this seed.
+    /// Creates the network of the world of this seed, without connections and listeners.
     pub fn new(seed: u64) -> Rc<RefCell<Self>> {
         Rc::new(RefCell::new(Network {
             now: MONOTONIC_START,
@@ -135,36 +147,37 @@
             next_packet: 0,
             listeners: BTreeMap::new(),
             datagrams: Vec::new(),
-            news: BTreeSet::new(),
+            changed_sides: BTreeSet::new(),
             pending_signals: BTreeMap::new(),
             signal_keys: BTreeMap::new(),
             digest: blake3::Hasher::new(),
         }))
     }
 
-    /// The time on both clocks.
+    /// Current time on the monotonic clock and on the wall clock.
     pub fn moment(&self) -> Moment {
         let elapsed = self.now.since(MONOTONIC_START);
         let wall = WALL_CLOCK_START.plus(elapsed).0.saturating_add_signed(self.wall_clock_offset);
         Moment { mono: self.now, wall: UnixTime(wall) }
     }
 
-    /// Sets the wall clock forward or back by so many microseconds.
+    /// Steps the wall clock by `by` microseconds, forward or (negative) back.
     pub fn step_clock(&mut self, by: i64) {
         self.wall_clock_offset += by;
     }
 
-    /// A digest of all bytes that the node has sent so far, with their times.
+    /// Digest of all bytes that the node has sent on connections so far, with their times: 16 hexadecimal
+    /// digits.
     pub fn digest(&self) -> String {
         self.digest.finalize().to_hex()[..16].to_string()
     }
 
-    /// When the next packet arrives.
+    /// When the next packet arrives; `None` if none is in flight.
     pub fn next_arrival(&self) -> Option<Timestamp> {
         self.in_flight.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Moves the clock to `to` and delivers what arrives by then.
+    /// Moves the clock forward to `to` and delivers the packets that arrive by then, in the order of time.
     pub fn advance(&mut self, to: Timestamp) {
         while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= to) {
             let ((at, _), (side, packet)) = entry.remove_entry();
@@ -174,6 +187,7 @@
         self.now = self.now.max(to);
     }
 
+    /// Sends a packet to the other side of the connection, with a random delay.
     fn send(&mut self, from: Side, packet: Packet) {
         let extra = self.rng.exponential(MEAN_EXTRA_DELAY).min(MAX_EXTRA_DELAY);
         let delay = MIN_DELAY.plus(extra);
@@ -184,14 +198,15 @@
         self.in_flight.insert((at, self.next_packet), (from.peer(), packet));
     }
 
-    /// Sends bytes in pieces of any size.
+    /// Sends bytes to the other side, mostly in one packet and sometimes in several packets of random size.
     fn send_bytes(&mut self, from: Side, mut bytes: &[u8]) {
         if let Some(endpoint) = self.endpoints.get_mut(&from) {
             endpoint.unread_by_peer += bytes.len();
         }
         while !bytes.is_empty() {
-            let whole = self.rng.chance(WHOLE_CHANCE);
-            let len = if whole { bytes.len() } else { 1 + self.rng.below(bytes.len() as u64) as usize };
+            let in_one_piece = self.rng.chance(SINGLE_PIECE_PROBABILITY);
+            let len =
+                if in_one_piece { bytes.len() } else { 1 + self.rng.below(bytes.len() as u64) as usize };
             let (piece, rest) = bytes.split_at(len.min(bytes.len()));
             self.send(from, Packet::Bytes(piece.to_vec()));
             bytes = rest;
@@ -205,7 +220,7 @@
         let Some(endpoint) = self.endpoints.get_mut(&side) else { return };
         match packet {
             Packet::Bytes(bytes) if endpoint.is_open => endpoint.inbox.extend(bytes),
-            // As TCP does: bytes for a closed socket are answered with a reset.
+            // As in TCP, bytes that arrive at a closed socket are answered with a reset.
             Packet::Bytes(_) => return self.send(side, Packet::Reset),
             Packet::End => endpoint.ended = true,
             Packet::Reset => {
@@ -216,7 +231,7 @@
             Packet::Connect(_) => {}
         }
         if endpoint.interest.is_none() {
-            self.news.insert(side);
+            self.changed_sides.insert(side);
         }
     }
 
@@ -227,7 +242,7 @@
             backlog.waiting.push_back(side.connection);
             let endpoint = Endpoint { is_open: true, connected: Some(true), ..Endpoint::default() };
             self.endpoints.insert(side, endpoint);
-            self.news.insert(side);
+            self.changed_sides.insert(side);
         } else {
             let endpoint = Endpoint { connected: Some(false), ..Endpoint::default() };
             self.endpoints.insert(side, endpoint);
@@ -235,6 +250,7 @@
         self.send(side, Packet::ConnectAnswer(accepted));
     }
 
+    /// Requests a connection and returns the side that requested it.
     fn open(&mut self, to: SocketAddr, interest: Option<Interest>) -> Side {
         let side = Side { connection: self.next_connection, accepting: false };
         self.next_connection += 1;
@@ -243,18 +259,20 @@
         side
     }
 
-    fn note_read(&mut self, side: Side, len: usize) {
+    /// Records that a side has read `len` bytes, which makes room for the writes of the other side.
+    fn record_read(&mut self, side: Side, len: usize) {
         if let Some(peer) = self.endpoints.get_mut(&side.peer()) {
             peer.unread_by_peer = peer.unread_by_peer.saturating_sub(len);
         }
     }
 
-    /// Closes a side: the other one sees an end, or a reset.
+    /// Closes one side of a connection. The other side receives the end of the stream, or a reset if `reset`
+    /// is true or this side has unread bytes.
     pub fn close(&mut self, side: Side, reset: bool) {
         let Some(endpoint) = self.endpoints.get_mut(&side).filter(|endpoint| endpoint.is_open) else {
             return;
         };
-        // As TCP does: a close over unread bytes is a reset.
+        // As in TCP, closing a socket that has unread bytes resets the connection.
         let reset = reset || !endpoint.inbox.is_empty();
         let already_ended = endpoint.write_shut && !reset;
         endpoint.is_open = false;
@@ -266,56 +284,58 @@
     }
 }
 
-/// What actors call.
+/// Operations of the actors.
 impl Network {
-    /// An actor connects.
+    /// Requests a connection of an actor to `to` and returns the actor's side.
     pub fn connect(&mut self, to: SocketAddr) -> Side {
         self.open(to, None)
     }
 
-    /// An actor listens.
+    /// Starts to listen at `at` for an actor.
     pub fn listen(&mut self, at: SocketAddr) {
         self.listeners.insert(at, Backlog::default());
     }
 
-    /// An actor accepts the connections that wait.
+    /// Accepts all connections that wait at the actor's listener and returns the actor's sides.
     pub fn accept(&mut self, at: SocketAddr) -> Vec<Side> {
         let Some(backlog) = self.listeners.get_mut(&at) else { return Vec::new() };
         backlog.waiting.drain(..).map(Side::accepting).collect()
     }
 
-    /// An actor's sides on which something has arrived since the last call.
-    pub fn take_news(&mut self) -> BTreeSet<Side> {
-        std::mem::take(&mut self.news)
+    /// Returns the actors' sides on which a packet has arrived since the last call.
+    pub fn take_changed_sides(&mut self) -> BTreeSet<Side> {
+        std::mem::take(&mut self.changed_sides)
     }
 
-    /// An actor reads all that there is; `None` after the end.
+    /// Reads all bytes that have arrived at an actor's side; returns `None` if there are none and the
+    /// connection was ended, reset or refused.
     pub fn read_all(&mut self, side: Side) -> Option<Vec<u8>> {
         let endpoint = self.endpoints.get_mut(&side)?;
         let bytes: Vec<u8> = endpoint.inbox.drain(..).collect();
-        let over = endpoint.ended || endpoint.reset || endpoint.connected == Some(false);
-        self.note_read(side, bytes.len());
-        if bytes.is_empty() && over { None } else { Some(bytes) }
+        let is_over = endpoint.ended || endpoint.reset || endpoint.connected == Some(false);
+        self.record_read(side, bytes.len());
+        if bytes.is_empty() && is_over { None } else { Some(bytes) }
     }
 
-    /// An actor sends.
+    /// Sends bytes from an actor's side; unlike the node, an actor may exceed the buffer size.
     pub fn write_all(&mut self, side: Side, bytes: &[u8]) {
         self.send_bytes(side, bytes);
     }
 
-    /// Sends a signal to the node.
+    /// Makes a signal pending for the node; ignored if the node does not watch for it.
     pub fn signal(&mut self, signal: i32) {
         if let Some(key) = self.signal_keys.get(&signal) {
             self.pending_signals.insert(*key, true);
         }
     }
 
-    /// Datagrams that the node has sent since the last call, and to whom.
+    /// Returns the datagrams that the node has sent since the last call, with their destinations.
     pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.datagrams)
     }
 
-    /// The node's process is gone: its connections are reset, its listeners and signals forgotten.
+    /// Removes all that belongs to the node's process when it is gone: resets its connections, and drops its
+    /// listeners and pending signals.
     pub fn kill_node(&mut self) {
         let of_node = self.endpoints.iter().filter(|(_, endpoint)| endpoint.interest.is_some());
         let open: Vec<Side> = of_node.map(|(side, _)| *side).collect();
@@ -328,12 +348,13 @@
         self.signal_keys.clear();
     }
 
-    /// Connections that the node has open.
+    /// Number of connections that the node has open.
     pub fn node_sockets(&self) -> usize {
         self.endpoints.values().filter(|endpoint| endpoint.interest.is_some()).count()
     }
 
-    /// What the node's poller would report.
+    /// Returns the listeners, signals and connections of the node that are ready, as a poller would report
+    /// them.
     pub fn ready(&self) -> Vec<Ready> {
         let mut ready = Vec::new();
         for backlog in self.listeners.values() {
@@ -361,7 +382,7 @@
     }
 }
 
-/// What the node calls through its seam; errors are those of non-blocking sockets.
+/// Operations of the node, which [`crate::system`] calls. Their errors are those of non-blocking sockets.
 impl Network {
     pub(crate) fn node_listen(&mut self, at: SocketAddr, key: usize) {
         let interest = Some(ListenerInterest { key, reading: true });
@@ -410,7 +431,7 @@
         self.endpoints.get(&side).is_some_and(|endpoint| !endpoint.inbox.is_empty())
     }
 
-    /// A side ends its stream to the other one, and still reads.
+    /// Ends the stream from this side to the other one; this side can still read.
     pub(crate) fn shut_writing(&mut self, side: Side) {
         let endpoint = self.endpoints.get_mut(&side);
         if let Some(endpoint) = endpoint.filter(|endpoint| endpoint.is_open && !endpoint.write_shut) {
@@ -428,7 +449,7 @@
             return if endpoint.ended { Ok(0) } else { Err(io::ErrorKind::WouldBlock.into()) };
         }
         let len = endpoint.inbox.read(buf)?;
-        self.note_read(side, len);
+        self.record_read(side, len);
         Ok(len)
     }
 
@@ -455,7 +476,7 @@
         self.signal_keys.extend(signals.iter().map(|signal| (*signal, key)));
     }
 
-    /// Whether a signal was pending under this key; it no longer is.
+    /// Clears the pending signal of this key, and returns whether there was one.
     pub(crate) fn take_signal(&mut self, key: usize) -> bool {
         self.pending_signals.insert(key, false) == Some(true)
     }
--- a/crates/simulation/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -1,68 +1,75 @@
-//! The rules of the platform, checked on what passes over the simulated sockets and on what the kernel did; they know
-//! nothing of the node's own state.
+//! The rules of the platform. They are checked on the traffic of the simulated sockets and on the runs of the
+//! kernel, and never look at the internal state of the node.
 
 use gaugestand_admission::time::{Micros, Timestamp};
 use std::collections::BTreeMap;
 
-/// Time past the due time in which an answer still counts: the platform's slack, and what sockets add to it.
-const SLACK: Micros = Micros::millis(80 + 50);
-/// A request that was written this long before a close, or less, may cross it on the network.
-const CROSSING: Micros = Micros::millis(50);
-/// What sockets add to the grace of a drain.
+/// Time after the due time of an answer within which the answer still counts as in time: the 80 ms that the
+/// platform allows, and 50 ms for the delay of the sockets.
+const ANSWER_SLACK: Micros = Micros::millis(80 + 50);
+/// Longest time between the write of a request and the close of its connection for which the two may have
+/// crossed on the network, so that the node never read the request.
+const MAX_CROSSING_TIME: Micros = Micros::millis(50);
+/// Time that the delay of the sockets adds to the grace period of a drain.
 const DRAIN_SLACK: Micros = Micros::millis(50);
 
-/// A rule that was violated, and what was observed.
+/// A violation of one rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The name of the rule.
+    /// Name of the violated rule, as gaugestand-sim prints it.
     pub rule: &'static str,
-    /// When, on the virtual clock.
+    /// When the violation was found, on the virtual monotonic clock.
     pub at: Timestamp,
-    /// What was observed.
+    /// Description of what was observed, with the ids of the attempts.
     pub observed: String,
 }
 
-/// One attempt as the rules see it.
+/// State of one attempt, as far as the rules need it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Idempotency key and body, where the class is keyed.
+    /// Idempotency key and request body; `None` if the class is not keyed.
     pub key: Option<(String, Vec<u8>)>,
-    /// When it reached the machine.
+    /// When the attempt reached the machine, on the monotonic clock.
     pub ingress: Timestamp,
-    /// When its answer is due.
+    /// When the answer is due; [`Rules::check_overdue`] allows some slack after it.
     pub due: Timestamp,
-    /// The incarnation of the node that it was sent to.
+    /// Incarnation of the node that the attempt was sent to; the first is 1.
     pub incarnation: u32,
     answers: u32,
     ran: bool,
-    /// No answer is owed: its gateway abandoned it, or the connection or the process is gone.
+    /// Whether no answer is owed any more, because the gateway abandoned the attempt or because the
+    /// connection or the process is gone.
     answer_waived: bool,
 }
 
-/// The state of all rules.
+/// Checks all rules during one world and collects the violations.
 #[derive(Debug)]
 pub struct Rules {
+    /// Deduplication window of keyed requests.
     window: Micros,
+    /// Grace period of a drain, in which arrivals may still run.
     grace: Micros,
     attempts: BTreeMap<String, Attempt>,
-    /// Attempts that are owed an answer, by due time.
+    /// Due time and id of each attempt that is owed an answer.
     owed: BTreeMap<(Timestamp, String), ()>,
+    /// Results of completed runs, by id of the attempt.
     results: BTreeMap<String, Vec<u8>>,
-    /// Runs of a key in the present incarnation: ingress time and id of each attempt that ran.
+    /// Runs of each idempotency key in the present incarnation: ingress time and id of each attempt that ran.
     runs: BTreeMap<String, Vec<(Timestamp, String)>>,
-    drain: Option<Timestamp>,
-    /// The violations so far.
+    /// When the present process was sent SIGTERM, if it was.
+    drain_started_at: Option<Timestamp>,
+    /// Violations found so far, in the order of time.
     pub violations: Vec<Violation>,
-    /// Attempts that were served, for the summary.
+    /// Number of attempts that were served (status 200), for the summary.
     pub served: u64,
-    /// Attempts that were rejected.
+    /// Number of attempts that were rejected (status 429 or 503, or ended by the protocol), for the summary.
     pub rejected: u64,
-    /// Attempts that failed.
+    /// Number of attempts that failed (any other status), for the summary.
     pub failed: u64,
 }
 
 impl Rules {
-    /// Rules with this deduplication window and this grace of a drain.
+    /// Creates the rules of a site with this deduplication window and this grace period of a drain.
     pub fn new(window: Micros, grace: Micros) -> Self {
         Rules {
             window,
@@ -71,7 +78,7 @@
             owed: BTreeMap::new(),
             results: BTreeMap::new(),
             runs: BTreeMap::new(),
-            drain: None,
+            drain_started_at: None,
             violations: Vec::new(),
             served: 0,
             rejected: 0,
@@ -79,11 +86,11 @@
         }
     }
 
-    fn violate(&mut self, rule: &'static str, at: Timestamp, observed: String) {
+    fn add_violation(&mut self, rule: &'static str, at: Timestamp, observed: String) {
         self.violations.push(Violation { rule, at, observed });
     }
 
-    /// An attempt was written completely to a connection that the machine accepted.
+    /// Records that a gateway has written an attempt completely to a connection to the node.
     pub fn on_sent(
         &mut self,
         id: &str,
@@ -98,7 +105,7 @@
             .insert(id.to_string(), Attempt { key, ingress, due, incarnation, answers, ran, answer_waived });
     }
 
-    /// No answer is owed to this attempt any more.
+    /// Records that no answer is owed to this attempt any more.
     pub fn waive_answer(&mut self, id: &str) {
         if let Some(attempt) = self.attempts.get_mut(id) {
             attempt.answer_waived = true;
@@ -106,79 +113,98 @@
         }
     }
 
-    /// The node has closed the connection of this attempt. It must not while an answer is owed; an attempt that crossed
-    /// the close on the network is made again by its gateway.
+    /// Checks that the node owed no answer to this attempt when it closed the connection. An attempt that may
+    /// have crossed the close on the network is no violation: its gateway retries it.
     pub fn on_closed(&mut self, now: Timestamp, id: &str) {
         let owed =
             self.attempts.get(id).is_some_and(|attempt| !attempt.answer_waived && attempt.answers == 0);
-        if owed && self.attempts.get(id).is_some_and(|attempt| now > attempt.ingress.plus(CROSSING)) {
-            self.violate("lost", now, format!("the connection of {id} was closed, which had no answer"));
+        if owed && self.attempts.get(id).is_some_and(|attempt| now > attempt.ingress.plus(MAX_CROSSING_TIME))
+        {
+            self.add_violation(
+                "lost",
+                now,
+                format!("the node closed the connection of {id}, which is still owed an answer"),
+            );
         }
         self.waive_answer(id);
     }
 
-    /// The process was killed, with all its state.
+    /// Records that the process of the node was killed and has lost its state: no answer is owed any more,
+    /// and keys may run again.
     pub fn on_killed(&mut self) {
         let owed: Vec<String> = self.owed.keys().map(|(_, id)| id.clone()).collect();
         owed.iter().for_each(|id| self.waive_answer(id));
         self.runs.clear();
-        self.drain = None;
+        self.drain_started_at = None;
     }
 
-    /// The process was sent SIGTERM.
+    /// Records that the process of the node was sent SIGTERM.
     pub fn on_drain(&mut self, at: Timestamp) {
-        self.drain = Some(at);
+        self.drain_started_at = Some(at);
     }
 
-    /// The process has ended by itself, or is about to be killed after its drain: nothing may be owed but what crossed
-    /// the close of its connection, which its gateway sends again.
+    /// Checks that no answer is owed when the process has ended by itself, or is about to be killed after its
+    /// drain. An attempt that may have crossed the close of its connection is no violation: its gateway
+    /// retries it.
     pub fn on_stopped(&mut self, now: Timestamp) {
-        let crosses =
-            |id: &String| self.attempts.get(id).is_some_and(|attempt| now <= attempt.ingress.plus(CROSSING));
+        let may_have_crossed = |id: &String| {
+            self.attempts.get(id).is_some_and(|attempt| now <= attempt.ingress.plus(MAX_CROSSING_TIME))
+        };
         let owed: Vec<String> =
-            self.owed.keys().map(|(_, id)| id.clone()).filter(|id| !crosses(id)).collect();
+            self.owed.keys().map(|(_, id)| id.clone()).filter(|id| !may_have_crossed(id)).collect();
         if !owed.is_empty() {
-            self.violate("drain", now, format!("unanswered at the end of the process: {}", owed.join(", ")));
+            self.add_violation(
+                "drain",
+                now,
+                format!("the process ended while these attempts were owed an answer: {}", owed.join(", ")),
+            );
         }
         self.on_killed();
     }
 
-    /// A run started.
+    /// Checks the start of a run: its attempt was sent, reached the machine before the grace period of a
+    /// drain was over, and is the only one of its key within the window.
     pub fn on_run_started(&mut self, now: Timestamp, id: &str) {
         let Some(attempt) = self.attempts.get_mut(id) else {
-            return self.violate("run", now, format!("{id} was run and never sent"));
+            return self.add_violation("run", now, format!("{id} was run, but no gateway sent it"));
         };
         attempt.ran = true;
         let (ingress, key) = (attempt.ingress, attempt.key.clone());
-        if let Some(notice) = self.drain.filter(|d| ingress > d.plus(self.grace).plus(DRAIN_SLACK)) {
+        if let Some(start) =
+            self.drain_started_at.filter(|start| ingress > start.plus(self.grace).plus(DRAIN_SLACK))
+        {
             let observed = format!(
-                "{id} reached the machine {} us after the notice and was run",
-                ingress.since(notice).0
+                "{id} reached the machine {} us after SIGTERM, past the grace period, and was run",
+                ingress.since(start).0
             );
-            self.violate("drain", now, observed);
+            self.add_violation("drain", now, observed);
         }
         let Some((key, _)) = key else { return };
         let window = self.window;
         let runs = self.runs.entry(key.clone()).or_default();
-        let twice = runs.iter().find(|(first, _)| ingress.0 < first.plus(window).0).cloned();
+        let earlier_run = runs.iter().find(|(first, _)| ingress.0 < first.plus(window).0).cloned();
         runs.push((ingress, id.to_string()));
-        if let Some((first, other)) = twice {
-            let observed = format!("{key} ran as {other} and {} us later as {id}", ingress.since(first).0);
-            self.violate("duplicate", now, observed);
+        if let Some((first, other)) = earlier_run {
+            let observed = format!(
+                "key {key} ran as {other} and, still within its window, {} us later as {id}",
+                ingress.since(first).0
+            );
+            self.add_violation("duplicate", now, observed);
         }
     }
 
-    /// A run ended with a result.
+    /// Records the result of a run that completed.
     pub fn on_result(&mut self, id: &str, result: Vec<u8>) {
         self.results.insert(id.to_string(), result);
     }
 
-    /// Something that is never allowed.
+    /// Adds a violation that the world itself has detected.
     pub fn report(&mut self, now: Timestamp, rule: &'static str, observed: String) {
-        self.violate(rule, now, observed);
+        self.add_violation(rule, now, observed);
     }
 
-    /// A complete answer arrived.
+    /// Checks a complete answer that arrived at a gateway: it is the only one of its attempt, it is in time,
+    /// a result comes from a run of the same attempt or key, and a rejected attempt did not run.
     pub fn on_answer(&mut self, now: Timestamp, id: &str, status: u16, body: &[u8]) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         attempt.answers += 1;
@@ -192,42 +218,54 @@
             _ => self.failed += 1,
         }
         if answers > 1 {
-            self.violate("duplicate", now, format!("{id} got {answers} answers"));
+            self.add_violation("duplicate", now, format!("{id} got {answers} answers; expected one"));
         }
-        if !answer_waived && now > due.plus(SLACK) {
-            self.violate("lost", now, format!("{id} was answered {} us past its due time", now.since(due).0));
+        if !answer_waived && now > due.plus(ANSWER_SLACK) {
+            self.add_violation(
+                "lost",
+                now,
+                format!("{id} was answered {} us past its due time", now.since(due).0),
+            );
         }
         match status {
             200 => {
-                let same =
+                let has_same_key =
                     |other: &str| self.attempts.get(other).is_some_and(|o| o.key.is_some() && o.key == key);
-                let made = |(other, r): (&String, &Vec<u8>)| r == body && (other == id || same(other));
-                if !self.results.iter().any(made) {
-                    let observed = format!("{id} was served {:?}", String::from_utf8_lossy(body));
-                    self.violate("served", now, observed);
+                let is_result =
+                    |(other, r): (&String, &Vec<u8>)| r == body && (other == id || has_same_key(other));
+                if !self.results.iter().any(is_result) {
+                    let observed = format!(
+                        "{id} was served {:?}, which is not the result of a run of its request",
+                        String::from_utf8_lossy(body)
+                    );
+                    self.add_violation("served", now, observed);
                 }
             }
             0 | 429 | 503 if ran => {
-                self.violate("refused", now, format!("{id} ran and was answered {status}"))
+                self.add_violation("refused", now, format!("{id} ran, but was rejected with status {status}"))
             }
             _ => {}
         }
     }
 
-    /// Reports what is overdue.
+    /// Adds a violation for each attempt whose answer is overdue at `now`.
     pub fn check_overdue(&mut self, now: Timestamp) {
         while let Some(((due, id), ())) =
-            self.owed.first_key_value().filter(|((d, _), _)| now > d.plus(SLACK))
+            self.owed.first_key_value().filter(|((d, _), _)| now > d.plus(ANSWER_SLACK))
         {
             let (due, id) = (*due, id.clone());
             self.owed.remove(&(due, id.clone()));
             let ran = self.attempts.get(&id).is_some_and(|attempt| attempt.ran);
-            self.violate("lost", now, format!("{id}, due at {} us, ran {ran}, got no answer", due.0));
+            self.add_violation(
+                "lost",
+                now,
+                format!("{id} got no answer, which was due at {} us (ran: {ran})", due.0),
+            );
         }
     }
 
-    /// When the next answer becomes overdue.
+    /// When the next owed answer becomes overdue; `None` if no answer is owed.
     pub fn next_wake(&self) -> Option<Timestamp> {
-        self.owed.first_key_value().map(|((due, _), ())| due.plus(SLACK).plus(Micros(1)))
+        self.owed.first_key_value().map(|((due, _), ())| due.plus(ANSWER_SLACK).plus(Micros(1)))
     }
 }
--- a/crates/simulation/src/system.rs
+++ b/crates/simulation/src/system.rs
@@ -1,6 +1,8 @@
-//! The system that a simulated node runs on: the node's seam ([`System`]) over the simulated [`Network`].
+//! The system that a simulated node runs on: an implementation of the node's I/O interface ([`System`]) on
+//! the simulated [`Network`].
 //!
-//! There is no disk and no second process of the node in a simulated world: what would need one is `Unsupported`.
+//! A simulated world has neither a disk nor a second process of the node. Opening a store fails with
+//! [`OpenError::NoDisk`], and a hand-over or a service lock with [`io::ErrorKind::Unsupported`].
 
 use crate::network::{Network, Side};
 use gaugestand_admission::log_record::RecoveredLog;
@@ -17,7 +19,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// The system of a simulated node.
+/// The system of a simulated node, on a network that it shares with the fakes of its world.
 #[derive(Clone, Debug)]
 pub struct VirtualSystem(pub Rc<RefCell<Network>>);
 
@@ -82,7 +84,8 @@
     }
 }
 
-/// A second process of the node: there is none in a simulated world.
+/// Hand-over link, hand-over listener and service lock of a simulated node. The type has no values, because a
+/// simulated world has no second process of the node.
 #[derive(Debug)]
 pub enum NoSecondProcess {}
 
@@ -137,7 +140,7 @@
     }
 }
 
-/// The node's side of a connection.
+/// The node's side of a simulated connection; dropping it closes the connection.
 #[derive(Debug)]
 pub struct VirtualStream {
     net: Rc<RefCell<Network>>,
@@ -186,7 +189,8 @@
     }
 }
 
-/// The node's listener.
+/// A listener of the node on the simulated network; dropping it resets the connections that wait to be
+/// accepted.
 #[derive(Debug)]
 pub struct VirtualListener {
     net: Rc<RefCell<Network>>,
@@ -217,7 +221,7 @@
     }
 }
 
-/// The node's socket for reports.
+/// The node's simulated UDP socket, with which it sends reports to the membership service.
 #[derive(Debug)]
 pub struct VirtualDatagram {
     net: Rc<RefCell<Network>>,
@@ -231,7 +235,7 @@
     }
 }
 
-/// Notifies the node of a signal.
+/// Source from which the node reads its pending signals: one byte for each.
 #[derive(Debug)]
 pub struct VirtualSignals {
     net: Rc<RefCell<Network>>,
@@ -248,7 +252,8 @@
     }
 }
 
-/// There is no disk in a simulated world: no store is ever opened, so none of this is ever called.
+/// Store worker of a simulated node. A simulated world has no disk, so no store is ever opened and no method
+/// of this type is ever called.
 #[derive(Debug)]
 pub struct NoWorker;
 
--- a/crates/simulation/src/world/actors.rs
+++ b/crates/simulation/src/world/actors.rs
@@ -1,4 +1,5 @@
-//! What the fakes of a world take in from the network, and what the kernel says.
+//! Passes bytes between the simulated network and the fakes of a world, and observations of the kernel to the
+//! rules.
 
 use super::{DOWNSTREAM_PORT, Event, KERNEL_PORT, World, address};
 use crate::fakes::downstream;
@@ -6,11 +7,12 @@
 use crate::network::Side;
 
 impl World {
-    /// Has each actor accept connections and take in what has arrived for it.
+    /// Accepts the connections that wait at the actors' listeners, and passes the bytes that have arrived to
+    /// the actors.
     pub(super) fn deliver_to_actors(&mut self) {
         self.accept_connections();
-        let news = self.net.borrow_mut().take_news();
-        for side in news {
+        let sides = self.net.borrow_mut().take_changed_sides();
+        for side in sides {
             if self.kernel_side == Some(side) {
                 self.deliver_to_kernel(side);
             } else if self.downstream.contains_key(&side) {
@@ -18,17 +20,20 @@
             } else if self.connections.contains_key(&side) {
                 self.deliver_to_gateway(side);
             }
-            // Anything else is a connection that the node has not accepted yet: nobody reads it.
+            // Any other side is the accepting side of a connection that the node has not accepted yet: no
+            // actor reads it.
         }
     }
 
+    /// Accepts the connections to the kernel and to the downstream tier. A new link to the kernel replaces
+    /// the previous one.
     fn accept_connections(&mut self) {
         let accepted = self.net.borrow_mut().accept(address(KERNEL_PORT));
         for side in accepted {
             if let Some(old) = self.kernel_side.replace(side) {
                 self.net.borrow_mut().close(old, true);
             }
-            self.kernel.link(true);
+            self.kernel.set_linked(true);
         }
         let accepted = self.net.borrow_mut().accept(address(DOWNSTREAM_PORT));
         self.downstream.extend(accepted.into_iter().map(|side| (side, Vec::new())));
@@ -37,10 +42,10 @@
     fn deliver_to_kernel(&mut self, side: Side) {
         let bytes = self.net.borrow_mut().read_all(side);
         if let Some(bytes) = bytes {
-            return self.kernel.take(self.now(), &bytes);
+            return self.kernel.receive(self.now(), &bytes);
         }
         self.kernel_side = None;
-        self.kernel.link(false);
+        self.kernel.set_linked(false);
         self.net.borrow_mut().close(side, false);
     }
 
@@ -72,19 +77,25 @@
         self.net.borrow_mut().close(side, false);
     }
 
-    /// Reports what the kernel has observed to the rules, and sends its lines to the node.
+    /// Reports the kernel's observations to the rules, and sends its lines to the node.
     pub(super) fn drain_kernel(&mut self) {
         let now = self.now();
         for observation in std::mem::take(&mut self.kernel.observed) {
             match observation {
                 Observation::Started(id) => {
-                    self.note(|| format!("{id} runs"));
+                    self.trace_event(|| format!("{id} runs"));
                     self.rules.on_run_started(now, &id);
                 }
                 Observation::Result(id, result) => self.rules.on_result(&id, result),
-                Observation::NotAllowed(what) => self.rules.report(now, "barred", what),
-                Observation::ChangedOnTheWay(id) => {
-                    self.rules.report(now, "changed", format!("{id} reached the kernel changed"));
+                Observation::ForbiddenCommand(observed) => self.rules.report(now, "barred", observed),
+                Observation::AlteredRequest(id) => {
+                    self.rules.report(
+                        now,
+                        "changed",
+                        format!(
+                            "the kernel was sent {id} with another class or body than the gateway had sent"
+                        ),
+                    );
                 }
             }
         }
@@ -92,7 +103,7 @@
             let output = std::mem::take(&mut self.kernel.output);
             self.net.borrow_mut().write_all(side, &output);
         }
-        // Nobody reads the reports to the membership service.
+        // The reports to the membership service are discarded: no actor reads them.
         let _ = self.net.borrow_mut().take_datagrams();
     }
 }
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -1,18 +1,19 @@
-//! What each fault does to a world.
+//! Injects the faults of the plan into a world.
 
-use super::{Event, SIGTERM, STOP, World};
+use super::{Event, SIGTERM, STOP_TIMEOUT, World};
 use crate::faults::Fault;
 use crate::network::Side;
 use gaugestand_admission::time::Micros;
 
 impl World {
-    pub(super) fn fault(&mut self, fault: Fault) {
+    /// Starts the effect of a fault. Faults with a duration schedule the end of their effect.
+    pub(super) fn inject_fault(&mut self, fault: Fault) {
         let now = self.now();
-        self.note(|| format!("fault: {fault:?}"));
+        self.trace_event(|| format!("fault: {fault:?}"));
         match fault {
             Fault::KernelLink => {
                 if let Some(side) = self.kernel_side.take() {
-                    self.kernel.link(false);
+                    self.kernel.set_linked(false);
                     self.net.borrow_mut().close(side, true);
                 }
             }
@@ -24,26 +25,26 @@
                     self.net.borrow_mut().close(side, true);
                 }
             }
-            Fault::Burst(long) => {
+            Fault::Burst(duration) => {
                 self.rate = self.site.rate * 3.0;
-                self.schedule(now.plus(long), Event::Over(fault));
+                self.schedule(now.plus(duration), Event::FaultEnd(fault));
             }
-            Fault::Slow(long) => {
+            Fault::Slow(duration) => {
                 self.kernel.speed = 0.25;
-                self.schedule(now.plus(long), Event::Over(fault));
+                self.schedule(now.plus(duration), Event::FaultEnd(fault));
             }
-            Fault::Death(long) => {
+            Fault::Death(downtime) => {
                 if self.node.is_some() {
                     self.kill();
-                    self.restart_after(long);
+                    self.restart_after(downtime);
                 }
             }
             Fault::Drain => {
-                if self.node.is_some() && !self.leaving {
-                    self.leaving = true;
+                if self.node.is_some() && !self.is_draining {
+                    self.is_draining = true;
                     self.rules.on_drain(now);
                     self.net.borrow_mut().signal(SIGTERM);
-                    self.schedule(now.plus(STOP), Event::Stop(self.incarnation));
+                    self.schedule(now.plus(STOP_TIMEOUT), Event::Kill(self.incarnation));
                 }
             }
             Fault::Below => {
@@ -54,12 +55,13 @@
         }
     }
 
-    pub(super) fn restart_after(&mut self, after: Micros) {
-        let at = self.now().plus(after);
-        self.schedule(at, Event::Over(Fault::Death(after)));
+    /// Schedules the start of a new process of the node, with a new kernel, after `delay`.
+    pub(super) fn restart_after(&mut self, delay: Micros) {
+        let at = self.now().plus(delay);
+        self.schedule(at, Event::FaultEnd(Fault::Death(delay)));
     }
 
-    /// The process is gone; gateways see their connections end.
+    /// Kills the process of the node; its connections are reset.
     pub(super) fn kill(&mut self) {
         self.node = None;
         self.net.borrow_mut().kill_node();
--- a/crates/simulation/src/world/gateways.rs
+++ b/crates/simulation/src/world/gateways.rs
@@ -1,4 +1,5 @@
-//! The gateways of a world: clients' requests, the attempts that a gateway makes of each, and the answers.
+//! The gateways of a world: they draw the requests of clients, send attempts of them to the node, and process
+//! the answers.
 
 use super::{Event, GATEWAYS, NODE_PORT, World, address};
 use crate::fakes::fastcgi::{self, Answer, Reader};
@@ -8,29 +9,36 @@
 use gaugestand_admission::time::{Micros, Moment, Timestamp};
 use std::collections::BTreeMap;
 
-/// Most open requests that a gateway puts on one connection.
+/// Most open requests that a gateway sends on one connection.
 const MAX_OPEN_REQUESTS: usize = 8;
-/// How long after the caller's own limit a gateway abandons an attempt: an answer in time is on its way until then.
+/// Time from the end of the caller's timeout until the gateway abandons the attempt: an answer that was sent
+/// in time may still be in flight until then.
 const ABANDON_DELAY: Micros = Micros::millis(200);
-/// The shortest time that an impatient caller waits.
+/// Shortest timeout of a caller that waits for less than the deadline of its class.
 const MIN_CALLER_TIMEOUT: Micros = Micros::millis(300);
-/// A retry comes after this at least, and this much more in the mean.
+/// Delay of a retry: a minimum plus an exponentially distributed part with this mean.
 const MIN_RETRY_DELAY: Micros = Micros::millis(5);
 const MEAN_RETRY_DELAY: Micros = Micros::millis(300);
-/// A late repeat comes from this long before the end of the deduplication window to a little past it, in microseconds.
+/// A late repeat is sent at a random time in an interval around the end of the deduplication window. The
+/// interval starts this many microseconds before that end (lead) and is this many microseconds long (spread).
 const LATE_REPEAT_LEAD_US: u64 = 3_000_000;
 const LATE_REPEAT_SPREAD_US: u64 = 3_300_000;
 
-/// A client's request over all its attempts.
+/// A request of a client, across all its attempts.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
+    /// Index of the class in [`crate::site::Site::classes`].
     class: usize,
+    /// Idempotency key, if the class is keyed.
     key: Option<String>,
     body: Vec<u8>,
+    /// CPU time that a run needs on one core of speed 1.
     work: Micros,
+    /// Number of further attempts that may be sent.
     attempts_left: u32,
-    /// When its client gives up; set by the first attempt.
-    until: Option<Timestamp>,
+    /// When the caller stops waiting; `None` until the first attempt sets it.
+    caller_deadline: Option<Timestamp>,
+    /// Key of the resource that a read is about.
     resource: String,
 }
 
@@ -39,8 +47,9 @@
 pub(super) struct GatewayConnection {
     gateway: u64,
     reader: Reader,
-    /// Ids of the open attempts by their number on the connection.
+    /// Ids of the open attempts, by FastCGI request id.
     open: BTreeMap<u16, String>,
+    /// FastCGI request id of the next attempt; never 0.
     next_number: u16,
 }
 
@@ -49,7 +58,7 @@
         GatewayConnection { gateway, reader: Reader::default(), open: BTreeMap::new(), next_number: 1 }
     }
 
-    /// Takes the next number for this attempt.
+    /// Adds an open attempt and returns its FastCGI request id.
     fn begin(&mut self, id: &str) -> u16 {
         let number = self.next_number;
         self.next_number = number.wrapping_add(1).max(1);
@@ -63,26 +72,28 @@
     }
 }
 
-/// An attempt without a final answer.
+/// An attempt that has no answer yet and was not abandoned.
 #[derive(Clone, Debug)]
 pub(super) struct OpenAttempt {
     request: Request,
+    /// The gateway's side of the connection on which the attempt was sent.
     side: Side,
-    /// Its number on the connection.
+    /// FastCGI request id of the attempt on its connection.
     number: u16,
 }
 
-/// How long the caller of an attempt waits.
-struct Patience {
-    /// What the gateway says that is left of it, in whole milliseconds.
+/// The times that limit how long the caller of an attempt waits.
+struct CallerTimeout {
+    /// Time from the attempt until the caller stops waiting, in whole milliseconds, as the gateway states it
+    /// to the node.
     left: Micros,
-    /// When an answer is due by the rules.
+    /// When the answer is due according to the rules.
     due: Timestamp,
     is_retry: bool,
 }
 
 impl World {
-    /// A new request of a client.
+    /// Draws a new request of a client.
     pub(super) fn draw_request(&mut self) -> Request {
         let class = self.site.draw_class(&mut self.rng);
         let request_class = &self.site.classes[class];
@@ -93,7 +104,7 @@
         let id = self.new_id();
         let attempts_left = 1 + self.rng.below(3) as u32;
         let key = keyed.then(|| format!("key{id}"));
-        Request { class, key, body: id.into_bytes(), work, attempts_left, until: None, resource }
+        Request { class, key, body: id.into_bytes(), work, attempts_left, caller_deadline: None, resource }
     }
 
     fn new_id(&mut self) -> String {
@@ -101,7 +112,7 @@
         format!("{:016x}", self.next_id)
     }
 
-    /// Sends an attempt over a connection with room, or a new one.
+    /// Sends an attempt from a random gateway, on a connection that has room or on a new one.
     pub(super) fn send_attempt(&mut self, mut request: Request) {
         let gateway = self.rng.below(GATEWAYS);
         let side = self.connection_for(gateway);
@@ -109,8 +120,8 @@
         let moment = self.net.borrow().moment();
         request.attempts_left -= 1;
         let class = self.site.classes[request.class].clone();
-        let patience = self.draw_patience(&mut request, &class, moment);
-        let params = self.parameters(&request, &class, &id, gateway, moment, &patience);
+        let timeout = self.caller_timeout(&mut request, &class, moment);
+        let params = self.parameters(&request, &class, &id, gateway, moment, &timeout);
         let Some(connection) = self.connections.get_mut(&side) else { return };
         let number = connection.begin(&id);
         self.net.borrow_mut().write_all(side, &fastcgi::request(number, &params, &request.body));
@@ -123,15 +134,17 @@
         };
         self.kernel.add_request(&id, facts);
         let key = request.key.clone().map(|key| (key, request.body.clone()));
-        self.rules.on_sent(&id, key, moment.mono, patience.due, self.incarnation);
+        self.rules.on_sent(&id, key, moment.mono, timeout.due, self.incarnation);
         self.sent += 1;
-        let abandoned_at = moment.mono.plus(patience.left).plus(ABANDON_DELAY);
+        let abandoned_at = moment.mono.plus(timeout.left).plus(ABANDON_DELAY);
         self.schedule(abandoned_at, Event::Abandon(id.clone()));
         self.attempts.insert(id, OpenAttempt { request, side, number });
     }
 
+    /// Returns a connection of the gateway that has room for one more attempt, or opens one.
     fn connection_for(&mut self, gateway: u64) -> Side {
-        // Some requests get a connection of their own, so that nothing else passes on it while they are open.
+        // Some requests get a new connection, which carries no other bytes while they are open unless later
+        // requests share it.
         let shares = self.rng.chance(0.7);
         let has_room = |connection: &GatewayConnection| {
             shares && connection.gateway == gateway && connection.open.len() < MAX_OPEN_REQUESTS
@@ -145,19 +158,26 @@
         side
     }
 
-    /// Some callers wait for less than the deadline of their class; a retry has what is left of that.
-    fn draw_patience(&mut self, request: &mut Request, class: &RequestClass, moment: Moment) -> Patience {
-        let is_retry = request.until.is_some();
+    /// Returns the caller's timeout of an attempt and draws it if this is the first attempt of its request.
+    /// Some callers wait for less than the deadline of their class; a retry has the time that is left.
+    fn caller_timeout(
+        &mut self,
+        request: &mut Request,
+        class: &RequestClass,
+        moment: Moment,
+    ) -> CallerTimeout {
+        let is_retry = request.caller_deadline.is_some();
         let is_patient = !self.rng.chance(0.2);
-        let until = *request.until.get_or_insert_with(|| {
+        let until = *request.caller_deadline.get_or_insert_with(|| {
             let short = MIN_CALLER_TIMEOUT.plus(self.rng.exponential(class.deadline)).min(class.deadline);
             moment.mono.plus(if is_patient { class.deadline } else { short })
         });
         let left = whole_millis(until.since(moment.mono));
         let due = moment.mono.plus(if self.site.sends_timeout { left } else { class.deadline });
-        Patience { left, due, is_retry }
+        CallerTimeout { left, due, is_retry }
     }
 
+    /// Returns the FastCGI parameters of an attempt, with the fields that the site's gateways send.
     fn parameters(
         &mut self,
         request: &Request,
@@ -165,7 +185,7 @@
         id: &str,
         gateway: u64,
         moment: Moment,
-        patience: &Patience,
+        timeout: &CallerTimeout,
     ) -> Vec<(&'static str, String)> {
         let mut params = vec![
             ("REQUEST_METHOD", "POST".to_string()),
@@ -183,9 +203,9 @@
             params.push(("HTTP_X_CPU_HINT", format!("{:.2}", request.work.0 as f64 / 1000.0)));
         }
         if self.site.sends_timeout {
-            params.push(("HTTP_X_TTL_MS", (patience.left.0 / 1000).to_string()));
+            params.push(("HTTP_X_TTL_MS", (timeout.left.0 / 1000).to_string()));
         }
-        if self.site.marks_retries && patience.is_retry {
+        if self.site.marks_retries && timeout.is_retry {
             params.push(("HTTP_X_SECOND_TRY", "1".to_string()));
         }
         if self.site.sends_resource_keys && !class.keyed {
@@ -194,7 +214,8 @@
         params
     }
 
-    /// The gateway of an attempt stops waiting; some abort it, of others nothing is heard.
+    /// Ends an attempt without an answer because its gateway stops waiting. Most gateways send an abort; the
+    /// others send nothing, so the node still owes an answer.
     pub(super) fn abandon(&mut self, id: &str) {
         let Some(attempt) = self.attempts.remove(id) else { return };
         if self.rng.chance(0.8) {
@@ -203,7 +224,8 @@
         }
     }
 
-    /// A connection of a gateway is gone, with the attempts that were open on it.
+    /// Removes a connection of a gateway that is gone, waives the answers to the attempts that were open on
+    /// it, and schedules their retries.
     pub(super) fn drop_connection(&mut self, side: Side) {
         let Some(connection) = self.connections.remove(&side) else { return };
         for id in connection.open.into_values() {
@@ -214,20 +236,22 @@
         }
     }
 
+    /// Schedules a retry after a random delay, unless the request has no attempts left or its caller stops
+    /// waiting before.
     fn schedule_retry(&mut self, request: Request) {
         let delay = MIN_RETRY_DELAY.plus(self.rng.exponential(MEAN_RETRY_DELAY));
         let at = self.now().plus(delay);
-        if request.attempts_left > 0 && request.until.is_none_or(|until| at < until) {
+        if request.attempts_left > 0 && request.caller_deadline.is_none_or(|until| at < until) {
             self.schedule(at, Event::Attempt(request));
         }
     }
 
-    /// Bytes of the node on a connection of a gateway.
+    /// Processes bytes that the node has sent on a connection of a gateway.
     pub(super) fn on_answer_bytes(&mut self, now: Timestamp, side: Side, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&side) else { return };
         let answers = match connection.reader.take(bytes) {
             Ok(answers) => answers,
-            Err(what) => return self.rules.report(now, "unreadable", what.to_string()),
+            Err(error) => return self.rules.report(now, "unreadable", error.to_string()),
         };
         for answer in answers {
             self.on_answer(now, side, &answer);
@@ -237,27 +261,33 @@
     fn on_answer(&mut self, now: Timestamp, side: Side, answer: &Answer) {
         let connection = self.connections.get_mut(&side);
         let Some(id) = connection.and_then(|connection| connection.open.remove(&answer.id)) else {
-            let observed = format!("an answer to number {}, which is not open", answer.id);
+            let observed = format!(
+                "the node answered FastCGI request id {}, which is not open on its connection",
+                answer.id
+            );
             return self.rules.report(now, "duplicate", observed);
         };
-        self.note(|| format!("{id} answered {}", answer.status));
+        self.trace_event(|| format!("{id} answered {}", answer.status));
         self.rules.on_answer(now, &id, answer.status, &answer.body);
         let Some(OpenAttempt { request, .. }) = self.attempts.remove(&id) else { return };
         let served = answer.status == 200;
         let keyed = request.key.is_some();
         if served && keyed && self.rng.chance(0.2) {
-            // Some repeats come around the end of the window, from well within it to just past it.
+            // Some keyed requests are repeated around the end of the window, from well within it to just past
+            // it.
             let delay = self.site.window.0 - LATE_REPEAT_LEAD_US + self.rng.below(LATE_REPEAT_SPREAD_US);
-            let late = Request { attempts_left: 1, until: None, ..request.clone() };
+            let late = Request { attempts_left: 1, caller_deadline: None, ..request.clone() };
             self.schedule(now.plus(Micros(delay)), Event::Attempt(late));
         }
-        // A keyed request is sometimes repeated after its result too, as the way back may have been lost.
+        // A keyed request is sometimes repeated even after its result, as a gateway does when the result is
+        // lost on the way to the client.
         if !served || keyed && self.rng.chance(0.3) {
             self.schedule_retry(request);
         }
     }
 }
 
+/// Rounds a time down to whole milliseconds.
 fn whole_millis(time: Micros) -> Micros {
     Micros(time.0 / 1000 * 1000)
 }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,5 +1,6 @@
-//! One simulated world: a node on the simulated network, fakes of its kernel, its gateways, the downstream tier and the
-//! membership service, and a plan of faults, all drawn from one seed. After each event every rule is checked.
+//! One simulated world: a node on the simulated network, the fakes of its kernel, its gateways, the
+//! downstream tier and the membership service, and a plan of faults. The settings, the traffic and the faults
+//! are drawn from one seed. All rules are checked after each event.
 
 use crate::fakes::kernel::Kernel;
 use crate::faults::{Fault, draw_faults};
@@ -25,70 +26,74 @@
 mod gateways;
 
 const SIGTERM: i32 = 15;
+/// Number of gateways that send requests to the node.
 const GATEWAYS: u64 = 3;
 const NODE_PORT: u16 = 6565;
 const KERNEL_PORT: u16 = 6100;
 const DOWNSTREAM_PORT: u16 = 9042;
 const MEMBERSHIP_PORT: u16 = 7946;
-/// Descriptors that the node may use.
+/// Number of file descriptors that the node may use.
 const MAX_DESCRIPTORS: usize = 384;
-/// A process that has ended is started again after this.
+/// Time after which a process that has ended is started again.
 const RESTART_DELAY: Micros = Micros::millis(500);
-/// From SIGTERM to SIGKILL.
-const STOP: Micros = Micros::millis(4_000);
-/// Iterations of the event loop at one moment of the simulated clock after which the node counts as busy waiting.
+/// Time from SIGTERM to SIGKILL.
+const STOP_TIMEOUT: Micros = Micros::millis(4_000);
+/// Number of iterations of the event loop at one moment of the virtual clock above which the node counts as
+/// busy waiting.
 const MAX_ITERATIONS_AT_ONE_TIME: u32 = 1_000;
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
+/// An event that is scheduled for a time of the virtual clock.
 #[derive(Debug)]
 enum Event {
     /// A client's request reaches a gateway.
     Arrive,
-    /// A gateway makes an attempt: the first one or a retry.
+    /// A gateway sends a retry or a later repeat of a request.
     Attempt(Request),
-    /// A gateway stops waiting for this attempt.
+    /// A gateway stops waiting for the answer to the attempt with this id.
     Abandon(String),
-    /// A fault of the plan happens.
+    /// The fault with this index in the plan begins.
     Fault(usize),
-    /// The effect of a fault ends.
-    Over(Fault),
-    /// SIGKILL for the process of this incarnation, if it still drains.
-    Stop(u32),
-    /// The downstream tier sends a reply.
+    /// The effect of this fault ends.
+    FaultEnd(Fault),
+    /// The process of this incarnation is sent SIGKILL, if it still drains.
+    Kill(u32),
+    /// The downstream tier sends this reply on its side of a connection.
     Reply(Side, Vec<u8>),
 }
 
-/// The result of a world.
+/// The result of a simulated world.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Its seed.
+    /// Seed of the world.
     pub seed: u64,
-    /// Violations of the rules; the world ends at the first.
+    /// Violations of the rules. The world ends after the step in which the first violation occurs.
     pub violations: Vec<Violation>,
-    /// Digest of all bytes that the node sent, with their times.
+    /// Digest of all bytes that the node sent, with their times: equal for equal runs.
     pub digest: String,
-    /// Attempts that gateways sent.
+    /// Number of attempts that gateways sent.
     pub attempts: u64,
-    /// Attempts that were served.
+    /// Number of attempts that were served.
     pub served: u64,
-    /// Attempts that were rejected: they never ran.
+    /// Number of attempts that were rejected: they never ran.
     pub rejected: u64,
-    /// Attempts that failed.
+    /// Number of attempts that failed.
     pub failed: u64,
-    /// Its faults, by time from the beginning.
+    /// Plan of faults, each with its time since the start of the world; includes faults that were skipped.
     pub plan: Vec<(Micros, Fault)>,
-    /// Its site, on one line.
+    /// Characteristics of the site, on one line.
     pub site: String,
-    /// Runs that continued without their outbound call.
+    /// Number of runs that continued without their outbound call.
     pub skipped: u64,
-    /// What happened, in words, if a trace was requested.
+    /// Lines that describe each event, then the node's counters that are not zero; empty unless a trace was
+    /// requested.
     pub trace: Vec<String>,
 }
 
-/// Iterations of the node's event loop at one moment of the simulated clock.
+/// Number of iterations of the node's event loop at one moment of the virtual clock, after the first.
 struct Iterations {
     at: Timestamp,
     count: u32,
@@ -98,35 +103,45 @@
 pub struct World {
     net: Rc<RefCell<Network>>,
     node: Option<Node<VirtualSystem>>,
+    /// Number of processes of the node that were started so far.
     incarnation: u32,
-    /// When the node wants to run again though nothing may be ready.
+    /// When the node's event loop runs next even if no socket is ready.
     wake: Timestamp,
     kernel: Kernel,
+    /// The kernel's side of its link to the node, if there is one.
     kernel_side: Option<Side>,
-    /// Connections to the downstream tier, with what was read of a call.
+    /// The downstream tier's sides of its connections, with the bytes of a call that is not complete.
     downstream: BTreeMap<Side, Vec<u8>>,
+    /// Connections of the gateways to the node, by the gateway's side.
     connections: BTreeMap<Side, GatewayConnection>,
-    /// Attempts without a final answer, by id.
+    /// Attempts that have no answer yet and were not abandoned, by id.
     attempts: BTreeMap<String, OpenAttempt>,
+    /// Scheduled events, by time and order of scheduling.
     events: BTreeMap<(Timestamp, u64), Event>,
     next_event: u64,
     rules: Rules,
     rng: SimRng,
     plan: Vec<(Micros, Fault)>,
     site: Site,
+    /// Number of runs that continued without their outbound call at kernels that have been replaced.
     skipped: u64,
+    /// Present arrival rate, in requests per second.
     rate: f64,
     begin: Timestamp,
+    /// When requests stop to arrive; those under way are followed to their end.
     end: Timestamp,
     next_id: u64,
-    leaving: bool,
+    /// Whether the present process was sent SIGTERM.
+    is_draining: bool,
+    /// Number of attempts that gateways sent.
     sent: u64,
     trace: Option<Vec<String>>,
     iterations: Iterations,
 }
 
 impl World {
-    /// The world of a seed, for so long; `skip` leaves faults of the plan out; `trace` keeps what happens in words.
+    /// Creates the world of a seed, in which requests arrive for the duration `length`. `skip` contains the
+    /// indices of faults in the plan that are left out; `trace` enables [`Outcome::trace`].
     pub fn new(seed: u64, length: Micros, skip: &BTreeSet<usize>, trace: bool) -> Self {
         let net = Network::new(seed);
         let now = net.borrow().moment().mono;
@@ -153,7 +168,7 @@
             begin: now,
             end: now.plus(length),
             next_id: 1,
-            leaving: false,
+            is_draining: false,
             sent: 0,
             trace: trace.then(Vec::new),
             iterations: Iterations { at: now, count: 0 },
@@ -179,7 +194,8 @@
         self.events.insert((t, self.next_event), event);
     }
 
-    fn note(&mut self, text: impl FnOnce() -> String) {
+    /// Adds a line with the time since the start of the world to the trace, if there is one.
+    fn trace_event(&mut self, text: impl FnOnce() -> String) {
         let at = self.now().since(self.begin);
         if let Some(trace) = &mut self.trace {
             trace.push(format!("{:>10} us  {}", at.0, text()));
@@ -189,18 +205,19 @@
     fn configuration(&self, seed: u64) -> String {
         let mut text = json!({"name": "n1", "listen": address(NODE_PORT).to_string(),
             "kernel": address(KERNEL_PORT).to_string(), "members": address(MEMBERSHIP_PORT).to_string(),
-            "seed": format!("{seed:x}"), "stop_ms": STOP.0 / 1000,
-            "limits": {"cores": 1.0, "memory_mb": 32, "sockets": MAX_DESCRIPTORS}, "settings": self.site.settings(GATEWAYS)});
+            "seed": format!("{seed:x}"), "stop_ms": STOP_TIMEOUT.0 / 1000,
+            "limits": {"cores": 1.0, "memory_mb": 32, "sockets": MAX_DESCRIPTORS},
+            "settings": self.site.settings(GATEWAYS)});
         if self.site.has_downstream {
             text["store"] = json!(address(DOWNSTREAM_PORT).to_string());
         }
         text.to_string()
     }
 
-    /// Starts a process of the node, with a new seed of its own.
+    /// Starts the next process of the node, with a seed that is derived from the seed of the world.
     fn start(&mut self, seed: u64) {
         self.incarnation += 1;
-        self.leaving = false;
+        self.is_draining = false;
         let text = self.configuration(seed.wrapping_add(u64::from(self.incarnation)));
         let node = config::parse(&text, None, None, None).map_err(|e| e.to_string()).and_then(|c| {
             Node::start(VirtualSystem(self.net.clone()), c, Logs::default()).map_err(|e| e.to_string())
@@ -210,14 +227,15 @@
             Err(e) => self.rules.report(self.now(), "start", e),
         }
         self.wake = self.now();
-        self.note(|| "the process starts".to_string());
+        self.trace_event(|| "the process starts".to_string());
     }
 
-    /// Runs the world to its end.
+    /// Runs the world until its end or its first violation. `seed` is the seed with which it was created.
     pub fn run(mut self, seed: u64) -> Outcome {
-        // After the last arrival each request is followed to its end.
-        let last = self.end.plus(self.site.max_deadline()).plus(STOP);
-        while let Some(t) = self.step_time().filter(|t| *t <= last) {
+        // After the last arrival, the world runs on for the longest deadline and the time of a stop, so that
+        // each request is followed to its end.
+        let latest = self.end.plus(self.site.max_deadline()).plus(STOP_TIMEOUT);
+        while let Some(t) = self.step_time().filter(|t| *t <= latest) {
             if !self.rules.violations.is_empty() {
                 break;
             }
@@ -243,7 +261,8 @@
         }
     }
 
-    /// When the next thing happens.
+    /// When the next step is due: the time of the next event, packet, node iteration, kernel change or
+    /// overdue answer.
     fn step_time(&self) -> Option<Timestamp> {
         let event = self.events.first_key_value().map(|((t, _), _)| *t);
         let node = self.node.as_ref().map(|_| self.wake);
@@ -252,13 +271,13 @@
         times.into_iter().flatten().min().map(|t| t.max(self.now()))
     }
 
-    /// Has everything happen that is due at `t`, then checks the rules.
+    /// Moves the world to time `t`: executes all that is due by then, runs the node, and checks the rules.
     fn step(&mut self, t: Timestamp, seed: u64) {
         self.net.borrow_mut().advance(t);
         self.kernel.advance(t);
         while let Some(entry) = self.events.first_entry().filter(|e| e.key().0 <= t) {
             let event = entry.remove();
-            self.event(event, seed);
+            self.handle_event(event, seed);
         }
         self.deliver_to_actors();
         self.run_node(t);
@@ -266,15 +285,22 @@
         self.rules.check_overdue(t);
         let load = self.kernel.concurrency_load(t);
         if load >= 1.0 {
-            self.rules.report(t, "fall-over", format!("{load:.2} of the crowd that is survived"));
+            self.rules.report(
+                t,
+                "fall-over",
+                format!("the concurrency load of the kernel is {load:.2}; it falls over at 1"),
+            );
         }
         let sockets = self.net.borrow().node_sockets();
         if sockets > MAX_DESCRIPTORS {
-            let observed = format!("{sockets} connections of {MAX_DESCRIPTORS} descriptors");
+            let observed = format!(
+                "the node has {sockets} open connections; its limit is {MAX_DESCRIPTORS} file descriptors"
+            );
             self.rules.report(t, "descriptors", observed);
         }
     }
 
+    /// Runs one iteration of the node's event loop if a socket is ready or its wake time has come.
     fn run_node(&mut self, t: Timestamp) {
         let ready = self.net.borrow().ready();
         let Some(node) = &mut self.node else { return };
@@ -287,28 +313,32 @@
             self.iterations = Iterations { at: t, count: 0 };
         }
         if self.iterations.count > MAX_ITERATIONS_AT_ONE_TIME {
-            self.rules.report(t, "busy", format!("turns without end; ready: {ready:?}"));
+            self.rules.report(
+                t,
+                "busy",
+                format!("the event loop ran without end at one moment; ready: {ready:?}"),
+            );
         }
         let next = node.run_iteration(&ready);
-        // A path on which a request ends uncounted, or twice, shows as metrics that do not add up.
+        // The metrics are inconsistent if a request ends without being counted, or is counted twice.
         if !node.request_metrics().is_consistent(node.open_attempts()) {
             let observed = node.request_metrics().render(node.open_attempts(), &[]);
             self.rules.report(t, "figures", observed);
         }
         match next {
-            // Time passes while a node works: the next iteration is a moment later.
+            // An iteration takes time: the next one is at least 1 us later.
             Some(wake) => self.wake = wake.max(t.plus(Micros(1))),
             None => {
                 self.node = None;
                 self.net.borrow_mut().kill_node();
-                self.note(|| "the process has ended by itself".to_string());
+                self.trace_event(|| "the process has ended by itself".to_string());
                 self.rules.on_stopped(t);
                 self.restart_after(RESTART_DELAY);
             }
         }
     }
 
-    fn event(&mut self, event: Event, seed: u64) {
+    fn handle_event(&mut self, event: Event, seed: u64) {
         let now = self.now();
         match event {
             Event::Arrive => {
@@ -322,17 +352,17 @@
             Event::Attempt(request) => self.send_attempt(request),
             Event::Abandon(id) => self.abandon(&id),
             Event::Reply(side, bytes) => self.net.borrow_mut().write_all(side, &bytes),
-            Event::Fault(i) => self.fault(self.plan[i].1),
-            Event::Over(Fault::Burst(_)) => self.rate = self.site.rate,
-            Event::Over(Fault::Slow(_)) => self.kernel.speed = 1.0,
-            Event::Over(Fault::Death(_)) if self.node.is_none() => {
+            Event::Fault(i) => self.inject_fault(self.plan[i].1),
+            Event::FaultEnd(Fault::Burst(_)) => self.rate = self.site.rate,
+            Event::FaultEnd(Fault::Slow(_)) => self.kernel.speed = 1.0,
+            Event::FaultEnd(Fault::Death(_)) if self.node.is_none() => {
                 self.skipped += self.kernel.skipped;
                 self.kernel = Kernel::new(now, CORES, true);
                 self.kernel.can_preempt = self.site.preemption != "silent";
                 self.start(seed);
             }
-            Event::Over(_) => {}
-            Event::Stop(incarnation) => {
+            Event::FaultEnd(_) => {}
+            Event::Kill(incarnation) => {
                 if incarnation == self.incarnation && self.node.is_some() {
                     self.rules.on_stopped(now);
                     self.kill();
@@ -343,7 +373,7 @@
     }
 }
 
-/// Runs the world of a seed.
+/// Creates the world of a seed and runs it; the parameters are those of [`World::new`].
 pub fn play(seed: u64, length: Micros, skip: &BTreeSet<usize>, trace: bool) -> Outcome {
     World::new(seed, length, skip, trace).run(seed)
 }
