--- a/crates/fakes/src/postgres/database.rs
+++ b/crates/fakes/src/postgres/database.rs
@@ -128,7 +128,7 @@
     pub(super) stalled: u64,
     /// Id of the client whose transaction holds the lock on a node's epoch row, by node name.
     pub(super) locks: HashMap<String, u64>,
-    /// Number of clients that have connected so far; the latest client has it as its id.
+    /// Number of clients that have connected so far; the next client gets the next number as its id.
     pub(super) clients: u64,
     /// Handles of the open connections, with which a stop of the server closes them.
     pub(super) connections: Vec<TcpStream>,
--- a/crates/simulation/src/fakes/kernel.rs
+++ b/crates/simulation/src/fakes/kernel.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Number of the latest notices that the kernel keeps, to repeat them on a new link.
+/// Maximum number of notices that the kernel keeps to repeat them on a new link; it drops the oldest.
 const MAX_KEPT_NOTICES: usize = 4_000;
 /// Share of a run's work that is left when the run makes its outbound call.
 const CALL_AT_SHARE: f64 = 0.5;
@@ -79,6 +79,7 @@
     requests: BTreeMap<String, RequestFacts>,
     /// Time up to which the runs have been simulated.
     advanced_to: Timestamp,
+    /// Bytes received on the link that do not form a complete line yet.
     input: Vec<u8>,
     /// Lines that are to be sent to the node on the link.
     pub output: Vec<u8>,
@@ -89,7 +90,7 @@
     /// For each interval of the last 2 s, its start and the number of runs on the cores multiplied by the
     /// length of the interval in microseconds: the base of the mean concurrency.
     concurrency_samples: VecDeque<(Timestamp, f64)>,
-    /// Number of results so far; part of each result, so that no two are equal.
+    /// Number of results so far. It is part of each result, so that no two are equal.
     results: u64,
 }
 
--- a/crates/simulation/src/world/gateways.rs
+++ b/crates/simulation/src/world/gateways.rs
@@ -107,6 +107,7 @@
         Request { class, key, body: id.into_bytes(), work, attempts_left, caller_deadline: None, resource }
     }
 
+    /// Returns the next unused id of a request or an attempt, as 16 hexadecimal digits.
     fn new_id(&mut self) -> String {
         self.next_id += 1;
         format!("{:016x}", self.next_id)
@@ -143,8 +144,8 @@
 
     /// Returns a connection of the gateway that has room for one more attempt, or opens one.
     fn connection_for(&mut self, gateway: u64) -> Side {
-        // Some requests get a new connection, which carries no other bytes while they are open unless later
-        // requests share it.
+        // Some requests get a new connection, so that nothing else passes on it while they are open, unless a
+        // later request shares it.
         let shares = self.rng.chance(0.7);
         let has_room = |connection: &GatewayConnection| {
             shares && connection.gateway == gateway && connection.open.len() < MAX_OPEN_REQUESTS
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -128,7 +128,7 @@
     /// Present arrival rate, in requests per second.
     rate: f64,
     begin: Timestamp,
-    /// When requests stop to arrive; those under way are followed to their end.
+    /// When requests stop arriving; requests that are under way then are followed to their end.
     end: Timestamp,
     next_id: u64,
     /// Whether the present process was sent SIGTERM.
