--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,9 +1,11 @@
-//! The second address: connections of operators, each with one call line and one answer.
+//! The second address, at which operators call the node: each connection carries one line with a call, and
+//! one answer.
 //!
-//! Descriptors are reserved for it, so that it answers while the table of gateways' connections is full. The
-//! number of connections, the length of their lines and their time are bounded; if no slot is free for a new
-//! connection, the oldest one without an answer is evicted. This module knows nothing about requests: the
-//! event loop makes the answers. In this module a caller is the operator's side of a connection.
+//! File descriptors are reserved for these connections, so that operators get answers even while the table of
+//! gateways' connections is full. The number of the connections, the length of a line and the duration of a
+//! connection are bounded; if no slot is free for a new connection, the oldest one without an answer is
+//! evicted. This module knows nothing about requests: the event loop makes the answers. In this module a
+//! caller is the operator's side of a connection.
 
 use super::io::{Listener, Ready, Stream, System};
 use super::write_queue::WriteQueue;
@@ -11,23 +13,24 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Most callers that are connected at a time: enough for a few operators and their monitoring.
+/// Maximum number of callers that are connected at a time: enough for a few operators and their monitoring.
 pub const MAX_CALLERS: usize = 8;
 /// Descriptors that are reserved for the second address: those of the callers and of the listener.
 pub const RESERVED_DESCRIPTORS: usize = MAX_CALLERS + 1;
-/// Most bytes of a line, with its end, for calls that are not about the cluster; such a call is a single
-/// word.
+/// Maximum length, in bytes and with its end, of the line of a call that is not about the cluster; such a
+/// call is a single word.
 const MAX_LINE_BYTES: usize = 64;
-/// The start of the line of a call about the cluster.
+/// Text with which the line of a call about the cluster starts.
 const CLUSTER_PREFIX: &str = "FLEET ";
-/// Most bytes of the line of a call about the cluster, which may hold the content of a version.
+/// Maximum length, in bytes, of the line of a call about the cluster; the line may contain the content of a
+/// version.
 const MAX_CLUSTER_LINE_BYTES: usize = gaugestand_cluster::wire::MAX_CONTENT_BYTES + MAX_LINE_BYTES;
-/// Most bytes that are read at a time from a caller of a node in a cluster.
+/// Maximum number of bytes that are read at a time from a caller, on a node that belongs to a cluster.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Most bytes of input after the line that are read and dropped at a time.
+/// Maximum number of bytes of input after the line that are read and dropped at a time.
 const DROPPED_CHUNK_BYTES: usize = 512;
-/// Most chunks that are dropped in a row, so that a caller that goes on sending does not block the event
-/// loop.
+/// Maximum number of chunks that are dropped in a row, so that a caller that goes on sending does not block
+/// the event loop.
 const MAX_DROPPED_CHUNKS: usize = 16;
 /// Time after which a caller that has not sent its line or not read its answer is disconnected.
 const CALLER_TIMEOUT: Micros = Micros::millis(5_000);
@@ -39,7 +42,7 @@
     Ping,
     /// INFO: asks for the request metrics.
     Info,
-    /// FLEET: a call about the cluster; holds the rest of the line after that word.
+    /// FLEET: a call about the cluster; contains the rest of the line after the word FLEET.
     Cluster(String),
 }
 
@@ -63,7 +66,7 @@
     NotText,
 }
 
-/// The input of a caller so far, parsed.
+/// Result of parsing the input that a caller has sent so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerInput {
     /// The line is not complete yet.
@@ -103,7 +106,8 @@
     }
 }
 
-/// Most bytes of a line that starts like `input`.
+/// Maximum length, in bytes, of the line that starts with `input`; the start tells whether the call is about
+/// the cluster.
 fn max_line_bytes(input: &[u8], in_cluster: bool) -> usize {
     let is_cluster_call = in_cluster && input.starts_with(CLUSTER_PREFIX.as_bytes());
     if is_cluster_call { MAX_CLUSTER_LINE_BYTES } else { MAX_LINE_BYTES }
@@ -136,7 +140,7 @@
     in_cluster: bool,
 }
 
-/// A new second address with its listener, prepared for [`Admin::move_to`].
+/// The newly configured second address, if there is one, with its listener; prepared for [`Admin::move_to`].
 #[derive(Debug)]
 pub struct PreparedMove<S: System> {
     configured: Option<SocketAddr>,
@@ -224,7 +228,8 @@
         }
     }
 
-    /// The slot of the caller to evict: of those without an answer the oldest, or else the oldest of all.
+    /// The slot of the caller to evict: the oldest caller without an answer, or the oldest of all if every
+    /// caller has an answer.
     fn eviction_candidate(&self) -> Option<usize> {
         let order = |caller: &Option<Caller<S::Stream>>| {
             caller.as_ref().map(|caller| (caller.answered, caller.since))
@@ -313,8 +318,8 @@
     /// answer is dropped.
     fn read(&mut self, in_cluster: bool) -> io::Result<bool> {
         let mut chunk = [0; READ_CHUNK_BYTES];
-        // Without a cluster no more is read than the longest line and one byte, which shows that the line is
-        // too long.
+        // A node without a cluster reads at most one byte more than the longest line; that byte shows that
+        // the line is too long.
         let max_read = if in_cluster { READ_CHUNK_BYTES } else { MAX_LINE_BYTES + 1 };
         match self.stream.read(&mut chunk[..max_read]) {
             Ok(0) => Ok(true),
@@ -331,7 +336,8 @@
         }
     }
 
-    /// Keeps input up to one byte more than the line may have, which shows that the line is too long.
+    /// Keeps input up to one byte more than the maximum length of the line; that byte shows that the line is
+    /// too long.
     fn keep(&mut self, bytes: &[u8], in_cluster: bool) {
         let line_start = if self.input.is_empty() { bytes } else { &self.input };
         let max_bytes = max_line_bytes(line_start, in_cluster);
--- a/crates/node/src/config/error.rs
+++ b/crates/node/src/config/error.rs
@@ -64,17 +64,17 @@
     /// A number or a duration is outside the accepted range.
     #[error("is out of range")]
     OutOfRange,
-    /// A duration is zero that must not be.
+    /// A duration that must be above zero is zero.
     #[error("must be above 0")]
     Zero,
-    /// There are too few descriptors to serve anything. Contains the minimum.
+    /// There are too few descriptors to serve anything. Contains the minimum number.
     #[error("must be at least {0}")]
     TooFewDescriptors(usize),
-    /// There are too few descriptors for a node with an idempotency store. Contains the minimum.
+    /// There are too few descriptors for a node with an idempotency store. Contains the minimum number.
     #[error("must be at least {0} with an idempotency store (`record` in the script)")]
     TooFewDescriptorsForStore(usize),
     /// There are too few descriptors for a node with links to the other nodes of a cluster. Contains the
-    /// minimum.
+    /// minimum number.
     #[error("must be at least {0} in a cluster (`fleet` in the script)")]
     TooFewDescriptorsForCluster(usize),
     /// A name is empty or contains whitespace.
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -25,7 +25,8 @@
 pub use error::{ConfigError, Problem};
 pub use reload::{reload, validate_change, with_settings};
 
-/// Environment variable with the path of the JSON file; also the name of the file's contents in errors.
+/// Environment variable with the path of the JSON file; errors about the JSON text of that file start with
+/// the variable's name, too.
 const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
 /// Environment variables that override the name and the addresses of the JSON file.
 const NAME_VARIABLE: &str = "BALANCER_NAME";
--- a/crates/node/src/config/raw.rs
+++ b/crates/node/src/config/raw.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Deserializer};
 
-/// Maximum of a duration, in nanoseconds: a million seconds. A longer one is taken for a mistake.
+/// Maximum of a duration, in nanoseconds: a million seconds. A longer duration is rejected as a mistake.
 const MAX_NANOS: f64 = 1e15;
 
 #[derive(Deserialize)]
--- a/crates/node/src/config/reload.rs
+++ b/crates/node/src/config/reload.rs
@@ -9,8 +9,7 @@
 use super::{Config, ConfigError, Problem, load, parse};
 use serde_json::Value;
 
-/// Keys of `settings.extra` with one value per class. They are taken from the settings that the classes come
-/// from.
+/// Keys of `settings.extra` with one value per class. They are taken from the same settings as the classes.
 const BY_CLASS_KEYS: [&str; 2] = ["class-calls", "class-skip-worth"];
 
 /// Loads the configuration again, as at the start, and checks that it may replace the present one.
@@ -25,8 +24,8 @@
 }
 
 /// Returns the configuration with other settings of the engine. The node keeps its own `extra` part (cores,
-/// memory, what calls go to) except for the keys with one value per class. `local` are the settings of the
-/// node's own file, which also apply if `settings` is null.
+/// memory and the name of the tier that outbound calls go to, for example) except for the keys with one value
+/// per class. `local` are the settings of the node's own file, which also apply if `settings` is null.
 ///
 /// # Errors
 /// The settings are invalid in this node's configuration, as in [`parse`]; the caller keeps the present
@@ -90,9 +89,10 @@
     }
 }
 
-/// Returns the path of the first key of `old` that is missing in `new`, or null there but not in `old`. In an
-/// array, whose elements are found by their `name`, an element with a known name must have all keys that it
-/// had, and a new one those that all old elements have.
+/// Returns the path of the first key of `old` that is missing in `new`, or that is null in `new` but not in
+/// `old`. Elements of arrays are matched by their `name`: an element whose name is in both arrays must have
+/// all keys that it has in `old`, and an element with a new name must have the keys that all elements of
+/// `old` have.
 fn find_removed_key(old: &Value, new: &Value, path: &str) -> Option<String> {
     let path_to = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
     match (old, new) {
--- a/crates/node/src/config/validation.rs
+++ b/crates/node/src/config/validation.rs
@@ -14,9 +14,9 @@
 /// Share of the process's memory that idempotency keys and their results may take; the rest is for open
 /// requests.
 const VOLATILE_MEMORY_SHARE: f64 = 0.5;
-/// Maximum of a count, such as cores, callers or megabytes. A higher one is taken for a mistake.
+/// Maximum of a count, such as cores, callers or megabytes. A higher value is rejected as a mistake.
 const MAX_COUNT: f64 = 1e6;
-/// Maximum of a quantity, such as a weight or kilobytes. A higher one is taken for a mistake.
+/// Maximum of a quantity, such as a weight or kilobytes. A higher value is rejected as a mistake.
 const MAX_QUANTITY: f64 = MAX_COUNT * MAX_COUNT;
 
 /// Checks a configuration as it was read, and converts it. The fields `file`, `script` and `operators` are
--- a/crates/node/src/connections/connection.rs
+++ b/crates/node/src/connections/connection.rs
@@ -1,5 +1,5 @@
-//! One connection of a gateway: its state, reading and writing, and what its timeouts and bounds are measured
-//! from.
+//! One connection of a gateway: its state, its reading and writing, and the times and counts that its
+//! timeouts and bounds are computed from.
 
 use super::lingering_close::LingeringClose;
 use super::{ConnectionId, MAX_OPEN_REQUESTS, OpenRequest, READ_CHUNK_BYTES};
@@ -20,8 +20,9 @@
 /// against a client that repeats its request at once, here or on a new connection: answering every repetition
 /// would delay the gateways.
 const BAD_REQUEST_CLOSE_DELAY: Micros = Micros::millis(250);
-/// Most bytes of records that belong to no open request, between two complete requests. Guards against a
-/// client that keeps sending records of a request that has ended and would be read for ever.
+/// Maximum number of bytes of records that belong to no open request, counted between two complete requests.
+/// Guards against a client that keeps sending records of a request that has ended: such records would be read
+/// for ever.
 const MAX_STRAY_BYTES: usize = 64 * 1024;
 
 /// One connection: its socket and its state.
@@ -52,11 +53,11 @@
     /// When input was last read or output last written.
     #[serde(rename = "used")]
     pub(super) last_active: Timestamp,
-    /// Since when no output could be written, counted from the first attempt to write; none if no output
-    /// waits.
+    /// Time since which no output could be written, counted from the first attempt to write; none if no
+    /// output waits.
     #[serde(rename = "stuck")]
     pub(super) write_blocked_since: Option<Timestamp>,
-    /// Since when the input ends with an incomplete record; none if it does not.
+    /// Time since which the input ends with an incomplete record; none while there is no incomplete record.
     #[serde(rename = "partial")]
     pub(super) partial_since: Option<Timestamp>,
     /// Whether a complete and valid request has arrived on the connection.
@@ -79,7 +80,7 @@
     /// many bad requests.
     #[serde(rename = "deaf")]
     pub(super) reading_stopped: bool,
-    /// Whether the other side has shut its write side; no input can be unread then.
+    /// Whether the other side has shut its write side, after which no unread input is left.
     #[serde(rename = "half_closed")]
     pub(super) peer_ended: bool,
     /// The lingering close of the connection, once its write side is shut; further input is read and dropped.
@@ -196,8 +197,8 @@
         self.state.reading_stopped
     }
 
-    /// Whether an event of the poller can only mean that the other side has reset the connection: it is
-    /// neither read nor written.
+    /// Whether an event of the poller can only mean that the other side has reset the connection: the node
+    /// neither reads from the connection nor writes to it.
     pub fn is_reset(&self) -> bool {
         self.state.reading_stopped && self.state.output.is_empty()
     }
@@ -272,8 +273,8 @@
         self.stream.watch(false, !self.state.output.is_empty())
     }
 
-    /// Keeps the incomplete record at the end of the input for the next read; `follows_record` if complete
-    /// records preceded it, so that the time of `INCOMPLETE_TIMEOUT` starts anew.
+    /// Keeps the incomplete record at the end of the input for the next read. `follows_record` tells whether
+    /// complete records preceded it; if so, `INCOMPLETE_TIMEOUT` starts anew.
     pub fn keep_partial_record(&mut self, now: Timestamp, rest: &[u8], follows_record: bool) {
         if !self.state.reading_stopped {
             self.state.partial_record.clear();
--- a/crates/node/src/connections/idle.rs
+++ b/crates/node/src/connections/idle.rs
@@ -1,4 +1,5 @@
-//! Timeouts of connections: when a connection on which nothing, or not enough, happens is closed.
+//! Timeouts of connections: a connection is closed if it is idle, if its input stays incomplete, or if the
+//! other side does not read its answers.
 //!
 //! | State of the connection | Closed after | How |
 //! | --- | --- | --- |
@@ -18,16 +19,19 @@
 use gaugestand_admission::time::{Micros, Timestamp};
 
 /// Time after which a connection is closed if the other side has read none of the bytes that wait to be
-/// written: its answers would fill memory. A gateway that is alive reads within milliseconds.
+/// written; without this limit, unread answers would fill the memory. A gateway that is alive reads within
+/// milliseconds.
 pub(super) const WRITE_STALL_TIMEOUT: Micros = Micros::millis(10_000);
 /// Time after which an incomplete record or request, or a connection without a request, is ended. The sender
-/// has to see an end within 3 s; half of that is left for a check that runs late.
+/// has to see an end within 3 s; the timeout is half of that, and the other half is left for a check that
+/// runs late.
 pub(super) const INCOMPLETE_TIMEOUT: Micros = Micros::millis(1_500);
 /// Time between two checks of all connections: short compared with the timeouts, and rare enough that walking
 /// the table costs little.
 pub(super) const TIMEOUT_CHECK_INTERVAL: Micros = Micros::millis(50);
 
-/// What a check of the timeouts has ended; the event loop completes it.
+/// The attempts and requests that a check of the timeouts has found to be over; the event loop handles their
+/// end.
 #[derive(Debug, Default)]
 pub struct Expired {
     /// Attempts whose answer was pending on a connection that was closed.
@@ -117,8 +121,8 @@
         self.slots.iter().flatten().filter(|connection| connection.is_idle())
     }
 
-    /// Whether an idle connection still has no unread input. If it has some, the connection counts as active
-    /// now.
+    /// Whether an idle connection still has no unread input. If unread input is found, the connection counts
+    /// as active now.
     pub(super) fn is_unused(&mut self, now: Timestamp, id: ConnectionId) -> bool {
         // Guards against closing a connection on which a request has been sent but not read: the request
         // would be lost, and its gateway would have to treat the reset as a failure of the node.
@@ -158,8 +162,8 @@
     }
 
     /// Whether the other side has read nothing of the waiting output for [`WRITE_STALL_TIMEOUT`]. The time
-    /// counts from the first attempt to write and not from the last activity: an answer that was queued a
-    /// moment ago may be the first one in longer than the timeout.
+    /// counts from the first attempt to write and not from the last activity: before an answer that was
+    /// queued a moment ago, the connection may have had nothing to write for longer than the timeout.
     fn is_stalled(&self, now: Timestamp) -> bool {
         self.state.write_blocked_since.is_some_and(|since| now.since(since) >= WRITE_STALL_TIMEOUT)
     }
--- a/crates/node/src/connections/lingering_close.rs
+++ b/crates/node/src/connections/lingering_close.rs
@@ -16,8 +16,8 @@
 /// How long input is read and dropped after the write side was shut: several round trips to a gateway that is
 /// alive. A gateway that is not alive must not keep its descriptor for longer.
 pub(super) const LINGERING_CLOSE_TIMEOUT: Micros = Micros::millis(500);
-/// Most bytes that are read and dropped in a lingering close. The connection of a client that sends more is
-/// no longer read and is closed after [`LINGERING_CLOSE_TIMEOUT`].
+/// Maximum number of bytes that are read and dropped in a lingering close. The connection of a client that
+/// sends more is no longer read and is closed after [`LINGERING_CLOSE_TIMEOUT`].
 pub(super) const MAX_DROPPED_BYTES: usize = 64 * 1024;
 
 /// The state of a connection's lingering close.
@@ -53,8 +53,8 @@
         if connection.is_closing() {
             return Vec::new();
         }
-        // If the other side has ended, no input can be unread, and if the socket fails, no answer can be
-        // saved.
+        // The socket is closed at once if the other side has ended, as no unread input is left then, or if
+        // the socket fails, as the last answer is then lost in any case.
         if connection.state.peer_ended
             || connection.stream.shut_writing().is_err()
             || connection.stream.watch(true, false).is_err()
--- a/crates/node/src/connections/listener.rs
+++ b/crates/node/src/connections/listener.rs
@@ -16,10 +16,10 @@
 /// kernel, membership reports, signals, and some spare ones.
 pub(super) const OWN_DESCRIPTORS: usize = 20;
 /// Age up to which a connection without a request ranks last for eviction. Gateways connect when they have
-/// something to send, so its first request is probably on its way.
+/// something to send, so the first request of such a connection is probably on its way.
 const NEWCOMER_GRACE: Micros = Micros::millis(100);
-/// Most connections that are examined to find one that can be evicted. Each examination is a system call, and
-/// this is done for each new connection.
+/// Maximum number of connections that are examined to find one that can be evicted. Each examination is a
+/// system call, and this is done for each new connection.
 const MAX_EVICTION_ATTEMPTS: usize = 8;
 
 impl<S: System> ConnectionTable<S> {
@@ -39,8 +39,8 @@
         self.listener.as_ref().and_then(|listener| listener.address())
     }
 
-    /// Leaves this many of its descriptors unused from now on, at most half of them. A successor needs them
-    /// during a hand-over; 0 ends the reservation.
+    /// Leaves this many of the table's descriptors unused from now on, at most half of them. A successor
+    /// needs these descriptors during a hand-over; 0 ends the reservation.
     pub fn reserve_descriptors(&mut self, descriptors: usize) {
         self.reserved = descriptors.min(self.max_connections / 2);
     }
@@ -131,8 +131,8 @@
 
 impl<T: Stream> Connection<T> {
     /// Rank of an idle connection for eviction; the lowest is evicted first. Connections that are ending
-    /// anyway come first, then those that have not sent a request, as gateways connect when they have
-    /// something to send.
+    /// anyway come first, then those without a request that are older than [`NEWCOMER_GRACE`], as gateways
+    /// connect when they have something to send.
     fn eviction_rank(&self, now: Timestamp) -> u8 {
         let is_newcomer = now.since(self.state.accepted_at) < NEWCOMER_GRACE;
         if self.is_closing() {
--- a/crates/node/src/connections/mod.rs
+++ b/crates/node/src/connections/mod.rs
@@ -30,13 +30,14 @@
 pub use idle::Expired;
 pub use table::ConnectionTable;
 
-/// Most bytes that are read from one connection at a time, so that one connection does not delay the others.
+/// Maximum number of bytes that are read from one connection at a time, so that one connection does not delay
+/// the others.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// Size of the read buffer, in bytes: a chunk, and before it the incomplete record that the previous chunk
 /// ended with.
 const READ_BUFFER_BYTES: usize = READ_CHUNK_BYTES + fastcgi::MAX_RECORD_BYTES;
-/// Most open requests on one connection; gateways are told it as FCGI_MAX_REQS. Bounds the memory that one
-/// gateway can use.
+/// Maximum number of open requests on one connection, which FCGI_MAX_REQS tells to gateways. Bounds the
+/// memory that one gateway can use.
 pub const MAX_OPEN_REQUESTS: usize = 32;
 
 /// Identifies a connection. A slot of the table, and with it a poller key, is reused after a connection was
--- a/crates/node/src/connections/table.rs
+++ b/crates/node/src/connections/table.rs
@@ -9,8 +9,9 @@
 use gaugestand_admission::time::{Micros, Timestamp};
 use std::mem;
 
-/// Most bytes of output that may wait on one connection: enough for the answers to all requests that it can
-/// have open. A connection with more is closed, as its other side sends requests without reading the answers.
+/// Maximum number of bytes of output that may wait on one connection: enough for the answers to all requests
+/// that it can have open. A connection with more is closed, as its other side sends requests without reading
+/// the answers.
 pub(super) const MAX_UNWRITTEN_BYTES: usize = 192 * 1024;
 
 /// The listener for gateways and the connections that it has accepted.
@@ -36,8 +37,8 @@
 }
 
 impl<S: System> ConnectionTable<S> {
-    /// Creates a table that does not listen yet. `descriptors` bounds its connections together with the
-    /// node's other descriptors in `OWN_DESCRIPTORS`.
+    /// Creates a table that does not listen yet. The table holds at most `descriptors` less `OWN_DESCRIPTORS`
+    /// connections, but at least one.
     pub fn new(first_key: usize, descriptors: usize) -> Self {
         ConnectionTable {
             listener: None,
--- a/crates/node/src/connections/tests.rs
+++ b/crates/node/src/connections/tests.rs
@@ -54,7 +54,7 @@
     }
 }
 
-// A gateway stops reading its answers, which would stay in memory for ever.
+// A gateway stops reading. Without a timeout, its answers would stay in memory for ever.
 #[test]
 fn a_connection_whose_gateway_does_not_read_is_closed_after_the_stall_timeout() {
     let (mut table, id, _client) = table_with_open_request(Timestamp(0));
@@ -171,7 +171,7 @@
 
 // A request arrives just as its connection reaches the idle timeout: if the connection were closed then, the
 // request would be lost. A request that arrives a moment later meets an end of the stream and no reset, which
-// tells the gateway that it never ran.
+// tells the gateway that the request never ran.
 #[test]
 fn an_idle_close_keeps_a_connection_with_an_unread_request_and_never_resets() {
     for arrives in [true, false] {
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -55,8 +55,7 @@
 counters! {
     /// Gateways' connections that were accepted.
     connections_accepted,
-    /// Gateways' connections that were closed because they were idle, for the idle timeout or to free a
-    /// descriptor.
+    /// Idle connections of gateways that were closed, at the idle timeout or to free a descriptor.
     connections_idle_closed,
     /// Gateways' connections that were closed without a lingering close because the gateway did not read its
     /// answers.
@@ -92,7 +91,8 @@
     checks_passed => "checks_good",
     /// Health checks answered with 503.
     checks_failed => "checks_bad",
-    /// Answers that were discarded because the request's connection was closed or the request no longer open.
+    /// Answers that were discarded because the request's connection was closed or the request was no longer
+    /// open.
     answers_unsent,
     /// Commands to the kernel to run an attempt.
     runs_sent,
@@ -118,7 +118,8 @@
     calls_dropped,
     /// Outbound calls that were skipped: the run continued without their result.
     calls_skipped,
-    /// Requests without the field that states the caller timeout, on a site whose gateways send it.
+    /// Requests that do not state the caller timeout, although the configuration says that the gateways state
+    /// it.
     caller_timeouts_missing => "patience_untold",
     /// Replies that were read from the store.
     replies_read,
@@ -161,11 +162,12 @@
     /// Messages of other nodes that were not accepted (unreadable, too long, or not for this node); each
     /// ended its connection.
     peer_messages_invalid => "fellow_unfit",
-    /// Messages to other nodes that were dropped because too many bytes waited to be read by the node.
+    /// Messages to other nodes that were dropped because too many bytes already waited for that node to read
+    /// them.
     peer_messages_dropped => "fellow_dropped",
     /// Records of the consensus log that this node has made durable.
     consensus_log_records => "fleet_pages",
-    /// Attempts rejected because this node held no lease for the active version of the agreed settings.
+    /// Attempts rejected because this node held no lease for the active version of the cluster's settings.
     rejected_without_lease => "fleet_unleased",
     /// Attempts rejected by a list of the active version: a blocked subject, or a gateway over its limit.
     rejected_by_list => "fleet_barred",
--- a/crates/node/src/event_loop/admin_calls.rs
+++ b/crates/node/src/event_loop/admin_calls.rs
@@ -58,7 +58,7 @@
     }
 
     /// Checks whether this process admits the requests that arrive now, or can take over from a predecessor
-    /// as soon as that is asked to stop. The error is the first condition that is not met.
+    /// as soon as the predecessor is asked to stop. The error is the first condition that is not met.
     fn check_readiness(&mut self) -> Result<(), NotReady> {
         if self.handover.is_ready_to_take_over() {
             return Ok(());
--- a/crates/node/src/event_loop/cluster/class_load.rs
+++ b/crates/node/src/event_loop/cluster/class_load.rs
@@ -6,8 +6,8 @@
 use gaugestand_cluster::validation::ClassLoad;
 use std::collections::BTreeMap;
 
-/// Time between two samples. It is long enough that a burst does not decide about a proposal, and short
-/// compared with an operator's work.
+/// Time between two samples. The interval is long enough that a short burst of requests does not decide
+/// whether a proposal is accepted, and short compared with the time that an operator takes to make one.
 const SAMPLE_INTERVAL: Micros = Micros::millis(10_000);
 /// Shortest time, in seconds, over which a rate is computed. Over a shorter time a single request would count
 /// as a high rate.
@@ -21,7 +21,7 @@
     counts: BTreeMap<String, u64>,
 }
 
-/// The last two samples of the load; none of them before the first was taken.
+/// The last two samples of the load. A sample that was not taken yet is none.
 #[derive(Debug, Default)]
 pub(in super::super) struct LoadSamples {
     previous: Option<Sample>,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Requests per second of each class since the earlier sample; empty if there is no sample.
+    /// Requests per second of each class since the older of the kept samples; empty if no sample was taken.
     fn load(&self, now: Timestamp, counts: &BTreeMap<String, u64>) -> Vec<ClassLoad> {
         let Some(sample) = self.previous.as_ref().or(self.last.as_ref()) else { return Vec::new() };
         let seconds = (now.since(sample.at).0 as f64 / MICROS_PER_SECOND).max(MIN_RATE_SECONDS);
--- a/crates/node/src/event_loop/cluster/mod.rs
+++ b/crates/node/src/event_loop/cluster/mod.rs
@@ -22,8 +22,8 @@
 use gaugestand_cluster::version_gate::GateDecision;
 use std::rc::Rc;
 
-/// Whether a poller key belongs to the cluster: to the consensus log, the listener for other nodes, or a
-/// connection with one.
+/// Whether a poller key belongs to the cluster: to the consensus log, to the listener for other nodes, or to
+/// a connection with another node.
 pub(super) fn is_key(key: usize) -> bool {
     key == CONSENSUS_LOG || (PEER_LISTENER..FIRST_PEER + peers::CONNECTION_KEYS).contains(&key)
 }
@@ -34,8 +34,8 @@
         self.peers.as_ref().is_none_or(|peers| peers.is_ready())
     }
 
-    /// Handles a readiness event of the consensus log, the listener for other nodes, or a connection with
-    /// one.
+    /// Handles a readiness event of the consensus log, of the listener for other nodes, or of a connection
+    /// with another node.
     pub(super) fn on_cluster_event(&mut self, event: Ready) {
         let now = self.clock.now();
         let Some(peers) = &mut self.peers else { return };
--- a/crates/node/src/event_loop/cluster/settings.rs
+++ b/crates/node/src/event_loop/cluster/settings.rs
@@ -1,5 +1,5 @@
 //! The settings of a version: applying them, validating proposed settings, and reloading the configuration
-//! beside them.
+//! while they are in effect.
 //!
 //! Settings of the cluster replace those of the node's own file, except for `extra`, which describes the
 //! node's machine and always comes from its own file.
@@ -34,7 +34,8 @@
     serde_json::from_slice(bytes).map_err(VersionError::UnreadableContent)
 }
 
-/// The settings that the cluster agrees on: all but the node's own `extra`.
+/// The part of `settings` that is the same on all nodes of the cluster: all keys except for `extra`, which is
+/// the node's own.
 fn shared_settings(settings: &Value) -> Value {
     let mut shared = settings.clone();
     if let Some(fields) = shared.as_object_mut() {
@@ -49,8 +50,11 @@
     /// The file or the script is invalid, or changes a setting that cannot change while the node serves.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The file changes settings that the cluster agrees on.
-    #[error("settings: the file changes what the fleet agrees on; use 'gaugestand fleet propose' instead")]
+    /// The file changes settings that the cluster has committed.
+    #[error(
+        "settings: the file changes settings that the cluster has committed; use 'gaugestand fleet propose' \
+         instead"
+    )]
     SettingsOfCluster,
 }
 
--- a/crates/node/src/event_loop/error.rs
+++ b/crates/node/src/event_loop/error.rs
@@ -8,7 +8,7 @@
 /// An error that ends the process. Its text is printed for the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// An operation of the operating system failed. The first field names the operation.
+    /// An operation of the operating system failed. The first field says what the node could not do.
     #[error("{0}: {1}")]
     Io(&'static str, #[source] io::Error),
     /// The settings contradict each other or are out of range.
@@ -23,7 +23,7 @@
     Cluster(#[from] PeersError),
 }
 
-/// Converts an I/O error to [`NodeError::Io`], with the name of the operation that failed.
+/// Converts an I/O error to [`NodeError::Io`]; `operation` says what the node could not do.
 pub(super) fn io_error(operation: &'static str) -> impl FnOnce(io::Error) -> NodeError {
     move |error| NodeError::Io(operation, error)
 }
--- a/crates/node/src/event_loop/handover/discovery.rs
+++ b/crates/node/src/event_loop/handover/discovery.rs
@@ -1,5 +1,5 @@
-//! Search for the active process of this node, at the start of a process and again after it has lost the link
-//! to the active one.
+//! Search for the active process of this node: when a process starts, and when a successor has lost its link
+//! to the active process.
 
 use super::*;
 use std::path::{Path, PathBuf};
@@ -38,7 +38,7 @@
 impl HandoverUnavailable {
     fn log(&self) {
         let why = self.to_string();
-        tracing::info!(why, "hand-over is not available; no other process can take over from this one");
+        tracing::info!(why, "hand-over: not available; no other process can take over from this one");
     }
 }
 
@@ -104,9 +104,10 @@
                 }
                 Ok(None) if timed_out() => {
                     let problem = io::Error::other(
-                        "another process holds the service lock and did not answer within 3 s",
+                        "another process holds the service lock (this node's .lock file in TMPDIR) and did \
+                         not answer within 3 s; end that process",
                     );
-                    return Err(NodeError::Io("searching for the active process of this node", problem));
+                    return Err(NodeError::Io("cannot find the active process of this node", problem));
                 }
                 Ok(None) => sleep_before_retry(),
             }
@@ -135,8 +136,9 @@
         reason: &HandoverUnavailable,
     ) -> Result<(Self, Option<S::Listener>), NodeError> {
         reason.log();
-        let listener =
-            system.listen(config.listen, GATEWAY_LISTENER).map_err(io_error("listening for gateways"))?;
+        let listener = system
+            .listen(config.listen, GATEWAY_LISTENER)
+            .map_err(io_error("cannot listen for gateways at the address of `listen` or BALANCER_LISTEN"))?;
         Ok((HandoverState::new(Handover::active(), None), Some(listener)))
     }
 
@@ -167,7 +169,10 @@
         match system.listen(config.listen, GATEWAY_LISTENER) {
             Ok(listener) => return Ok(listener),
             Err(problem) if is_last_attempt || problem.kind() != io::ErrorKind::AddrInUse => {
-                return Err(NodeError::Io("listening for gateways", problem));
+                return Err(NodeError::Io(
+                    "cannot listen for gateways at the address of `listen` or BALANCER_LISTEN",
+                    problem,
+                ));
             }
             Err(_) => sleep_before_retry(),
         }
--- a/crates/node/src/event_loop/handover/mod.rs
+++ b/crates/node/src/event_loop/handover/mod.rs
@@ -27,8 +27,8 @@
     /// Whether all keys have been sent and the successor has been told so. From then on each change of a key
     /// is sent to the successor before the command that it concerns is sent to the kernel.
     keys_complete: bool,
-    /// Since when commands to the kernel wait because the successor does not read; none while they do not
-    /// wait.
+    /// Time since which commands to the kernel wait because the successor does not read; none while no
+    /// command waits.
     stalled_since: Option<Timestamp>,
 }
 
@@ -36,8 +36,8 @@
 /// state.
 #[derive(Debug, Default)]
 struct ReceivedState {
-    /// Connections received from the predecessor: from the id that a connection had there to its id in this
-    /// process.
+    /// Connections received from the predecessor. The key is a connection's id in the predecessor, the value
+    /// its id in this process.
     connections: BTreeMap<ConnectionId, ConnectionId>,
     attempts: Vec<AttemptState>,
     final_state: Option<Box<FinalState>>,
@@ -126,7 +126,7 @@
         !self.machine.is_active()
     }
 
-    /// When the hand-over next has work that is due without an event; none if there is none.
+    /// When the hand-over next has work that is due without an event; none if no such work is pending.
     pub(super) fn next_wakeup(&self) -> Option<Timestamp> {
         let search = Some(self.next_search).filter(|_| self.is_searching());
         let stalled = self.replication.stalled_since.map(|since| since.plus(predecessor::STALL_TIMEOUT));
--- a/crates/node/src/event_loop/handover/predecessor.rs
+++ b/crates/node/src/event_loop/handover/predecessor.rs
@@ -8,8 +8,9 @@
 /// budget of descriptors covers both processes, so this process leaves that many unused while a successor is
 /// linked.
 const SUCCESSOR_DESCRIPTORS: usize = 20;
-/// How long commands to the kernel wait for a successor that does not read the keys that they concern. After
-/// that the link is closed, and the successor has to connect again. The time is far below any deadline.
+/// Maximum time for which commands to the kernel wait because the successor does not read the keys that the
+/// commands concern. After that time the link is closed, and the successor has to connect again. The time is
+/// far below any deadline.
 pub(super) const STALL_TIMEOUT: Micros = Micros::millis(200);
 
 impl<S: System> Node<S> {
@@ -74,7 +75,8 @@
             return false;
         }
         tracing::warn!(
-            "hand-over: the successor did not read for 200 ms; closing the link for it to connect again"
+            "hand-over: the successor did not read for 200 ms; closing the link; the successor has to \
+             connect again"
         );
         self.handover.successor_link = None;
         self.on_handover_event(Event::Unlinked);
@@ -206,7 +208,8 @@
         if let Some(Err(problem)) = marked {
             tracing::warn!(
                 %problem,
-                "hand-over: cannot mark the service lock; a successor cannot tell that its state is outdated"
+                "hand-over: cannot mark the service lock; going on without the mark, so a successor may not \
+                 notice that its state is outdated"
             );
         }
         if let Some(link) = &mut self.handover.successor_link {
--- a/crates/node/src/event_loop/handover/successor.rs
+++ b/crates/node/src/event_loop/handover/successor.rs
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// Takes over: confirms that to the predecessor, and continues from the predecessor's state.
+    /// Takes over: confirms the take-over to the predecessor, and continues from the predecessor's state.
     pub(super) fn take_over(&mut self) {
         if let Some(link) = &mut self.handover.predecessor_link {
             // The confirmation is sent before anything else: if this process dies, a predecessor that has not
@@ -129,7 +129,8 @@
     pub(super) fn serve_without_state(&mut self, keys_complete: bool) {
         tracing::warn!(
             all = keys_complete,
-            "hand-over: the predecessor's state is missing or outdated; serving with the received keys only"
+            "hand-over: the predecessor's state is missing or outdated; serving with the received idempotency \
+             keys only (`all` tells whether every key was received)"
         );
         let now = self.clock.moment();
         let window = longest_dedup_window(&self.config);
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -15,7 +15,7 @@
 //! - `reload`: reload of the configuration on SIGHUP
 //! - `admin_calls`: operators' calls at the second address
 //! - `handover`: hand-over of service between processes of this node
-//! - `cluster`: the other nodes of the cluster, and the settings that the nodes agreed on
+//! - `cluster`: the other nodes of the cluster, and the settings that the cluster has committed
 //!
 //! The loop guarantees that no iteration blocks, that no iteration is repeated at once without cause, and
 //! that an error of a link or connection closes only that link or connection. The loop makes no decisions
@@ -111,11 +111,11 @@
     /// successor.
     exit_deadline: Option<Timestamp>,
     draining: bool,
-    /// Number of iterations within `drain::EXIT_MARGIN` of the exit deadline; stays at 255 once it is there.
+    /// Number of iterations within `drain::EXIT_MARGIN` of the exit deadline; the count stops at 255.
     final_polls: u8,
     /// Links to the other nodes; none if this node belongs to no cluster.
     peers: Option<Box<Peers<S>>>,
-    /// Settings from the node's own configuration file, kept while the settings of an agreed version are in
+    /// Settings from the node's own configuration file, kept while the settings of a committed version are in
     /// effect.
     local_settings: serde_json::Value,
     /// Samples of the replies by class, from which the current load is computed.
@@ -135,13 +135,14 @@
     ///
     /// # Errors
     /// The system refuses a signal handler or a listener ([`NodeError::Io`]), the idempotency store or the
-    /// cluster's log cannot be opened, or the settings are unusable. The process cannot serve; no request was
+    /// consensus log cannot be opened, or the settings are unusable. The process cannot serve; no request was
     /// accepted.
     pub fn start(system: S, config: Config, logs: Logs) -> Result<Self, NodeError> {
         // The signal handlers are registered first: a signal that arrives during the start then waits, and
         // does not kill the process.
-        let signals =
-            |key, which: &[i32]| system.signals(key, which).map_err(io_error("registering signal handlers"));
+        let signals = |key, which: &[i32]| {
+            system.signals(key, which).map_err(io_error("cannot register signal handlers"))
+        };
         let termination_signals = signals(TERMINATION, &[SIGTERM, SIGINT])?;
         let counters_signal = signals(PRINT_COUNTERS, &[SIGUSR1])?;
         let reload_signal = signals(RELOAD, &[SIGHUP])?;
@@ -155,7 +156,7 @@
         key_table.set_max_bytes(config.max_volatile_bytes);
         let peers = join_cluster(&system, &config)?;
         let admin = Admin::listen(&system, config.admin, ADMIN_LISTENER, FIRST_ADMIN_CALLER, peers.is_some())
-            .map_err(io_error("listening at the second address"))?;
+            .map_err(io_error("cannot listen at the address of `admin_addr` or BALANCER_ADMIN_ADDR"))?;
         let mut request_metrics = RequestMetrics::default();
         request_metrics.register_classes(&config.classes);
         let store_connections = store::max_connections_within(config.max_descriptors);
@@ -176,7 +177,7 @@
             kernel: Kernel::new(config.kernel, KERNEL, &system, &config.gauge_names),
             store: Store::new(config.store, FIRST_STORE_CONNECTION, store_connections, &system),
             membership: MembershipReports::new(&system, config.membership, &config.name)
-                .map_err(io_error("members: opening a socket to the membership service"))?,
+                .map_err(io_error("members: cannot open a socket to the membership service"))?,
             counters: Counters::default(),
             admin,
             request_metrics,
@@ -238,7 +239,7 @@
         let mut wakeup = self.clock.now();
         loop {
             let wait = wakeup.since(self.clock.now()).min(MAX_POLL_WAIT);
-            self.system.wait(wait, &mut ready).map_err(io_error("waiting for events of the poller"))?;
+            self.system.wait(wait, &mut ready).map_err(io_error("cannot wait for events of the poller"))?;
             match self.run_iteration(&ready) {
                 Some(next) => wakeup = next,
                 None => return Ok(()),
--- a/crates/node/src/event_loop/reload.rs
+++ b/crates/node/src/event_loop/reload.rs
@@ -27,8 +27,8 @@
     /// The files cannot be read, are invalid, or change a setting that cannot change while the node serves.
     #[error(transparent)]
     Configuration(#[from] ReadError),
-    /// The node cannot listen at the new second address.
-    #[error("admin_addr: cannot listen at the new second address: {0}")]
+    /// The node cannot listen at the address that the new configuration sets as the second address.
+    #[error("admin_addr: cannot listen at the new address: {0}")]
     AdminAddress(#[source] io::Error),
     /// No socket to the new membership service can be opened.
     #[error("members: cannot open a socket to the new membership service: {0}")]
@@ -42,7 +42,10 @@
             Err(error) => {
                 self.counters.reloads_failed += 1;
                 let problem = error.to_string();
-                tracing::warn!(problem, "reload failed; the old configuration stays in effect");
+                tracing::warn!(
+                    problem,
+                    "configuration: reload failed; the old configuration stays in effect"
+                );
             }
         }
     }
@@ -66,7 +69,7 @@
         self.apply_operator_settings(&config);
         self.config = config;
         self.apply_settings();
-        tracing::info!("the new configuration is in effect");
+        tracing::info!("configuration: reloaded; the new configuration is in effect");
         // The level is set after the line above is logged, so that this line appears whatever the new level
         // is.
         self.logs.set_level(self.config.operators.log.level);
@@ -85,8 +88,9 @@
         self.keyed_classes = self.engine.keyed_classes();
     }
 
-    /// Applies the operators' own settings that can change while the node serves. None of these steps can
-    /// fail: if the password file cannot be read, the old password stays in use.
+    /// Applies the operators' own settings that can change while the node serves. None of these steps fails
+    /// the reload. The password file was checked when the new configuration was loaded; if it cannot be read
+    /// any more, the old password stays in use.
     fn apply_operator_settings(&mut self, config: &Config) {
         self.engine.idempotency().set_max_bytes(config.max_volatile_bytes);
         let Some(stored) = &config.operators.record else { return };
--- a/crates/node/src/handover_link/link.rs
+++ b/crates/node/src/handover_link/link.rs
@@ -53,8 +53,8 @@
 }
 
 impl LinkError {
-    /// Whether the link failed for another reason than an I/O error: the processes do not understand each
-    /// other. After an I/O error the link was merely lost.
+    /// Whether the other process violated the protocol, or a socket to be passed was closed before: true for
+    /// all errors except I/O errors, which only mean that the link was lost.
     pub fn is_protocol_error(&self) -> bool {
         !matches!(self, LinkError::Io(_))
     }
@@ -72,8 +72,8 @@
 pub struct ReceivedFrames {
     /// The frames, in the order in which they were sent.
     pub frames: Vec<Frame>,
-    /// Whether the bytes after these frames are an incomplete frame or nothing; otherwise why they are not a
-    /// frame.
+    /// `Ok` if the bytes after these frames are the start of a frame or there are none; otherwise the reason
+    /// why they cannot be a frame.
     pub end: Result<(), LinkError>,
 }
 
@@ -82,7 +82,7 @@
 pub struct FramedLink<S: System> {
     link: S::HandoverLink,
     input: Vec<u8>,
-    /// Whether the other side's protocol version has been read and is this one.
+    /// Whether the other side's protocol version has been read and equals [`PROTOCOL`].
     version_checked: bool,
     queue: VecDeque<QueuedFrame>,
     /// Number of bytes of the first queued frame that have been written.
--- a/crates/node/src/health_checks.rs
+++ b/crates/node/src/health_checks.rs
@@ -15,11 +15,11 @@
 
 /// Time after which a check that the kernel has not answered counts as failed.
 const CHECK_TIMEOUT: Micros = Micros::millis(3_000);
-/// How long the result of a check answers further health checks. Gateways send one every second or two, so
-/// with a shared result a gateway notices not much later than with a check of its own that the kernel has
-/// stopped doing work.
+/// How long the result of a check answers further health checks. Each gateway sends a health check every
+/// second or two. With a shared result, the gateway therefore learns that the kernel has stopped working only
+/// a little later than with a check of its own.
 pub const RESULT_LIFETIME: Micros = Micros::millis(1_000);
-/// Most abandoned checks whose late result is still accepted; the oldest are forgotten first.
+/// Maximum number of abandoned checks whose late result is still accepted; the oldest are forgotten first.
 const MAX_ABANDONED: usize = 8;
 
 /// A gateway's health check that waits for a result, and when it arrived.
--- a/crates/node/src/idempotency_store/mod.rs
+++ b/crates/node/src/idempotency_store/mod.rs
@@ -41,7 +41,8 @@
     Password(#[from] PasswordError),
 }
 
-/// The node that uses the store, and what its key table depends on.
+/// The node that uses the store, and values that the connection to the store and the key table are created
+/// with.
 #[derive(Clone, Copy, Debug)]
 pub struct Owner<'a> {
     /// The node's name, under which its rows are stored in a database.
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Passes the next batch to the backend, and gives up a connection that is overdue.
+    /// Passes the next batch to the backend, and gives up a database connection whose answer is overdue.
     pub fn pump(&mut self, now: Moment, key_table: &mut KeyTable) {
         match &mut self.backend {
             StoreBackend::None => return,
@@ -216,17 +217,20 @@
 }
 
 fn log_recovered(rows: u64, epoch: u64, key_table: &KeyTable, took: Micros) {
+    // The log field `in_doubt` counts the rows of runs whose outcome is unknown; `us` is the time that the
+    // load took, in microseconds.
     let in_doubt = key_table.metrics().in_doubt;
     tracing::info!(
         rows,
         epoch,
         in_doubt,
         us = took.0,
-        "idempotency store: loaded the stored rows into the key table"
+        "idempotency store: read the rows of earlier processes into the key table; if the table cannot hold \
+         all of them, new idempotency keys are rejected until the deduplication window is over"
     );
 }
 
-/// Submits the key table's next batch to the worker, if there is one.
+/// Submits the key table's next batch, if it has one, to the worker.
 fn submit(worker: &mut impl Worker, now: Timestamp, key_table: &mut KeyTable) {
     let Some(batch) = key_table.next_batch(now) else { return };
     // If the worker's thread has ended, the outcome of its batches is unknown, and it takes no further batch.
--- a/crates/node/src/idempotency_store/postgres_link.rs
+++ b/crates/node/src/idempotency_store/postgres_link.rs
@@ -24,8 +24,8 @@
 /// Time after which a connection on which the server has not answered is closed; the outcome of its batch is
 /// unknown.
 const ANSWER_TIMEOUT: Micros = Micros::millis(5_000);
-/// Time after which an incomplete first login is given up. It is longer, as the first login reads the rows of
-/// an earlier incarnation.
+/// Time after which an incomplete first login is given up. This time is longer than [`ANSWER_TIMEOUT`], as
+/// the first login also reads the rows of an earlier incarnation.
 const LOGIN_TIMEOUT: Micros = Micros::millis(30_000);
 /// Shortest time between two log lines with the same error.
 const REPEAT_LOG_INTERVAL: Micros = Micros::millis(10_000);
@@ -47,7 +47,7 @@
     link: Link<S>,
     login: Rc<Login>,
     session: Option<Session>,
-    /// The epoch of this incarnation, from the first login on, which claims the node's name in the database.
+    /// Epoch of this incarnation; none before the first login, which claims the node's name in the database.
     epoch: Option<u64>,
     max_rows: usize,
     pending: Option<PendingAnswer>,
--- a/crates/node/src/io/clock.rs
+++ b/crates/node/src/io/clock.rs
@@ -6,8 +6,8 @@
 use super::System;
 use gaugestand_admission::time::{Micros, Moment, Timestamp, UnixTime};
 
-/// Upper limit of the age of a request (see [`Clock::age`]). A greater age is reported as this one: a request
-/// of either age is long past every deadline.
+/// Upper limit of the age of a request (see [`Clock::age`]). A greater age is reported as this value: in both
+/// cases the request is long past every deadline.
 const MAX_AGE: Micros = Micros::millis(3_600_000);
 
 /// Monotonic time at the start of the clock. It equals `MAX_AGE`, so that the time at which a request reached
--- a/crates/node/src/io/handover_socket.rs
+++ b/crates/node/src/io/handover_socket.rs
@@ -23,8 +23,8 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Most descriptors that one read can receive. A sender passes at most one with each message, and one read
-/// may span several messages.
+/// Maximum number of descriptors that one read can receive. A sender passes at most one with each message,
+/// and one read may span several messages.
 const MAX_DESCRIPTORS_PER_READ: usize = 4;
 /// Value on x86-64 Linux of the `open` flag that refuses a symbolic link as the last part of the path.
 const O_NOFOLLOW: i32 = 0o400_000;
--- a/crates/node/src/io/link.rs
+++ b/crates/node/src/io/link.rs
@@ -20,13 +20,13 @@
 const MAX_RETRY_DELAY: Micros = Micros::millis(500);
 /// Longest time that an attempt to connect may take. An attempt that takes longer has failed.
 pub const CONNECT_TIMEOUT: Micros = Micros::millis(2000);
-/// Most bytes read by one system call.
+/// Maximum number of bytes read by one system call.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// Length of the input buffer, in bytes, at which an iteration stops reading, so that a peer that sends
 /// without end does not hold up the event loop.
 const MAX_INPUT_BYTES: usize = 1 << 20;
-/// Most bytes that may wait to be written after a flush. A link with more is closed, as its peer does not
-/// read.
+/// Maximum number of bytes that may wait to be written after a flush. A link with more is closed, as its peer
+/// does not read.
 const MAX_UNWRITTEN_BYTES: usize = 4 << 20;
 
 #[derive(Debug)]
@@ -65,8 +65,8 @@
     queued_bytes: u64,
     /// How many bytes of the last connection had been written when it ended.
     written_before_down: u64,
-    /// The peer has closed the connection, a read has failed, or the owner has severed the link: the next flush
-    /// takes it down. Until then the owner can consume the input that remains.
+    /// Whether the peer has closed the connection, a read has failed, or the owner has severed the link: the
+    /// next flush then takes the link down. Until then the owner can consume the input that remains.
     has_ended: bool,
 }
 
--- a/crates/node/src/io/mod.rs
+++ b/crates/node/src/io/mod.rs
@@ -26,15 +26,15 @@
 pub struct Ready {
     /// The key under which the source was registered.
     pub key: usize,
-    /// A read would return bytes, an end of stream or an error.
+    /// Whether a read would return bytes, an end of stream or an error.
     pub readable: bool,
-    /// A write would take bytes or return an error.
+    /// Whether a write would take bytes or return an error.
     pub writable: bool,
 }
 
 /// The operating system that a node runs on. Every source (a stream, a listener, the signals, a worker) is
-/// non-blocking. It is registered with the poller, level-triggered, under the key that it was created with,
-/// for as long as it lives.
+/// non-blocking. A source is registered with the poller, level-triggered, under the key that it was created
+/// with, for as long as it lives.
 pub trait System: Clone + Debug {
     /// A TCP connection.
     type Stream: Stream;
--- a/crates/node/src/io/poll.rs
+++ b/crates/node/src/io/poll.rs
@@ -26,8 +26,8 @@
 }
 
 impl<S: AsSource + AsRawFd> Watched<S> {
-    /// Registers `source` under `key`, level-triggered, for the readiness to read and to write that is asked
-    /// for.
+    /// Registers `source` under `key`, level-triggered, for readiness to read if `reading` is true and for
+    /// readiness to write if `writing` is true.
     ///
     /// # Errors
     /// The poller cannot watch the source, for example because a limit of the system is reached. The
@@ -83,8 +83,8 @@
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const NANOS_PER_MICRO: u64 = 1_000;
 
-/// Most events taken in one iteration. The others are taken in the next iterations, in the order of the
-/// operating system's list.
+/// Maximum number of events taken in one iteration. The others are taken in the next iterations, in the order
+/// of the operating system's list.
 const MAX_EVENTS: usize = 256;
 
 thread_local! {
--- a/crates/node/src/kernel/mod.rs
+++ b/crates/node/src/kernel/mod.rs
@@ -23,9 +23,9 @@
 
 pub use protocol::{BadLine, CommandKind, Line, MAX_LINE_BYTES, Notice, parse_line};
 
-/// Maximum number of commands kept until the kernel has shown that it read them. Beyond it the oldest command
-/// is dropped: only a link that is down for long lets so many gather, and by then the deadline of the oldest
-/// request has long passed.
+/// Maximum number of commands kept until the kernel has shown that it read them. Above this number the oldest
+/// command is dropped: so many commands are kept only if the link is down for long, and by then the deadline
+/// of the oldest request has long passed.
 const MAX_UNCONFIRMED: usize = 8192;
 
 /// A command that the kernel may not have read.
@@ -59,8 +59,8 @@
     link: Link<S>,
     key: usize,
     system: S,
-    /// Number of times the link came up. Shows that a question was sent on an earlier link and has to be
-    /// repeated.
+    /// Number of times the link came up. A question that was sent under a lower number may be lost and has to
+    /// be repeated.
     link_number: u64,
     /// Number of the last notice read.
     last_cursor: u64,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -3,7 +3,7 @@
 //! A request passes through `connections`, `fastcgi`, `request`, the engine in `gaugestand_admission`,
 //! `kernel` or `store`, and `response`; `event_loop` moves it from one to the next. This crate takes no
 //! decision about requests: it carries out the decisions of the engine and of the idempotency table, bounds
-//! every buffer and counts.
+//! every buffer and keeps the counters.
 #![deny(unsafe_code)]
 
 pub mod admin;
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -15,7 +15,7 @@
 use tracing_subscriber::prelude::*;
 use tracing_subscriber::{Registry, reload};
 
-/// Most lines that wait to be written: enough for a burst of warnings, in little memory.
+/// Maximum number of lines that wait to be written: enough for a burst of warnings, in little memory.
 const MAX_WAITING_LINES: usize = 256;
 /// Longest time that the end of the process waits for queued lines to be written. A drain must not wait for a
 /// stalled reader of standard error.
@@ -73,7 +73,7 @@
     /// Sets the least severe level that is written from now on.
     pub fn set_level(&self, level: LogLevel) {
         if let Some(lines) = &self.0 {
-            // The reload can only fail once the subscriber is gone, and then nothing is written anyway.
+            // The reload fails only if the subscriber no longer exists; no line is written then in any case.
             let _ = lines.level.reload(level_filter(level));
         }
     }
--- a/crates/node/src/peers/active_version.rs
+++ b/crates/node/src/peers/active_version.rs
@@ -17,7 +17,7 @@
     pub reason: String,
 }
 
-/// The version that this node has put into effect, and one that it cannot put into effect.
+/// The version that this node has put into effect, and the last one that it could not put into effect.
 #[derive(Debug, Default)]
 pub(super) struct AppliedVersion {
     /// The version in effect; none until the first lease since the start, 0 if a quorum knows of no version.
@@ -44,8 +44,8 @@
         self.applied.version.is_some() && self.removed_by.is_none()
     }
 
-    /// The version that this node holds a lease for, if it has not been put into effect and has not failed to
-    /// be.
+    /// The version that this node holds a lease for and has to put into effect; none if that version is
+    /// already in effect or could not be put into effect.
     pub fn due_version(&self, now: Timestamp) -> Option<DueVersion> {
         let ActiveVersion::Leased(version) = self.consensus.active_version(now) else { return None };
         let unusable = self.applied.unusable.as_ref();
@@ -69,7 +69,8 @@
                 tracing::error!(
                     version,
                     problem,
-                    "cluster: the active version cannot be put into effect; acting as without a lease"
+                    "cluster: the active version cannot be put into effect; acting as if this node held no \
+                     lease"
                 );
                 self.applied.unusable = Some(UnusableVersion { version, reason: problem });
             }
@@ -87,9 +88,9 @@
         self.enabled_lists
     }
 
-    /// Decides whether an attempt may go on to admission under the active version. `keyed` tells whether it
-    /// carries an idempotency key; `subject` is its resource key. `now` has to be read for each attempt: a
-    /// lease may have expired since the iteration of the event loop began.
+    /// Decides whether an attempt may go on to admission under the active version. `keyed` tells whether the
+    /// attempt carries an idempotency key; `subject` is its resource key. `now` has to be read for each
+    /// attempt: a lease may have expired since the iteration of the event loop began.
     pub fn check_request(
         &self,
         now: Timestamp,
@@ -113,8 +114,8 @@
     }
 
     /// The time after which a client may retry an attempt that was rejected because this node held no lease
-    /// or because its gateway is over its limit: half a lease, in which a node that reaches a quorum renews
-    /// its lease twice.
+    /// or because its gateway is over its limit: half the duration of a lease, in which a node that reaches a
+    /// quorum renews its lease twice.
     pub fn retry_after(&self) -> Micros {
         Micros(self.lease_duration.0 / 2)
     }
--- a/crates/node/src/peers/connection.rs
+++ b/crates/node/src/peers/connection.rs
@@ -10,8 +10,8 @@
 
 /// Size of the length before each message, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Time after which a connection is closed if the other node has not sent its hello: it takes up a
-/// descriptor.
+/// Time after which a connection is closed if the other node has not sent its hello: such a connection takes
+/// up a descriptor.
 const IDENTIFICATION_TIMEOUT: Micros = Micros::millis(2_000);
 
 /// What the other node said in its hello on one connection.
@@ -59,7 +59,7 @@
     pub name: String,
     /// The address at which the node listens; none if it is not known yet.
     pub address: Option<SocketAddr>,
-    /// No connection is made to the node before this time.
+    /// Earliest time of the next attempt to connect to the node.
     pub reconnect_at: Timestamp,
     /// Index of the connection over which messages are sent to the node.
     pub connection: Option<usize>,
--- a/crates/node/src/peers/links.rs
+++ b/crates/node/src/peers/links.rs
@@ -17,11 +17,11 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Most bytes that may wait to be sent to one node; further messages are dropped. The bound leaves room for
-/// several contents and for a node that catches up with the log.
+/// Maximum number of bytes that may wait to be sent to one node; further messages are dropped. The bound
+/// leaves room for several contents and for a node that catches up with the log.
 const MAX_QUEUED_BYTES: usize = 2 << 20;
 /// Time from the end of a connection to the next attempt to connect. Up to half as much again is added at
-/// random, so that nodes that lost each other do not reconnect in lockstep.
+/// random, so that nodes that lost their connections at the same time do not all reconnect at the same time.
 const RECONNECT_DELAY: Micros = Micros::millis(100);
 /// Shortest time between two log lines about rejected messages, as a client that is no node can send many.
 const WARNING_INTERVAL: Micros = Micros::millis(10_000);
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Checks whether messages of a node are accepted: it must be a member. The error for a node that was
-    /// removed repeats its incarnation.
+    /// Checks whether messages of a node are accepted: the node must be a member. The error for a node that
+    /// was removed contains the incarnation, to which the notice of the removal is addressed.
     fn check_member(&self, from: NodeId, incarnation: u64) -> Result<(), FrameError> {
         let membership = self.consensus.membership();
         if membership.was_removed(from) {
@@ -171,8 +171,8 @@
         self.unconnected().map(|(_, peer)| peer.reconnect_at)
     }
 
-    /// Drops a connection. This proves nothing about the node behind it: the node may be running and reach
-    /// other nodes.
+    /// Drops a connection. The loss of a connection does not show that the other node has failed: that node
+    /// may be running and may reach other nodes.
     fn disconnect(&mut self, now: Timestamp, index: usize) {
         let Some(connection) = self.connections[index].take() else { return };
         let jitter = Micros(self.rng.u64(..RECONNECT_DELAY.0 / 2));
@@ -249,7 +249,7 @@
             self.last_warning = Some(now);
             tracing::warn!(
                 problem = %error,
-                "cluster: rejected a message of another node; closing the connection"
+                "cluster: rejected a received message; closing the connection that it came on"
             );
         }
         self.disconnect(now, index);
@@ -308,7 +308,7 @@
         // The newest connection is used, as an older one may be half-open.
         let replaced = peer.connection.replace(index);
         // The log field is named `fellow` and not `peer`, as operators search the log by it.
-        tracing::info!(fellow = peer.name, "linked");
+        tracing::info!(fellow = peer.name, "cluster: connected with a peer");
         if let Some(replaced) = replaced.filter(|replaced| *replaced != index) {
             self.connections[replaced] = None;
         }
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -4,7 +4,7 @@
 //! All decisions are taken in `gaugestand_cluster`; this module carries them out on sockets and on the worker
 //! that writes the log. Guarantees: records are written in order, one at a time; a message is either sent
 //! whole or dropped whole. Delivery is not guaranteed: messages to a node that reads too slowly are dropped,
-//! and a link that breaks proves nothing about the node behind it. The raft library and the lease rules
+//! and a broken link does not show that the other node has failed. The raft library and the lease rules
 //! repeat the messages that they need.
 //!
 //! - `startup`: this node's number and the checks of its configuration.
@@ -45,12 +45,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Most connections that this node makes: one to each other node.
+/// Maximum number of connections that this node makes: one to each other node.
 const MAX_OUTGOING: usize = MAX_MEMBERS - 1;
-/// Most accepted connections whose node is not identified yet: enough for nodes that start at the same time,
-/// and few enough that clients that are no nodes cannot use up the descriptors.
+/// Maximum number of accepted connections whose node is not identified yet: enough for nodes that start at
+/// the same time, and few enough that clients that are no nodes cannot use up the descriptors.
 const MAX_UNIDENTIFIED: usize = 8;
-/// Most accepted connections: one from each other node, and those whose node is not identified yet.
+/// Maximum number of accepted connections: one from each other node, and those whose node is not identified
+/// yet.
 const MAX_INCOMING: usize = MAX_UNIDENTIFIED + MAX_OUTGOING;
 /// Number of poller keys that the connections with other nodes use, from [`PollKeys::first_connection`] on.
 pub const CONNECTION_KEYS: usize = MAX_OUTGOING + MAX_INCOMING;
@@ -108,8 +109,8 @@
     /// The address of this node as the others know it.
     own_address: SocketAddr,
     peers: BTreeMap<NodeId, Peer>,
-    /// Set once this node was removed from the cluster, to a version that was committed with the removal or
-    /// after it.
+    /// A version that was committed with the removal of this node from the cluster, or after it; none while
+    /// this node was not removed.
     removed_by: Option<Version>,
     enabled_lists: EnabledLists,
     lease_duration: Micros,
--- a/crates/node/src/peers/startup.rs
+++ b/crates/node/src/peers/startup.rs
@@ -37,8 +37,9 @@
     NoListenAddress,
     /// The node with this name is not among the founding members, and no valid `number` is configured for it.
     #[error(
-        "fleet: `members` has no {0:?}, which is this node's name; a node that joined later needs the \
-         `number` that 'gaugestand fleet join' printed"
+        "fleet: this node's name {0:?} is not in `members`, and `number` is missing or belongs to one of \
+         `members`; correct the name or, for a node that joined later, set `number` to what 'gaugestand \
+         fleet join' printed"
     )]
     UnknownNode(String),
     /// The lease duration or the bound on clock drift is invalid.
@@ -61,7 +62,11 @@
     #[error(transparent)]
     OpenLog(#[from] OpenError),
     /// The consensus log was opened, but its content cannot be used.
-    #[error("agreed log {}: {error}; nothing was changed", path.display())]
+    #[error(
+        "consensus log {}: {error}; see docs/operators/fleet.md before you move the file away, nothing was \
+         changed",
+        path.display()
+    )]
     Log {
         /// The file of the consensus log.
         path: PathBuf,
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -17,16 +17,16 @@
 /// Maximum size of all parameters of a request together, in bytes. Gateways send a few hundred bytes; the
 /// rest of a request that exceeds the limit is not read.
 const MAX_PARAMS_BYTES: usize = 16 * 1024;
-/// Maximum number of bytes kept of a name-value pair that is split across records, which has to be copied. A
-/// longer pair must come in one record.
+/// Maximum number of bytes kept of a name-value pair that is split across records and is therefore copied. A
+/// longer pair must lie in one record.
 const MAX_SPLIT_PAIR_BYTES: usize = 4096;
 /// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 64;
-/// Work hints and caller timeouts must be below this many milliseconds, about eleven days: no request works,
-/// and no caller waits, that long.
+/// Limit, in milliseconds, below which work hints and caller timeouts must be; about eleven days: no request
+/// works, and no caller waits, that long.
 const MAX_DURATION_MS: f64 = 1e9;
-/// The memory that a request states for its time in the queue must be below this many kilobytes: no request
-/// takes that much.
+/// Limit, in kilobytes, below which the memory must be that a request states for its time in the queue: no
+/// request takes that much.
 const MAX_QUEUED_KB: f64 = 2000.0;
 
 /// Names of the CGI variables that the node reads, as gateways send them.
--- a/crates/node/src/store/connection.rs
+++ b/crates/node/src/store/connection.rs
@@ -57,7 +57,7 @@
     pub(super) serial: u64,
     /// When a call was last sent or a reply was last read.
     pub(super) last_active: Timestamp,
-    /// When more of the reply that is being read last arrived; `None` if no reply is partly read.
+    /// When bytes of a partly read reply last arrived; `None` if no reply is partly read.
     pub(super) partial_since: Option<Timestamp>,
     /// Whether the connection takes no more calls: its address is outdated, or a call on it got no reply.
     pub(super) retired: bool,
--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -26,13 +26,13 @@
 pub use protocol::{MAX_BODY_BYTES, MAX_LINE_BYTES, Reply, ReplyStatus, parse_reply};
 
 /// Time after the last activity at which a connection without calls is closed. It guards against connections
-/// that the other side has dropped: a call on such a connection, or one that crosses the close of the other
-/// side, is lost, and whether it ran is unknown. A new connection costs little.
+/// that the other side has dropped: a call on such a connection, or one that is sent while the other side
+/// closes the connection, is lost, and whether it ran is unknown. A new connection costs little.
 const IDLE_TIMEOUT: Micros = Micros::millis(100);
 /// Time from the timeout of a call until a missing reply counts as late. The store itself reports that a call
 /// has timed out, and this grace leaves it time to do so.
 const REPLY_GRACE: Micros = Micros::millis(200);
-/// A reply that has arrived in part counts as invalid if no more of it arrives for this long.
+/// Time after which a partly read reply counts as invalid if no more of it has arrived.
 const PARTIAL_REPLY_TIMEOUT: Micros = Micros::millis(250);
 /// Maximum number of connections to the store, however many descriptors the node may have.
 pub const MAX_CONNECTIONS: usize = 64;
@@ -70,7 +70,7 @@
     used_connections: BTreeMap<RequestId, Vec<u64>>,
     /// Slots of the connections to be flushed at the end of this iteration.
     touched: Vec<usize>,
-    /// Calls that ended at once because there was no connection for them, not yet reported.
+    /// Calls that ended at once because no connection could carry them, and that are not reported yet.
     unplaced: Vec<EndedCall>,
     /// Time before which [`Store::on_timer`] has no timeout to check.
     next_check: Timestamp,
--- a/tests/node/logging.rs
+++ b/tests/node/logging.rs
@@ -17,7 +17,7 @@
 fn logs_can_be_json_and_their_level_can_be_reloaded() {
     let mut scene = Scene::with_script(Some("log(form = \"json\", level = \"info\")"), |_| ());
     scene.reload_script("log(form = \"json\", level = \"error\")");
-    scene.await_log_line("\"message\":\"the new configuration is in effect\"");
+    scene.await_log_line("\"message\":\"configuration: reloaded; the new configuration is in effect\"");
     for (text, counted) in
         [("log(form = \"text\")", "reloads_failed"), ("log(form = \"json\", level = \"error\")", "reloads")]
     {
