--- a/crates/node/src/event_loop/cluster/mod.rs
+++ b/crates/node/src/event_loop/cluster/mod.rs
@@ -77,9 +77,9 @@
     }
 
     /// The response that rejects an attempt; none if the attempt may go on to admission. An attempt is
-    /// rejected because the active version says so, or because this node holds no lease and a newer version
-    /// may say so. An attempt whose result this node has stored is not rejected: it gets that result, and
-    /// does not run.
+    /// rejected because a list of the active version rejects it, or because this node holds no lease, so that
+    /// a newer version, unknown to this node, may reject it. An attempt whose result this node has stored is
+    /// not rejected: it gets that result, and does not run.
     pub(super) fn reject_by_version(&mut self, params: &AttemptParams) -> Option<Response<'static>> {
         let peers = self.peers.as_ref()?;
         // The clock is read again for each attempt: the process may have been suspended since this iteration
--- a/crates/node/src/idempotency_store/mod.rs
+++ b/crates/node/src/idempotency_store/mod.rs
@@ -217,8 +217,8 @@
 }
 
 fn log_recovered(rows: u64, epoch: u64, key_table: &KeyTable, took: Micros) {
-    // The log field `in_doubt` counts the rows of runs whose outcome is unknown; `us` is the time that the
-    // load took, in microseconds.
+    // The log field `in_doubt` counts the rows of runs whose outcome is unknown; `us` is the time in
+    // microseconds that reading all rows took; for PostgreSQL it includes the login.
     let in_doubt = key_table.metrics().in_doubt;
     tracing::info!(
         rows,
--- a/crates/node/src/peers/links.rs
+++ b/crates/node/src/peers/links.rs
@@ -58,8 +58,8 @@
         for index in 0..CONNECTION_KEYS {
             let Some(connection) = self.connections[index].as_mut() else { continue };
             if connection.belongs_to(id) {
-                // The output that waits tells the node of its removal; if it is lost, the node is told when
-                // it connects again.
+                // The output that waits tells the node of its removal; if that output is lost, the node is
+                // told when it connects again.
                 let _ = connection.link.flush(now);
                 self.disconnect(now, index);
             }
@@ -236,7 +236,8 @@
         }
     }
 
-    /// Ends a connection because of a message that is not accepted. A node that was removed is told so first.
+    /// Ends a connection because of a message that is not accepted. A sender that was removed from the
+    /// cluster is first told so.
     fn reject(&mut self, now: Timestamp, index: usize, error: &FrameError) {
         if let FrameError::RemovedSender { incarnation, .. } = error
             && let Some(connection) = self.connections[index].as_mut()
