--- a/crates/admission/src/classes.rs
+++ b/crates/admission/src/classes.rs
@@ -18,7 +18,7 @@
 pub struct SlotPlan {
     /// The names of the classes by slot, and which slots accept requests, after the change.
     pub slots: ClassSlots,
-    /// The settings of the class in each slot.
+    /// The settings of each class, indexed by slot.
     pub classes: Vec<Class>,
     /// For each slot, the previous slot whose learned state (service times, retries) it inherits; `None` if
     /// the class starts without learned state.
@@ -54,7 +54,7 @@
         &self.names
     }
 
-    /// For each slot, whether it accepts requests.
+    /// Whether each slot accepts requests, indexed by slot.
     pub fn open(&self) -> &[bool] {
         &self.open
     }
@@ -80,7 +80,7 @@
             classes: classes.to_vec(),
             inherits_from: (0..classes.len()).map(Some).collect(),
         };
-        // Assigns the unchanged classes first, so that no changed class takes their slots.
+        // Assigns the unchanged classes first, so that no changed class takes the slot of an unchanged one.
         let mut changed = Vec::new();
         for (name, class) in new_names.iter().zip(new_classes) {
             match self.unchanged_slot(&plan.slots, classes, name, class) {
--- a/crates/admission/src/controller/arrival.rs
+++ b/crates/admission/src/controller/arrival.rs
@@ -1,17 +1,17 @@
-//! Arrival of a request: sets its times and priority, and decides whether it is coalesced with another
-//! request, remembered for repeats, or rejected at once.
+//! Handles the arrival of a request: sets the times and the priority of the request, and decides whether the
+//! request is coalesced with another one, remembered so that repeats are recognised, or rejected at once.
 //!
 //! Guarantees that a keyed request runs only if it is remembered for the whole time in which a repeat may
-//! arrive. A request that is neither coalesced nor rejected is queued; what becomes of it is decided at the
-//! end of the batch.
+//! arrive. A request that is neither coalesced nor rejected is queued; at the end of the batch the controller
+//! decides whether the request starts, stays queued or is rejected.
 
 use super::Controller;
 use super::requests::{Phase, RequestEntry};
 use crate::interface::{Action, Effect, Request, RequestId};
 use crate::time::{Span, Time};
 
-/// Least size of a request with a work hint, in seconds of work. With a hint of zero, every run would look
-/// endless in comparison.
+/// Least size of a request with a work hint, in seconds of work. With a mean size of zero, the expected time
+/// of any other run of the class would be infinite.
 const MIN_SIZE_S: f64 = 1e-4;
 /// Least weight of which a logarithm is taken; the logarithm of zero is not finite.
 const MIN_WEIGHT: f64 = 1e-9;
@@ -44,7 +44,7 @@
             if !is_after_drain && self.can_remember() {
                 self.remember(request.id, retention, actions);
             } else if effect == Effect::Keyed {
-                // Without being remembered, a repeat of this request would run a second time.
+                // If this request is not remembered, a repeat of it would run as a new request.
                 return self.reject(request.id, actions);
             }
         }
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Creates the entry of a new request; counts the request in the estimators and in its tenant's quota.
+    /// Creates the entry of a new request, and counts the request in the estimators and in its tenant's
+    /// quota.
     fn new_entry(&mut self, request: &Request) -> RequestEntry {
         let class = request.class.min(self.settings.classes.len() - 1);
         let arrived_at = self.now - request.read_delay;
@@ -90,9 +91,10 @@
         }
     }
 
-    /// Time by which the request must be answered: the deadline that the caller states, or else that of the
-    /// class, less a margin; while the worker drains, also before its stop. Never in the past, so that the
-    /// request is answered now instead of being overdue.
+    /// Time by which the request must be answered: the deadline that the caller states, or else the deadline
+    /// of the class, less a margin. While the worker drains, it is at most the time by which the drain
+    /// answers all requests. It is never before the present time, so that an expired request is answered at
+    /// once and does not count as overdue.
     fn deadline(&self, request: &Request, class: usize, arrived_at: Time) -> Time {
         let by_class = arrived_at + self.settings.classes[class].deadline;
         let deadline = self.with_margin(request.deadline.unwrap_or(by_class)).max(self.now);
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Time until which an answer meets the latency objective of the class, which may grow with the request's
-    /// own work.
+    /// Time until which an answer meets the latency objective of the class. A class may extend the objective
+    /// by a multiple of the request's work hint (`Class::objective_stretch`).
     fn latency_objective(&self, request: &Request, class: usize, arrived_at: Time) -> Time {
         let class = &self.settings.classes[class];
         let stretch_s = request.work_hint.map_or(0.0, |hint| hint.secs() * class.objective_stretch);
@@ -139,7 +141,8 @@
             original.has_waiters = true;
         }
         self.set_phase(id, Phase::Coalesced);
-        // A request that is read at the end of a drain may not be checked again before the stop.
+        // If this request is read at the end of a drain, no timer may come before the process stops, so its
+        // deadline is checked now.
         if self.now >= deadline {
             return self.reject(id, actions);
         }
--- a/crates/admission/src/controller/backpressure.rs
+++ b/crates/admission/src/controller/backpressure.rs
@@ -13,7 +13,7 @@
 /// Weight of a start or a rejection in the rejected share. The share covers about thirty decisions at any
 /// request rate, so that quiet periods do not change it.
 pub(super) const DECISION_WEIGHT: f64 = 0.03;
-/// Weight of a request in the mean read delay: a backlog must show within a few requests.
+/// Weight of a request in the mean read delay: a backlog must be detected within a few requests.
 const READ_DELAY_WEIGHT: f64 = 3.0 * SAMPLE_WEIGHT;
 /// Weight of a control period in the mean number of callers.
 const CALLERS_WEIGHT: f64 = 2.0 * SAMPLE_WEIGHT;
@@ -24,22 +24,22 @@
 /// Mean read delay, as a share of the mean latency objective, below which the read backlog is over: well
 /// below `BACKLOG_BEGINS_FRACTION`, as callers would otherwise be sent away and back repeatedly.
 const BACKLOG_ENDS_FRACTION: f64 = 0.12;
-/// Share of the traffic that the capacity signal holds back, per unit of the rejected share. A larger one
-/// would shut out the class of lowest priority while there is capacity.
+/// Share of the traffic that the capacity signal holds back, per unit of the rejected share. A larger gain
+/// would exclude the class of lowest priority although there is capacity.
 const SIGNAL_GAIN: f64 = 0.3;
 /// Rejected share from which the cluster counts as overloaded: below it, rejections are ordinary variation.
 const OVERLOAD_REJECTED_FRACTION: f64 = 0.05;
 /// Least Retry-After of a rejection, as a share of the longest one: an immediate retry would find the same
 /// queue.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.05;
-/// Sum of all callers' allowances, in requests for each run that the concurrency limit permits: one runs, one
-/// is in transit.
+/// Sum of all callers' allowances, in requests for each run that the concurrency limit permits: one request
+/// runs while another is in transit.
 const OUTSTANDING_PER_RUN: f64 = 2.0;
 /// Margin of an allowance, in standard deviations of a caller's number of outstanding requests.
 const MARGIN_DEVIATIONS: f64 = 2.0;
-/// Relative change of the signal from which it is announced again.
+/// Least relative change of the signal upon which the signal is announced again.
 const MIN_CHANGE_FRACTION: f64 = 0.01;
-/// Stands for a signal that was not announced yet; announced signals are never negative.
+/// Value of `Backpressure::announced` before the first announcement; announced signals are never negative.
 const NOT_ANNOUNCED: f64 = -1.0;
 
 /// State from which the signals are computed.
@@ -53,7 +53,7 @@
     pub(super) read_delay_s: f64,
     /// Whether there is a read backlog, that is, whether this worker reads requests too slowly.
     pub(super) is_backlogged: bool,
-    /// The capacity signal that was last announced; `NOT_ANNOUNCED` before the first one.
+    /// The capacity signal that was last announced; `NOT_ANNOUNCED` before the first announcement.
     pub(super) announced: f64,
 }
 
@@ -80,8 +80,9 @@
     /// Records that a request was read `delay` after its arrival.
     ///
     /// If reading becomes too slow for any reason (slow or stolen cores, a cold start, many retries), callers
-    /// are told to stay away before all requests that are read have expired. Drawback: if the backlog is
-    /// short, cores are idle for as long as callers remember the signal.
+    /// are told to hold back their requests before the delay is so long that every request has expired when
+    /// it is read. Drawback: if the backlog is short, cores are idle for as long as callers remember the
+    /// signal.
     pub(super) fn note_read_delay(&mut self, delay: Span) {
         let objective_s = self.estimators.latency_objective_s;
         let backpressure = &mut self.backpressure;
@@ -94,8 +95,8 @@
         backpressure.is_backlogged = backpressure.read_delay_s > objective_s * limit_fraction;
     }
 
-    /// Whether rejections show that the whole cluster has no capacity, so that a retry elsewhere would only
-    /// cost another reading. Rejections by a worker that drains or is stalled show nothing about other
+    /// Whether rejections show that the whole cluster has no capacity, so that another worker would read a
+    /// retry only to reject it. Rejections by a worker that drains or is stalled show nothing about other
     /// workers.
     ///
     /// Prevents waves of retries. Drawback: requests are lost where this worker alone gets too much traffic.
--- a/crates/admission/src/controller/concurrency_limit.rs
+++ b/crates/admission/src/controller/concurrency_limit.rs
@@ -9,18 +9,20 @@
 /// γ' of formula (5) in units of Ti / Lmax, so that its effect is the same at every arrival rate and
 /// objective.
 const GAMMA: f64 = 0.25;
-/// Least factor by which the limit changes in a control period: one outlier period must not empty the cores.
+/// Least factor by which the limit changes in a control period: one outlier period must not leave the cores
+/// idle.
 const MAX_DECREASE: f64 = 0.85;
 /// Largest factor by which the limit changes in a control period: the latency shows the effect of a rise only
 /// a period later.
 const MAX_INCREASE: f64 = 1.15;
-/// Factor of the limit in a control period in which cores are idle while requests are queued: then more runs
-/// cost no latency.
+/// Factor by which the limit rises in a control period in which cores are idle while requests are queued:
+/// more runs then do not increase the latency.
 const IDLE_INCREASE: f64 = 1.3;
-/// Least Ti − Ne/L, as a share of Ti, at which formula (5) is used. Below it noise would determine the
-/// quotient; the limit then stays or rises.
+/// Least Ti − Ne/L, as a share of Ti, at which formula (5) is used. With a smaller one, noise would determine
+/// the quotient; the limit then stays or rises.
 const MIN_EXCESS_FRACTION: f64 = 0.03;
-/// Least divisor of formula (5) that is used; at zero and below the formula has no solution.
+/// Least value that is used as the divisor of formula (5); with a divisor of zero or below, the formula has
+/// no solution.
 const MIN_DIVISOR: f64 = 0.05;
 /// Share of the limit that must be in use before the limit rises without formula (5): an unused limit gives
 /// no information.
@@ -79,15 +81,16 @@
         self.concurrency_limit = next.clamp(cores, self.survivable_concurrency().max(cores));
     }
 
-    /// Upper bound of concurrent runs: a share of those that the worker survives, which is lower while the
-    /// worker may still be cold.
+    /// Upper bound of the number of concurrent runs: `SURVIVABLE_FRACTION` of the number that the worker
+    /// survives. A worker survives fewer while it may still be cold.
     pub(super) fn survivable_concurrency(&self) -> f64 {
         let per_core =
             1.0 + (self.settings.survivable_runs_per_core - 1.0).max(0.0) * self.assured_speed_share();
         SURVIVABLE_FRACTION * per_core * f64::from(self.settings.cores)
     }
 
-    /// Speed that a worker which started cold has by now in any case, as a share of its full speed.
+    /// Least speed that a worker has reached by now, as a share of its full speed; 1 for a worker that did
+    /// not start cold.
     fn assured_speed_share(&self) -> f64 {
         match self.started_at {
             Some(started_at) if self.settings.cold && self.settings.warmup_duration.0 > 0 => {
--- a/crates/admission/src/controller/dispatch.rs
+++ b/crates/admission/src/controller/dispatch.rs
@@ -11,7 +11,8 @@
 use crate::interface::{Action, RequestId};
 
 impl Controller {
-    /// Starts queued requests in order, while one more may run.
+    /// Starts queued requests, in the order of the queue, as long as a further run may start and there is
+    /// memory for it.
     pub(super) fn start_queued(&mut self, actions: &mut Vec<Action>) {
         let survivable = self.survivable_concurrency() as usize;
         while self.can_start_run(survivable) {
@@ -27,9 +28,9 @@
         }
     }
 
-    /// Whether one more run may start: below the concurrency limit always; above it, while cores are idle, up
-    /// to the number of runs that the worker survives, because runs that wait for the disk or a lock take no
-    /// core.
+    /// Whether one more run may start. Below the concurrency limit a run may always start. While cores are
+    /// idle, further runs may start up to the number that the worker survives, because runs that wait for the
+    /// disk or a lock take no core.
     fn can_start_run(&self, survivable: usize) -> bool {
         let running = self.requests.running;
         (running as f64) < self.concurrency_limit.floor()
--- a/crates/admission/src/controller/estimators.rs
+++ b/crates/admission/src/controller/estimators.rs
@@ -71,7 +71,8 @@
     pub(super) service_times: Vec<Option<ServiceTime>>,
     /// Factor by which the current runs seem slower than their service times; 1 or more.
     pub(super) slowdown: f64,
-    /// Time of the last completed run, or of the start of work on empty cores if that is later.
+    /// Time at which a run last completed, or at which a run last started while no other was on the cores, if
+    /// that is later.
     pub(super) last_completion: Time,
     pub(super) cores: CoreGauges,
 }
@@ -91,15 +92,15 @@
 pub(super) struct CoreGauges {
     /// Share of the cores that were busy recently.
     pub(super) busy: f64,
-    /// Number of tasks that want a core.
+    /// Number of tasks that run on a core or wait for one.
     pub(super) runnable: f64,
     /// Number of idle cores at the latest reading, less the runs started since.
     pub(super) idle: usize,
 }
 
 impl CoreGauges {
-    /// Updates the gauges. A gauge that is absent or not plausible is replaced by the number of running
-    /// requests.
+    /// Updates the gauges. A gauge that is absent or not plausible is replaced by an estimate from the number
+    /// of running requests, `running`.
     pub(super) fn update(&mut self, gauges: &Gauges, running: usize, cores: u32) {
         let cores = f64::from(cores);
         let counted_busy = (running as f64 / cores).min(1.0);
@@ -114,7 +115,7 @@
 }
 
 impl Estimators {
-    /// Creates the estimators. Until something is measured, latencies are assumed to be what the objectives
+    /// Creates the estimators. Before the first measurement, latencies are assumed to be what the objectives
     /// of the classes allow.
     pub(super) fn new(classes: &[Class]) -> Self {
         let latency_objective_s =
@@ -159,12 +160,14 @@
         elapsed_s
     }
 
-    /// Counts the latency objective of a request that arrives, measured from its arrival.
+    /// Includes the latency objective of a request that arrives, measured from its arrival, in the mean
+    /// latency objective.
     pub(super) fn note_arrival(&mut self, latency_objective: Span) {
         blend(&mut self.latency_objective_s, latency_objective.secs(), OBJECTIVE_WEIGHT);
     }
 
-    /// Ends a control period of `elapsed_s` seconds: updates Ne and Ti.
+    /// Ends a control period of `elapsed_s` seconds: updates the mean number of running requests (Ne) and the
+    /// mean arrival rate (Ti).
     pub(super) fn close_period(&mut self, now: Time, elapsed_s: f64) {
         blend(&mut self.mean_running, self.running_integral / elapsed_s, MEAN_RUNNING_WEIGHT);
         blend(&mut self.arrival_rate, self.arrivals / elapsed_s, ARRIVAL_RATE_WEIGHT);
@@ -189,7 +192,7 @@
     }
 
     /// L of formula (5), in seconds. Only completed runs shorten it. The ages of the current runs can
-    /// lengthen it, so that a hang or a slowdown, in which few runs complete, shows at once.
+    /// lengthen it, so that a hang or a slowdown, in which few runs complete, is detected at once.
     pub(super) fn effective_latency_s(&self) -> f64 {
         (self.latency_s * self.slowdown).max(MIN_LATENCY_S)
     }
@@ -203,8 +206,8 @@
         }
     }
 
-    /// Records a run that was stopped before its end. It may only lengthen the expected run time: otherwise
-    /// slow cores, on which few runs complete, would seem fast.
+    /// Records a run that was stopped before its end. Such a run may only lengthen the expected run time:
+    /// otherwise slow cores, on which few runs complete, would seem fast.
     pub(super) fn note_stopped_run(&mut self, class: usize, size: f64, run_s: f64) {
         if run_s <= self.expected_run_s(class, size) {
             return;
@@ -227,11 +230,11 @@
 impl Controller {
     /// Updates the slowdown: compares the ages of the current runs with the service times of their classes.
     ///
-    /// Detects hangs, slowdowns and stolen cores, in which no run completes that would show them. Drawback: a
+    /// Detects hangs, slowdowns and stolen cores even if no run completes that would show them. Drawback: a
     /// few unusually large requests look like a slowdown for as long as they run.
     pub(super) fn update_slowdown(&mut self) {
-        // As many typical runs as half the cores are added; otherwise one large request would look like a
-        // slowdown.
+        // Adds to both sums the time of typical runs, half as many as there are cores; otherwise one large
+        // request would look like a slowdown.
         let typical_s = f64::from(self.settings.cores) / 2.0 * self.estimators.latency_s;
         let mut age_s = 0.0;
         let mut expected_s = 0.0;
@@ -244,7 +247,8 @@
         self.estimators.slowdown = ((age_s + typical_s) / expected_with_typical_s / AGE_ALLOWANCE).max(1.0);
     }
 
-    /// Whether no run completes although the cores are full: a request that arrives now would wait in vain.
+    /// Whether no run has completed for `STALLED_AFTER_RUNS` mean run times although all cores are in use. A
+    /// request that arrives in this state cannot be expected to start.
     pub(super) fn is_stalled(&self) -> bool {
         let without_completion_s = (self.now - self.estimators.last_completion).secs();
         self.requests.running >= self.settings.cores as usize
--- a/crates/admission/src/controller/final_answer.rs
+++ b/crates/admission/src/controller/final_answer.rs
@@ -1,7 +1,7 @@
-//! Final answers that the controller itself gives, and what becomes of the runs of these requests.
+//! Final answers that the controller itself gives, and whether the runs of these requests are stopped.
 //!
 //! A rejection tells the caller that it may retry. Guarantees that a request is rejected only if it never ran
-//! or may safely run twice; any other request gets a failure, which does not promise that.
+//! or may safely run twice; any other request gets a failure, which states that it may have run.
 
 use super::Controller;
 use super::backpressure::DECISION_WEIGHT;
@@ -15,10 +15,10 @@
     pub(super) fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(entry) = self.requests.get(id).filter(|entry| !entry.is_answered) else { return };
         let has_effect = self.settings.classes[entry.class].effect != Effect::Pure;
-        // The effect of a coalesced request is that of the run that it waits for.
+        // A coalesced request has the effect of the run that it waits for, so it may have run.
         let may_have_run = entry.was_started || entry.phase == Phase::Coalesced;
         let never_started = !entry.was_started;
-        // After the objective, an answer from another node would count nothing either.
+        // Once the objective has passed, an answer from another node would count nothing either.
         let no_retry_elsewhere = self.is_cluster_overloaded() || entry.useful_until <= self.now;
         let retry_after = self.retry_after();
         if let Some(entry) = self.requests.get_mut(id) {
@@ -49,9 +49,9 @@
         }
     }
 
-    /// Releases a request that needs no answer any more: stops its run where that is possible, or removes it
-    /// if it waits. A run is not stopped if others wait for its result, or if it is keyed and a repeat may
-    /// ask for it.
+    /// Releases a request that needs no answer any more. If the request waits, it is removed. If it runs, its
+    /// run is stopped where the worker can stop runs, unless other requests wait for the result, or the
+    /// request is keyed and a repeat may ask for the result.
     pub(super) fn release(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(entry) = self.requests.get(id) else { return };
         let is_keyed = self.settings.classes[entry.class].effect == Effect::Keyed;
--- a/crates/admission/src/controller/health.rs
+++ b/crates/admission/src/controller/health.rs
@@ -27,9 +27,9 @@
 
     /// Whether health checks should report this worker as in service.
     ///
-    /// Where every caller's list of workers follows health, a burst that overloads all workers would take
-    /// each worker off the lists, send its traffic to the others, and back. There a read backlog takes this
-    /// worker out of service only if other workers do not share the backlog.
+    /// Where every caller's list of workers follows health, a burst that overloads all workers would remove
+    /// each worker from the lists, and its traffic would move to the others and back. With such lists, a read
+    /// backlog takes this worker out of service only if the other workers have no backlog.
     fn should_be_in_service(&self) -> bool {
         let is_draining_or_stalled = self.drain.is_some() || self.is_stalled();
         let is_backlog_cluster_wide = self.settings.list_follows_health && self.is_cluster_over_quota();
@@ -37,7 +37,7 @@
     }
 
     /// Whether more requests arrive than this worker's share of all quotas. Such a load overloads the other
-    /// workers too; with a smaller load, this worker alone is slow.
+    /// workers too; with a smaller load, only this worker is slow.
     fn is_cluster_over_quota(&self) -> bool {
         let quotas_per_s: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         let cluster_arrival_rate = self.estimators.arrival_rate * f64::from(self.settings.cluster_size);
@@ -45,7 +45,8 @@
     }
 
     /// Whether this worker cannot usefully serve any new request. Within the grace after the drain notice it
-    /// still can: callers learn of the drain late, and the worker that replaces this one is not listed yet.
+    /// can still serve them: callers learn of the drain late, and the worker that replaces this one is not
+    /// listed yet.
     pub(super) fn is_unavailable(&self) -> bool {
         let is_past_grace = self.drain.as_ref().is_some_and(|drain| self.now >= drain.last_arrival);
         is_past_grace || self.is_stalled() || self.backpressure.is_backlogged
--- a/crates/admission/src/controller/idle_connections.rs
+++ b/crates/admission/src/controller/idle_connections.rs
@@ -1,7 +1,7 @@
 //! Idle connections: how long the worker keeps a connection on which no request arrives.
 //!
-//! Guarantees that the timeout lies between a fiftieth of the time after which callers close idle connections
-//! themselves and that time. The timeout does not apply to connections with a request on them.
+//! Guarantees that the timeout is at most the time after which callers close idle connections themselves, and
+//! at least a fiftieth of that time. The timeout does not apply to connections with a request on them.
 
 use super::Controller;
 use crate::interface::Action;
@@ -17,17 +17,18 @@
 /// Share by which the timeout decreases in a control period with idle cores. The decrease is smaller while
 /// cores are busy, as handshakes take core time.
 const DECREASE_FRACTION: f64 = 0.3;
-/// Share of busy cores above which the decrease gets no smaller: the connection table must not fill up while
-/// the cores are always busy.
+/// Share of busy cores above which the decrease becomes no smaller: even if the cores are always busy, the
+/// connection table must not fill up.
 const MAX_BUSY_FRACTION: f64 = 0.9;
 /// Least timeout, as a share of the time after which callers close idle connections: a shorter one would
 /// close connections that are about to be used.
 const MIN_TIMEOUT_FRACTION: f64 = 0.02;
 /// Least timeout that is announced.
 const MIN_TIMEOUT: Span = Span::millis(10);
-/// Divisor that gives the initial timeout from the time after which callers close idle connections.
+/// The initial timeout is the time after which callers close idle connections, divided by this number.
 const INITIAL_DIVISOR: f64 = 10.0;
-/// Requests per caller within its idle time above which connections count as reused.
+/// Connections count as reused if callers send more requests than this each, on average, within the time
+/// after which they close idle connections.
 const MIN_REQUESTS_FOR_REUSE: f64 = 2.0;
 /// Relative change of the timeout above which it is announced again.
 const MIN_CHANGE_FRACTION: f64 = 0.05;
@@ -36,8 +37,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct IdleConnections {
     pub(super) timeout_s: f64,
-    /// The timeout that was last announced; initially that of the callers, which applies until one is
-    /// announced.
+    /// The timeout that was last announced. Before the first announcement it is the time after which callers
+    /// close idle connections.
     pub(super) announced_s: f64,
 }
 
--- a/crates/admission/src/controller/mod.rs
+++ b/crates/admission/src/controller/mod.rs
@@ -59,7 +59,7 @@
 use snapshot::ControllerSnapshot;
 
 /// Period of the controller's timer, in ticks: short enough to answer a request within the margin before its
-/// deadline, long enough to cost next to nothing.
+/// deadline, long enough that its cost is negligible.
 const TIMER_PERIOD_TICKS: u64 = 4;
 /// Id of the controller's only timer.
 const TIMER_ID: u64 = 1;
@@ -118,7 +118,7 @@
 
     /// Replaces the settings. Known requests keep the index of their class. Class `i` inherits the service
     /// time measured for class `previous_classes[i]` of the old settings, or starts without one.
-    /// [`Settings::cold`] keeps its old value, as it says how the worker started.
+    /// [`Settings::cold`] keeps its old value, as that value states how the worker started.
     pub fn update_settings(&mut self, settings: Settings, previous_classes: &[Option<usize>]) {
         self.estimators.reindex_classes(previous_classes);
         self.quota.resize(settings.tenants.len());
--- a/crates/admission/src/controller/outbound_calls.rs
+++ b/crates/admission/src/controller/outbound_calls.rs
@@ -38,7 +38,8 @@
 /// A call is made only while at least this share of a mean reply time is left until the objective: some
 /// replies are faster than the mean.
 const MIN_TIME_LEFT_FRACTION: f64 = 0.5;
-/// Weight of a reply in the recent mean: a dependency that becomes slow must show within a few replies.
+/// Weight of a reply in the recent mean: a dependency that becomes slow must be detected within a few
+/// replies.
 const REPLY_WEIGHT: f64 = 2.0 * SAMPLE_WEIGHT;
 /// Weight with which the lowest mean moves towards the recent mean: after some hundred replies, a dependency
 /// that has become slower for good counts as normal.
@@ -61,7 +62,7 @@
     /// certainly over.
     pub(super) abandoned: Vec<Time>,
     /// Mean number of outstanding calls, smoothed exponentially over the settings' call window: with a window
-    /// of sharp edges, all workers would stop and start calling together.
+    /// that ends abruptly, all workers would stop and resume their calls at the same time.
     pub(super) mean_outstanding: f64,
     /// Time integral of the number of outstanding calls since the start, in call-seconds.
     pub(super) call_seconds: f64,
@@ -144,16 +145,16 @@
 
     /// Expected time until a request may make its call, with `ahead` requests before it, in seconds.
     ///
-    /// Requests that could not make their call in time, as the dependency is slow or down, are thereby
-    /// rejected before they run, not after.
+    /// With this expected wait, the controller rejects requests that could not make their call in time, as
+    /// the dependency is slow or down, before they run.
     pub(super) fn expected_wait_s(&self, ahead: usize, limit: f64) -> f64 {
-        // In the long run the allowed mean limits the calls, not the allowed peak.
+        // Over a long time the allowed mean limits the calls, not the allowed peak.
         let outstanding = self.max_outstanding(limit).min(MEAN_LIMIT_FRACTION * limit);
         self.reply_times.map_or(0.0, |times| ahead as f64 * times.recent_mean_s / outstanding)
     }
 
-    /// Expected duration of a call, in seconds. Zero while no call is in flight, so that one is tried: it
-    /// shows when replies are fast again.
+    /// Expected duration of a call, in seconds. Zero while no call is in flight, so that one call is made:
+    /// its reply shows whether the dependency is fast again.
     pub(super) fn expected_call_s(&self) -> f64 {
         self.reply_times.filter(|_| self.in_flight > 0).map_or(0.0, |times| times.recent_mean_s)
     }
@@ -204,10 +205,9 @@
 
     /// Sets the pause before a call is retried; the pause doubles with each failed call.
     ///
-    /// A dependency that is down or overloaded fails calls at once. Without a pause, retries would repeat as
-    /// fast as the network allows, each would cost the dependency the reading of a call, and they would find
-    /// the dependency in the same state. Drawback: the pause delays a request whose next attempt would have
-    /// succeeded.
+    /// A dependency that is down or overloaded fails calls at once. Without a pause, calls would be retried
+    /// as fast as the network allows. The dependency would have to read each retry, and would fail it again.
+    /// Drawback: the pause delays a request whose next attempt would have succeeded.
     fn delay_retry(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get_mut(id) else { return };
         let pause_fraction =
--- a/crates/admission/src/controller/queue.rs
+++ b/crates/admission/src/controller/queue.rs
@@ -114,8 +114,8 @@
     /// that others wait for, as they may have more time.
     pub(super) fn cannot_meet_objective(&self, id: RequestId) -> bool {
         let Some(entry) = self.requests.get(id).filter(|entry| !entry.has_waiters) else { return false };
-        // While nothing runs, one run is tried whatever time is expected: it shows when the cores are fast
-        // again.
+        // While nothing runs, one run is started however long it is expected to take: its time shows whether
+        // the cores are fast again.
         let run_s = if self.requests.running == 0 {
             0.0
         } else {
--- a/crates/admission/src/controller/quota.rs
+++ b/crates/admission/src/controller/quota.rs
@@ -29,14 +29,14 @@
         Quota { tokens: vec![MIN_BURST_REQUESTS; tenants] }
     }
 
-    /// Changes the number of tenants. Each tenant keeps its bucket by index; a new tenant starts with
+    /// Changes the number of tenants. The tenant at each index keeps its bucket; a new tenant starts with
     /// `MIN_BURST_REQUESTS` tokens.
     pub(super) fn resize(&mut self, tenants: usize) {
         self.tokens.resize(tenants, MIN_BURST_REQUESTS);
     }
 
-    /// Whether a request is within its tenant's quota; if so, takes a token. Without tenants, all requests
-    /// are.
+    /// Returns whether a request of this tenant is within the tenant's quota; if so, takes a token. Without
+    /// tenants, every request is within its quota.
     pub(super) fn take(&mut self, tenant: usize) -> bool {
         match self.tokens.get_mut(tenant) {
             Some(tokens) if *tokens < REQUEST_TOKENS => false,
--- a/crates/admission/src/controller/requests.rs
+++ b/crates/admission/src/controller/requests.rs
@@ -110,7 +110,8 @@
         QueueKey { priority: Reverse(self.priority), arrived_at: self.arrived_at, id }
     }
 
-    /// Time on the cores so far, in seconds; only for a request that is on the cores at `now`.
+    /// Time that the request has spent on the cores up to `now`, in seconds. Call this only for a request
+    /// that is on the cores.
     pub(super) fn run_s(&self, now: Time) -> f64 {
         self.earlier_run_s + (now - self.phase_began).secs()
     }
@@ -163,7 +164,7 @@
     /// Changes the phase of a request; ignores an unknown id.
     pub(super) fn set_phase(&mut self, id: RequestId, phase: Phase) {
         if phase == Phase::Running && self.requests.running == 0 {
-            // No run could complete while none ran: that time must not count as a stall.
+            // No run could complete while nothing was on the cores, so that time must not count as a stall.
             self.estimators.last_completion = self.now;
         }
         self.subtract_from_totals(id);
--- a/crates/admission/src/controller/snapshot.rs
+++ b/crates/admission/src/controller/snapshot.rs
@@ -68,7 +68,8 @@
     /// The idle timeout and the announced idle timeout, in seconds.
     #[serde(rename = "idle")]
     idle_connections: (f64, f64),
-    /// Last arrival time of requests that are run, and time by which all requests are answered.
+    /// The fields of `Drain`: the last arrival time of requests that are run, and the time by which all
+    /// requests are answered.
     drain: Option<(Time, Time)>,
 }
 
--- a/crates/admission/src/engine/commands.rs
+++ b/crates/admission/src/engine/commands.rs
@@ -45,13 +45,14 @@
     Serve(RequestId, Rc<[u8]>),
     /// Answer the attempt with the result of another attempt of the same request.
     Replay(RequestId, Rc<[u8]>),
-    /// No further command follows for this attempt; the host can drop everything that it keeps for it.
+    /// No further command follows for this attempt; the host can drop everything that it keeps for the
+    /// attempt.
     Forget(RequestId),
-    /// Ask the backend for its gauges, and report them with [`EngineEvent::GaugesRead`].
+    /// Ask the backend for its gauges; the host reports them with [`EngineEvent::GaugesRead`].
     ///
     /// [`EngineEvent::GaugesRead`]: super::EngineEvent::GaugesRead
     ReadGauges,
-    /// Close gateway connections once they have been idle for this long, from now on.
+    /// From now on, close each gateway connection that has been idle for this long.
     SetIdleTimeout(Micros),
 }
 
--- a/crates/admission/src/engine/deadlines.rs
+++ b/crates/admission/src/engine/deadlines.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 /// How long a timer that is due waits for the backend's gauges. The controller checks deadlines when timers
-/// fire, so a slow or broken link to the backend must not delay them for longer.
+/// fire, so a slow or broken link to the backend must not delay these checks for longer.
 pub(super) const GAUGE_TIMEOUT: Micros = Micros::millis(30);
 
 /// How long past its due time an attempt may remain unanswered before the engine fails it. The controller
--- a/crates/admission/src/engine/mod.rs
+++ b/crates/admission/src/engine/mod.rs
@@ -16,7 +16,7 @@
 //!   within its window.
 //!
 //! The engine itself writes nothing to storage. The implementation of [`IdempotencyTable`] makes intents and
-//! results durable, and the engine waits until it reports that they are.
+//! results durable, and the engine waits until the table reports that they are durable.
 
 mod actions;
 mod admit;
@@ -108,7 +108,8 @@
             EngineEvent::CallRequested(id) => self.controller_events.push(Event::CallRequested(id)),
             EngineEvent::CallEnded(id, end, latency) => self.call_ended(id, end, latency),
             EngineEvent::CallNotSkippable(id) => {
-                // The run would wait for ever for an outbound call that nobody makes.
+                // The run cannot continue: it waits for an outbound call that is not made. The controller
+                // treats the attempt as one whose caller has gone, and stops the run.
                 self.controller_events.push(Event::CallerGone(id));
                 self.fail(now, id, commands);
             }
--- a/crates/admission/src/handover.rs
+++ b/crates/admission/src/handover.rs
@@ -14,9 +14,9 @@
 //!
 //! The state machine does no I/O and reads no clock: its driver reports each event to [`Handover::on_event`]
 //! and carries out the [`Action`]s that this returns. The driver is `node::event_loop::handover`. It handles
-//! two cases itself. It closes the link of a second successor without reporting it. And it knows from a
-//! predecessor's `Hello` whether that process is already draining; such a predecessor hands over nothing but
-//! its idempotency keys, and the successor serves once the predecessor has exited.
+//! two cases itself. It closes the link of a second successor without reporting it. The driver also knows
+//! from a predecessor's `Hello` message whether that process is already draining; such a predecessor hands
+//! over nothing but its idempotency keys, and the successor serves once the predecessor has exited.
 //!
 //! | role | event | actions | next role |
 //! | --- | --- | --- | --- |
@@ -79,10 +79,11 @@
         /// whichever is later.
         since: Timestamp,
     },
-    /// Like `HandingOver`, but the link to the successor is lost: the successor may have taken over, or died.
+    /// This process has sent its whole state, released the lock and then lost the link to the successor. The
+    /// successor may have taken over, or died.
     SuccessorLost {
-        /// As in `HandingOver`: when the state was sent, or when the lock was last found held before the link
-        /// was lost.
+        /// When the state was sent, or when this process last found, before the link was lost, that another
+        /// process holds the lock, whichever is later.
         since: Timestamp,
         /// When this process last tried to acquire the lock.
         last_attempt: Timestamp,
@@ -206,7 +207,8 @@
         matches!(self.role, Role::Alone | Role::Predecessor)
     }
 
-    /// Whether this process waits for its turn to become the active one.
+    /// Whether this process waits to become the active one: its role is `Successor`, `TakingOver` or
+    /// `PredecessorLost`.
     pub fn is_standby(&self) -> bool {
         matches!(self.role, Role::Successor { .. } | Role::TakingOver | Role::PredecessorLost { .. })
     }
--- a/crates/admission/src/idempotency.rs
+++ b/crates/admission/src/idempotency.rs
@@ -12,7 +12,7 @@
 /// The state of an idempotency key when an attempt with this key arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// No entry of the key binds the attempt, so it is the first attempt of its request.
+    /// No entry of the key covers the arrival of the attempt, so it is the first attempt of its request.
     Vacant,
     /// The given attempt holds the key, and the arriving attempt is a repeat of it.
     Original(RequestId),
@@ -30,7 +30,7 @@
     Granted,
     /// The run may begin when [`Settlement::IntentDurable`] is reported for the attempt.
     Pending,
-    /// The run must not begin, as another attempt with the key ran within its window.
+    /// The run must not begin, as another attempt with the key ran within the key's window.
     Denied,
 }
 
@@ -98,7 +98,7 @@
     fn fingerprint(&self, body: &[u8]) -> u128;
     /// Looks up `key` for an attempt that has arrived with this fingerprint of its body.
     fn lookup(&mut self, now: Moment, key: &str, fingerprint: u128, ingress: Moment) -> Lookup;
-    /// Whether an entry of `key` binds an attempt with this ingress, whatever its body.
+    /// Whether the window of an entry of `key` covers this ingress, whatever the body of the attempt.
     fn contains(&self, key: &str, ingress: Moment) -> bool;
     /// Records attempt `id` as the first attempt of its request, until `until`. Replaces an entry of `key`
     /// whose window is over, and returns the repeats that waited for the replaced entry.
--- a/crates/admission/src/interface/actions.rs
+++ b/crates/admission/src/interface/actions.rs
@@ -8,10 +8,11 @@
 pub enum Action {
     /// Start the run of a queued request.
     Run(RequestId),
-    /// Stop the run of a request. [`Settings::preemption`](super::Settings::preemption) says what that does.
+    /// Stop the run of a request. [`Settings::preemption`](super::Settings::preemption) states what happens
+    /// to a stopped run.
     Preempt(RequestId),
-    /// Final answer: the request is rejected. It never ran or may safely run again, so that the caller may
-    /// retry.
+    /// Final answer: the request is rejected. The request never ran or may safely run again, so the caller
+    /// may retry.
     Reject {
         /// The rejected request.
         id: RequestId,
--- a/crates/admission/src/interface/events.rs
+++ b/crates/admission/src/interface/events.rs
@@ -67,7 +67,7 @@
 pub struct Gauges {
     /// Share of the cores that were busy recently, from 0 to about 1.
     pub cpu_busy: Option<f64>,
-    /// Number of tasks that want a core now, running tasks included.
+    /// Number of tasks that run on a core or wait for one.
     pub runnable: Option<f64>,
     /// Share of the memory in use, from 0 to 1. The controller does not read it.
     pub mem_used: Option<f64>,
--- a/crates/admission/src/interface/settings.rs
+++ b/crates/admission/src/interface/settings.rs
@@ -38,8 +38,8 @@
     /// request follows from it.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Share of `priority_weight` that an answer between objective and deadline counts; 0 if it counts
-    /// nothing.
+    /// Share of `priority_weight` that counts for an answer between objective and deadline; 0 if such an
+    /// answer counts nothing.
     #[serde(rename = "late_worth")]
     pub late_weight: f64,
     /// Whether a request of this class may run more than once.
@@ -48,8 +48,8 @@
     pub dedup_window: Span,
     /// Whether the runs of this class may make outbound calls.
     pub calls: bool,
-    /// Share of `priority_weight` that an answer counts whose run skipped its outbound call; 0 if the call
-    /// must not be skipped.
+    /// Share of `priority_weight` that counts for an answer whose run skipped its outbound call; 0 if the
+    /// call must not be skipped.
     #[serde(rename = "skip_worth")]
     pub skipped_call_weight: f64,
 }
@@ -87,7 +87,7 @@
     Weight,
 }
 
-/// What the runs of the workers make outbound calls to.
+/// The target of the outbound calls that the workers' runs make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Downstream {
     /// There is no dependency.
@@ -115,7 +115,7 @@
     pub classes: Vec<Class>,
     /// Tenants; requests refer to them by index. May be empty.
     pub tenants: Vec<Tenant>,
-    /// Share of its weight that a request beyond its tenant's quota counts.
+    /// Share of the weight of a request that counts if the request is beyond its tenant's quota.
     #[serde(rename = "over_share_worth")]
     pub over_quota_weight: f64,
     /// Unit to which the weight of a class applies. The controller does not read it.
@@ -136,7 +136,7 @@
     /// Memory of one remembered request, in kilobytes.
     #[serde(rename = "key_kb")]
     pub entry_kb: f64,
-    /// What the runs of the workers make outbound calls to.
+    /// The target of the outbound calls that the workers' runs make.
     #[serde(rename = "below")]
     pub downstream: Downstream,
     /// This worker's share of the concurrent calls that the dependency survives. Applies only to
@@ -236,7 +236,7 @@
     /// A setting that must not be negative is below zero.
     #[error("setting {key}: must not be negative")]
     Negative {
-        /// Name of the setting in the source that it comes from.
+        /// Name of the setting, as the source of the settings spells it.
         key: String,
     },
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,9 +1,9 @@
 //! Server-side admission control: decides which requests a worker runs, queues and rejects.
 //!
-//! One [`Controller`] belongs to one worker. In each control period it resets the worker's concurrency limit
-//! (MPL) from the number of running requests, their latency and the arrival rate; while the cores are busy,
-//! requests above the limit are rejected at once. The controller has no clock, thread or socket of its own:
-//! the worker passes it batches of [`Event`]s and carries out the [`Action`]s that it returns. The
+//! One [`Controller`] belongs to one worker. In each control period it recomputes the worker's concurrency
+//! limit (MPL) from the number of running requests, their latency and the arrival rate; while the cores are
+//! busy, requests above the limit are rejected at once. The controller has no clock, thread or socket of its
+//! own: the worker passes it batches of [`Event`]s and carries out the [`Action`]s that it returns. The
 //! simulator's adapter does this directly. The booking node uses the [`engine`], which passes the events and
 //! carries out the actions for it.
 //!
--- a/crates/admission/src/log_record.rs
+++ b/crates/admission/src/log_record.rs
@@ -14,8 +14,8 @@
     /// The snapshot to store in place of the previous one and of all compacted entries; `None` if there is no
     /// new one.
     pub snapshot: Option<Vec<u8>>,
-    /// The index from which entries are removed before `entries` are appended, as a new leader has overruled
-    /// them; `None` removes none.
+    /// The index from which entries are removed before `entries` are appended, because a new leader has other
+    /// entries at these indices; `None` removes none.
     pub truncate_from: Option<u64>,
     /// Entries to append, each with its index, as encoded by the consensus code.
     pub entries: Vec<(u64, Vec<u8>)>,
--- a/crates/admission/tests/engine.rs
+++ b/crates/admission/tests/engine.rs
@@ -256,8 +256,8 @@
     age + harness.now.since(started_at).0 / 1000
 }
 
-// A caller retries with the rest of its own timeout, which is shorter than the class's deadline. An answer at
-// the deadline would come after the caller has gone.
+// A caller retries, and states the rest of its timeout, which is shorter than the class's deadline. An answer
+// at the deadline would come after the caller has gone.
 #[test]
 fn an_attempt_is_answered_within_its_callers_timeout() {
     // The class has a latency objective of 1 s and a deadline of 3 s. The columns are, in ms: age when read,
--- a/crates/admission/tests/law.rs
+++ b/crates/admission/tests/law.rs
@@ -4,8 +4,8 @@
 use common::{Host, request, settings};
 use gaugestand_admission::*;
 
-/// Sends a request every 5 ms, with runs of `ms` each, and returns the highest number of concurrent runs near
-/// the end.
+/// Sends a request every 5 ms, whose run takes `ms` milliseconds, and returns the highest number of
+/// concurrent runs near the end.
 fn max_running(cores: u32, ms: u64, runnable: f64, outcome: Outcome) -> usize {
     let mut config = settings();
     config.cores = cores;
@@ -32,12 +32,13 @@
     max_running_seen
 }
 
-// Runs take longer than Lmax. More concurrent runs would only slow each other down.
+// Runs take longer than Lmax. A higher limit would only make the concurrent runs slower.
 #[test]
 fn latency_over_lmax_keeps_the_limit_at_the_core_count() {
     assert_eq!(max_running(2, 400, 4.0, Outcome::Ok), 2);
-    // Guards against overload if runs spend a sixth of the objective on the cores: the rest is needed for
-    // calls, the queue and the network.
+    // Lmax is 0.15 of the objective of 1 s, as calls, the queue and the network need the rest. Runs that
+    // spend a sixth of the objective on the cores (170 ms) must not raise the limit; shorter ones (120 ms)
+    // must.
     let (longer, shorter) = (steady_limit(1, 170), steady_limit(1, 120));
     assert!(longer < 2.02 && shorter > 2.1, "limits {longer} and {shorter}");
 }
@@ -62,8 +63,8 @@
 }
 
 /// The limit in a steady state, computed from the allowance of a single caller (twice the limit, plus a
-/// margin). Two runs of `ms` are active on two cores at any time, so that Ne = 2. With each of them arrive
-/// `abandoned` more requests whose callers are gone at once.
+/// margin). At any time two runs of `ms` milliseconds each are active on two cores, so that Ne = 2. With each
+/// request that runs, `abandoned` further requests arrive whose callers are gone at once.
 fn steady_limit(abandoned: u128, ms: u64) -> f64 {
     let mut config = settings();
     config.backpressure_signal = BackpressureSignal::Allowance;
@@ -106,13 +107,15 @@
     }
 }
 
-// At its pole the formula does not bound the limit. An unbounded limit would overload the worker.
+// Where Ti = Ne/L, formula (5) has a pole and does not bound the limit. An unbounded limit would overload the
+// worker.
 #[test]
 fn at_the_pole_of_the_formula_the_limit_is_bounded_by_what_the_worker_survives() {
     // Ti = Ne/L with L below Lmax: there is no excess that would bound the limit, so that the bound is 0.4 of
     // the 6 runs per core that two cores survive. Guards against a limit that rises while the dependency is
-    // short of capacity and, as there is no excess, stays high when the cores are short of it themselves: at
-    // a share of 0.6, that many concurrent runs completed less work than two thirds as many.
+    // short of capacity and, as there is no excess, stays high when the cores are short of capacity
+    // themselves: with a bound of 0.6 instead of 0.4, the worker completed less work than with two thirds as
+    // many concurrent runs.
     let limit = steady_limit(0, 100);
     assert!((limit / 4.8 - 1.0).abs() < 0.02, "limit {limit}");
 }
--- a/crates/admission/tests/limits.rs
+++ b/crates/admission/tests/limits.rs
@@ -63,9 +63,9 @@
     }
 }
 
-// The deployment file lists the files that hold the decision logic. By that list the simulated node is
-// compared with the real one: a file that is split off and not listed would make decisions outside that
-// comparison.
+// The deployment file lists the files that hold the decision logic. The simulated node is compared with the
+// real one in the listed files: a file that is split off from them and not listed would make decisions
+// outside that comparison.
 #[test]
 fn the_deployment_file_lists_the_controllers_files() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
--- a/crates/admission/tests/property.rs
+++ b/crates/admission/tests/property.rs
@@ -78,8 +78,8 @@
     }
 }
 
-/// Draws a request with this number. `keyed` holds the keyed first attempts so far: the request repeats the
-/// last of them or is added to them.
+/// Draws a request with this number. `keyed` holds the keyed first attempts so far. The request repeats the
+/// last of them, or it is a first attempt; a keyed first attempt is added to `keyed`.
 fn random_request(rng: &mut Rng, number: u128, keyed: &mut Vec<RequestId>) -> Request {
     let mut arrival = request(number, rng.usize(0..3));
     arrival.read_delay = Span::millis(rng.u64(0..400));
@@ -149,7 +149,8 @@
     assert!(unanswered.is_empty(), "seed {seed}: unanswered at the stop: {unanswered:?}");
 }
 
-// Faults lie in unforeseen combinations of settings, gauges, retries, calls and a drain at any time.
+// Tests combinations of settings, gauges, retries, calls and a drain at any time that the other tests do not
+// foresee.
 #[test]
 fn random_valid_event_sequences_keep_the_rules() {
     for seed in 0..SEEDS {
--- a/crates/admission/tests/rules/backpressure.rs
+++ b/crates/admission/tests/rules/backpressure.rs
@@ -25,8 +25,8 @@
     assert!(announced.iter().any(|a| matches!(a, Action::AnnounceCapacity(x) if *x < 0.5)));
 }
 
-// Callers follow the advice: a long one after a few rejections makes the cores idle, a short one in overload
-// brings all callers back at once.
+// Callers follow Retry-After: a long one after a few rejections leaves the cores idle, and a short one in
+// overload makes all callers return at once.
 #[test]
 fn retry_after_is_short_for_a_few_rejections_and_long_in_overload() {
     let max_retry_after = |completing_every: u128| {
@@ -53,7 +53,7 @@
     assert!(max_retry_after(3) < Span::millis(300), "{:?}", max_retry_after(3));
 }
 
-// In overload each retry elsewhere costs a reading and finds no capacity there either. If rejections are
+// In overload another worker has to read each retry, and has no capacity for it either. If rejections are
 // rare, or if only this worker drains, the retry would be served.
 #[test]
 fn rejections_advise_against_a_retry_elsewhere_only_while_the_cluster_is_overloaded() {
@@ -82,8 +82,8 @@
     );
 }
 
-/// The lowest announced allowance while each of `active_callers` sends one request at a time, out of
-/// `callers` in the settings.
+/// The lowest allowance that is announced while `active_callers` of the `callers` in the settings each send
+/// one request at a time.
 fn lowest_allowance(callers: u32, active_callers: u64) -> f64 {
     let mut config = settings();
     config.backpressure_signal = BackpressureSignal::Allowance;
@@ -135,8 +135,8 @@
             Action::AnnounceCapacity(x) => Some(x),
             _ => None,
         });
-        // Twice the limit, which equals the two cores, for the only possible caller; plus a margin of two
-        // deviations.
+        // The only possible caller is allowed twice the limit, which equals the two cores, plus a margin of
+        // two standard deviations.
         let last = announced.next_back().unwrap_or_default();
         assert!(
             (lowest..=highest).contains(&last),
--- a/crates/admission/tests/rules/estimators.rs
+++ b/crates/admission/tests/rules/estimators.rs
@@ -4,8 +4,8 @@
 use crate::{id, is_rejected};
 use gaugestand_admission::*;
 
-// Some requests hint at far less work than they take. By the ratio of work to hint of these, ordinary
-// requests would look too long to start.
+// Some requests hint at far less work than they take. If the ratio of work to hint of these requests were
+// applied to ordinary ones, ordinary requests would look too long to start.
 #[test]
 fn too_small_work_hints_do_not_keep_other_requests_from_starting() {
     let mut host = Host::new(settings());
@@ -22,8 +22,8 @@
     assert!(host.arrive(big).contains(&Action::Run(id(100))));
 }
 
-// The cores become slow, so that no run ends that would show it. By the earlier service times, requests would
-// be admitted that end too late.
+// The cores become slow, so that no run ends that would show the slowdown. If the controller relied on the
+// earlier service times, it would admit requests that end too late.
 #[test]
 fn slow_cores_are_detected_although_no_run_ends() {
     let mut host = Host::new(settings());
--- a/crates/admission/tests/rules/final_answer.rs
+++ b/crates/admission/tests/rules/final_answer.rs
@@ -4,7 +4,7 @@
 use crate::{id, is_rejected};
 use gaugestand_admission::*;
 
-// A run hangs. Its caller must get an answer by the deadline, whatever becomes of the run.
+// A run hangs. The caller must get an answer by the deadline, whether or not the run ends.
 #[test]
 fn a_running_request_is_answered_by_its_deadline() {
     for preemption in [Preemption::Never, Preemption::Discard, Preemption::Freeze] {
@@ -20,8 +20,8 @@
     }
 }
 
-// A caller has stopped waiting. The run of its request would be useless, and a queued request of it would
-// take up the queue.
+// A caller has stopped waiting. A run for this caller would be useless, and a queued request of this caller
+// would take a place in the queue.
 #[test]
 fn a_caller_that_is_gone_is_not_served() {
     let mut host = Host::new(settings());
@@ -60,8 +60,8 @@
     assert!(answered(&host.advance(60)));
 }
 
-// A repeat waits for a run that hangs. The repeat has an objective of its own, and its effect may have
-// happened.
+// A repeat waits for a run that hangs. The repeat has an objective of its own, and the effect of the run may
+// have happened.
 #[test]
 fn a_repeat_that_waits_for_another_run_is_answered_at_its_objective() {
     let mut host = Host::new(settings());
--- a/crates/admission/tests/rules/health.rs
+++ b/crates/admission/tests/rules/health.rs
@@ -27,8 +27,8 @@
     assert!(announced.iter().any(|a| matches!(a, Action::AnnounceCapacity(x) if *x > 0.5)));
 }
 
-/// Whether a worker that reads every request 0.9 s late goes out of service at this quota, if callers' lists
-/// follow health; and then whether it does on a drain.
+/// Tests a worker with this quota whose callers' lists follow health. Returns whether the worker goes out of
+/// service when it reads every request 0.9 s late, and whether it goes out of service on a drain after that.
 fn goes_out_of_service(quota_per_s: f64) -> (bool, bool) {
     let mut config = settings();
     config.list_follows_health = true;
--- a/crates/admission/tests/rules/main.rs
+++ b/crates/admission/tests/rules/main.rs
@@ -1,5 +1,5 @@
-//! The rules of the controller, one by one, and every failure found so far, tested through the public
-//! interface. There is one module here for each module of the controller that decides.
+//! Tests each rule of the controller, and each failure found so far, through the public interface. There is
+//! one module here for each module of the controller that decides.
 #![allow(missing_docs)]
 
 #[path = "../common/mod.rs"]
--- a/crates/admission/tests/rules/memory.rs
+++ b/crates/admission/tests/rules/memory.rs
@@ -4,7 +4,8 @@
 use crate::id;
 use gaugestand_admission::*;
 
-// Requests arrive faster than runs end. If all were queued, the worker would be killed for lack of memory.
+// Requests arrive faster than runs end. If all of the requests were queued, the worker would be killed for
+// lack of memory.
 #[test]
 fn arrivals_and_runs_never_exceed_the_memory() {
     let mut config = settings();
@@ -60,8 +61,8 @@
     }
 }
 
-// Keyed requests arrive faster than their long window ends. Remembering all of them would fill the memory; if
-// one ran without being remembered, a repeat would run again.
+// Keyed requests arrive faster than the long windows of earlier ones end. Remembering all of them would fill
+// the memory; if one ran without being remembered, a repeat would run again.
 #[test]
 fn keyed_requests_with_a_long_window_neither_fill_the_memory_nor_run_unremembered() {
     let mut config = settings();
--- a/crates/admission/tests/rules/outbound_calls.rs
+++ b/crates/admission/tests/rules/outbound_calls.rs
@@ -98,7 +98,7 @@
     let abandoned_for = config.abandoned_call_duration;
     let mut host = Host::new(config);
     host.gauges = Gauges { cpu_busy: Some(0.1), runnable: Some(0.0), ..Gauges::default() };
-    // Calls in flight: the time at which each began and the time at which it is abandoned.
+    // Calls in flight, each with the time at which it began and the time at which it is abandoned.
     let mut in_flight: Vec<(RequestId, Time, Time)> = vec![];
     // Time at which the dependency has finished each abandoned call.
     let mut abandoned: Vec<Time> = vec![];
@@ -158,8 +158,8 @@
     }
 }
 
-// Calls may come in bursts, but their mean is limited. A wait computed from the burst would admit requests
-// that end too late.
+// Calls may come in bursts, but their mean is limited. If the expected wait were computed from the peak of a
+// burst, requests would be admitted that end too late.
 #[test]
 fn the_expected_wait_for_a_call_follows_from_the_allowed_mean_not_from_the_peak() {
     let mut config = settings();
@@ -176,8 +176,8 @@
         host.step(vec![Event::CallRequested(id(n)), Event::CallEnded(id(n), Outcome::Ok, Span::millis(500))]);
         host.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
     }
-    // Three requests wait. With a mean of a quarter of an outstanding call, of half a second each, a fourth
-    // waits for over six seconds.
+    // Three requests wait. Calls take half a second each, and the allowed mean is a quarter of an outstanding
+    // call, so that a fourth request would wait for over six seconds.
     for n in 11..=14 {
         host.arrive(request(n, 0));
         host.step(vec![Event::CallRequested(id(n))]);
@@ -206,7 +206,8 @@
     assert!((4..=10).contains(&made), "{made} calls in half an objective");
 }
 
-// A reply never comes. A call that could have been retried used up all of its time waiting for the reply.
+// A reply never comes. Without the timeout, a call that could be retried would wait for this reply until its
+// request has no time left.
 #[test]
 fn a_call_that_may_be_retried_times_out_after_a_few_mean_reply_times_and_later_on_its_retry() {
     let mut host = Host::new(Settings { downstream: Downstream::Tier, ..settings() });
@@ -272,13 +273,13 @@
         "a request with its whole objective left must start"
     );
     assert!(is_rejected(&host.arrive(late(3)), 3));
-    // With no call in flight, one call is tried: it shows when calls are fast again.
+    // While no call is in flight, one call is made: its reply shows whether calls are fast again.
     host.step(vec![Event::CallEnded(id(1), Outcome::Ok, Span::millis(600))]);
     assert!(host.arrive(late(4)).contains(&Action::Run(id(4))));
 }
 
-// A call was made however little time was left, and abandoned at the objective: useless work for the
-// dependency.
+// Guards against a call that is made although too little time is left, and then abandoned at the objective:
+// useless work for the dependency.
 #[test]
 fn a_call_whose_reply_would_come_too_late_is_not_made() {
     let mut host = slow_dependency();
--- a/crates/admission/tests/rules/queue.rs
+++ b/crates/admission/tests/rules/queue.rs
@@ -17,8 +17,8 @@
     assert!(host.seen[&id(6)].is_rejected);
 }
 
-// The cores are busy and no run ends. Requests that would wait in vain are rejected at once, with advice on
-// when to retry.
+// The cores are busy and no run ends. Requests that could not start in time are rejected at once, with a
+// Retry-After.
 #[test]
 fn arrivals_over_the_limit_are_rejected_at_once_while_the_cores_are_busy() {
     let mut host = Host::with_busy_cores(settings(), Some(4.0));
@@ -61,8 +61,8 @@
     assert!(!actions.iter().any(|a| matches!(a, Action::Reject { .. })));
 }
 
-// Less time is left than a mean run takes. If the request started, it would take the cores from one that can
-// be in time.
+// Less time is left than a mean run takes. If the request started, it would take the cores from a request
+// that can be answered in time.
 #[test]
 fn a_run_that_would_most_likely_end_late_is_not_started() {
     let mut host = Host::new(settings());
@@ -95,14 +95,14 @@
         host.advance(600);
         host.step(vec![Event::RunEnded(id(n), Outcome::Ok)]);
     }
-    // Two requests run, for 0.6 s each; of four in the queue, the last would start later than its objective
-    // of a second.
+    // Two requests run at a time, for 0.6 s each; of four requests in the queue, the last would start later
+    // than its objective of a second.
     let rejected: Vec<bool> = (21..=26).map(|n| is_rejected(&host.arrive(request(n, 0)), n)).collect();
     assert_eq!(rejected, [false, false, false, false, true, true]);
 }
 
-// A late answer still counts something. With busy cores, a request kept for it would displace one that can be
-// in time.
+// A late answer still has some weight. With busy cores, a request that is kept for a late answer would
+// displace one that can be answered in time.
 #[test]
 fn late_weight_keeps_a_request_queued_only_while_cores_are_free() {
     for (busy, stays) in [(0.2, true), (1.0, false)] {
--- a/crates/admission/tests/rules/quota.rs
+++ b/crates/admission/tests/rules/quota.rs
@@ -32,7 +32,7 @@
 }
 
 // A quota split over hundreds of workers is half a request a second here. Three requests at once are ordinary
-// variation, no excess.
+// variation and not an excess.
 #[test]
 fn a_burst_of_a_few_requests_is_within_a_small_quota() {
     let mut config = settings();
