--- a/benches/record.rs
+++ b/benches/record.rs
@@ -23,8 +23,8 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// A backend of the idempotency store that is measured, or none (`Off`). Its files are removed when this is
-/// dropped.
+/// A backend of the idempotency store that is measured, or none (`Off`). The files of the backend are removed
+/// when the value is dropped.
 enum Store {
     Off,
     /// The path of the database file.
@@ -46,12 +46,13 @@
         Store::all_with_commit_time(Duration::ZERO)
     }
 
-    /// No store and a store of each backend. A commit of the PostgreSQL server takes `commit_time`.
+    /// All variants: no store, and a store of each backend. A commit of the PostgreSQL server takes
+    /// `commit_time`.
     fn all_with_commit_time(commit_time: Duration) -> [Store; 3] {
         let password = temporary_path("pass");
         std::fs::write(&password, "pw").expect("writing the password file");
-        // The file lies on the disk of the build directory: in an in-memory file system a commit would cost
-        // nothing.
+        // The database file is on the disk of the build directory: in an in-memory file system a commit would
+        // take no time.
         let file = Path::new(env!("CARGO_TARGET_TMPDIR"))
             .join(temporary_path("db").file_name().expect("a path with a file name"));
         let server = Postgres::start("pw").expect("starting the fake PostgreSQL server");
@@ -100,7 +101,7 @@
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds")
 }
 
-/// A transaction id that no earlier attempt in this bench had.
+/// Returns a transaction id that no earlier attempt in this bench had.
 fn next_txn() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed))
@@ -335,7 +336,8 @@
     }
 }
 
-/// Counts the system calls per booking of the earlier build, if any, and of this build. Needs strace.
+/// Counts the system calls per booking of the earlier build, if there is one, and of this build. The program
+/// strace must be installed.
 fn system_calls() {
     let builds =
         std::env::var_os("GAUGESTAND_BEFORE").into_iter().chain([env!("CARGO_BIN_EXE_gaugestand").into()]);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,6 @@
 //! Races between two events: a test stops the program (SIGSTOP), causes both events, and lets the program
-//! continue, which then finds both at once. Each test is a row of the table in `docs/design/crossings.md`.
+//! continue, so that it finds both events at once. Each test is a row of the table in
+//! `docs/design/crossings.md`.
 
 mod support;
 
@@ -9,7 +10,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Starts a node in service, with its kernel, whose setting `stop_ms` has this value: the time in
+/// Starts a node in service, with its kernel. `stop_ms` is the node's setting of that name: the time in
 /// milliseconds, from SIGTERM on, within which the program must have ended.
 fn scene_with_stop_ms(stop_ms: u64) -> (Scene, Kernel) {
     let scene = Scene::new(|c| c["stop_ms"] = json!(stop_ms));
@@ -92,7 +93,7 @@
         "the connection ends without a reset"
     );
     assert!(idle.is_closed());
-    // The node neither reads nor runs what arrives from now on.
+    // From now on the node neither reads nor runs anything that arrives.
     let _ = incomplete.stream.write_all(last);
     kernel.expect_only_gauges_until_end();
     drop((incomplete, idle));
@@ -252,8 +253,8 @@
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
 }
 
-/// The connection to the kernel ends, in one case after an incomplete notice, while the node has a command to
-/// send. The node must send the command once on the next connection.
+/// The connection to the kernel ends while the node has a command to send; in one case an incomplete notice
+/// was sent before. The node must send the command once on the next connection.
 #[test]
 fn a_command_that_is_due_as_the_kernel_connection_ends_is_sent_on_the_next() {
     for sends_partial_notice in [false, true] {
@@ -277,8 +278,8 @@
     }
 }
 
-/// The connection to the store ends right after a reply. The node must accept a complete reply. An incomplete
-/// reply leaves open whether the call had its effect.
+/// The connection to the store ends right after a reply. The node must accept a complete reply. If the reply
+/// is incomplete, the node cannot know whether the call had its effect.
 #[test]
 fn a_reply_just_before_the_end_of_its_connection_is_accepted_if_complete() {
     for (reply, is_complete) in [("OK 1\r\nr\r\n", true), ("OK 1\r\nr", false), ("BUSY\r\n", true)] {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Clusters of real node processes that commit versions of the agreed settings, with faults injected into the
-//! links between them.
+//! Tests of clusters of real node processes that commit versions of the cluster's settings, with faults
+//! injected into the links between the processes.
 
 use gaugestand_fakes::relay::Delivery;
 use gaugestand_simulation::fakes::gateway::Reply;
@@ -48,8 +48,8 @@
     }
 }
 
-/// The error text of an operator's call that must be rejected. `because` is the reason why, for the message
-/// of the panic if the call succeeds.
+/// The error text of an operator's call that must be rejected. `because` is the reason for the rejection; it
+/// is the panic message if the call succeeds.
 fn rejection<T: Debug>(result: Result<T, ProcessClusterError>, because: &str) -> String {
     result.expect_err(because).to_string()
 }
@@ -66,7 +66,7 @@
 }
 
 /// Repeats a read about a subject, with a new request id each time, until the reply is `expected`. A single
-/// read would not do, as each node activates a version at its own time.
+/// read is not enough, as each node activates a version at its own time.
 fn await_reply(cluster: &ProcessCluster, process: usize, mut request: u64, subject: u64, expected: &Reply) {
     retry(|| {
         request += 1;
@@ -132,7 +132,7 @@
 
 // An operator unblocks 12 subjects one after the other. A version that only unblocks conflicts with no older
 // version, so that it becomes active without waiting for the expiry of old leases. If it waited, the next
-// proposal would be rejected because the version before is not active yet, and nodes would have no lease
+// proposal would be rejected because the previous version is not active yet, and nodes would have no lease
 // meanwhile.
 #[test]
 fn versions_that_only_unblock_become_active_without_waiting_for_old_leases() {
@@ -150,7 +150,7 @@
         };
         let mut answer = propose();
         // On a busy machine the leader may change, so a rejection with `no majority` is retried. Any other
-        // rejection fails the test, above all that the version before is not active yet.
+        // rejection fails the test, in particular one because the previous version is not active yet.
         while answer.as_ref().is_err_and(|why| why.contains("no majority")) {
             thread::sleep(RETRY_INTERVAL);
             answer = propose();
@@ -273,9 +273,9 @@
     cluster.await_metric(0, "reload_success", 1).expect("the node accepts the reload");
 }
 
-// A node, which every third time is the leader, is killed at a different point of a proposal in each round,
-// from before its validation to after its commit. All nodes must keep each accepted version, under the same
-// number.
+// In each round another node, every third time the leader, is killed at another point of a proposal, from
+// before the validation of the proposal to after its commit. All nodes must keep each accepted version, under
+// the same number.
 #[test]
 fn nothing_committed_is_lost_when_a_node_is_killed_at_each_proposal() {
     let cluster = three_processes(5);
@@ -334,7 +334,7 @@
             stream.write_all(garbage).expect("the garbage is sent");
         }
     }
-    // These are more connections than the nodes have places for, and none of them identifies itself.
+    // These are more connections than the nodes accept, and no client identifies itself on them.
     let connect = |n: usize| TcpStream::connect(cluster.peer_address(n % 3)?).ok();
     let idle_connections: Vec<TcpStream> = (0..40).filter_map(connect).collect();
     let version = cluster.commit(2, &blocking_content(2)).expect("the cluster still commits");
--- a/tests/node/drain.rs
+++ b/tests/node/drain.rs
@@ -2,8 +2,8 @@
 
 use crate::support::*;
 
-/// A run is under way when the node drains, and the kernel never reports its end. The node must fail the
-/// run's request and exit all the same.
+/// A run is under way when the node drains, and the kernel never reports the end of the run. The node must
+/// still fail the run's request and exit.
 #[test]
 fn a_drain_is_reported_starts_no_new_runs_and_ends_after_every_request_is_answered() {
     let (mut scene, mut kernel) = Scene::with_kernel();
@@ -14,7 +14,7 @@
     scene.signal("-TERM");
     while scene.membership_report() != "HB n3 OUT" {}
     assert_eq!(&scene.gateway().health_check("").status[..3], "503");
-    // Longer than the drain's grace period of 300 ms.
+    // Sixty polls of the gauges take longer than the drain's grace period of 300 ms.
     kernel.expect_nothing(60);
     gateway.request(2, "quote", TXN_B, b"q");
     let response = gateway.response();
--- a/tests/node/logging.rs
+++ b/tests/node/logging.rs
@@ -1,4 +1,4 @@
-//! The log on standard error.
+//! Tests of the log on standard error.
 
 use crate::support::*;
 use std::time::{Duration, Instant};
--- a/tests/node/reload.rs
+++ b/tests/node/reload.rs
@@ -78,7 +78,7 @@
     let configuration = configuration.to_string();
     scene.reload(&configuration);
     assert!(scene.next_log_line().contains("in effect"));
-    // A second reload, with nothing changed.
+    // Reloads the configuration a second time, with nothing changed.
     scene.reload(&configuration);
     assert!(scene.next_log_line().contains("in effect"));
     let mut kernel = Kernel::new(new_kernel.accept().expect("a connection from the node").0);
--- a/tests/node/requests.rs
+++ b/tests/node/requests.rs
@@ -123,8 +123,8 @@
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
 }
 
-/// A gateway states a time to live (TTL) that is shorter than the deadline of its class. It does not wait for
-/// a later response, so that the TTL must apply.
+/// A gateway states a time to live (TTL) that is shorter than the deadline of its class. The gateway does not
+/// wait longer than the TTL, so the node must apply the TTL.
 #[test]
 fn an_attempt_is_answered_within_its_ttl_and_malformed_fields_are_bad_requests() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -139,7 +139,8 @@
     ));
     kernel.expect("SCHED", TXN_A);
     assert_eq!(status_and_body(&gateway.response()).1, "500");
-    // The deadline of the class, 6 s, is later.
+    // The TTL of 700 ms has to apply: by the deadline of the class, 6 s, the answer would come later than 1.5
+    // s.
     assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
     gateway.send(&attempt_records(1, "quote", TXN_B, &[("HTTP_X_TTL_MS", "0")], b"q"));
     assert_eq!(status_and_body(&gateway.response()).1, "503");
--- a/tests/node/store_calls.rs
+++ b/tests/node/store_calls.rs
@@ -169,8 +169,8 @@
     assert!(scene.counter("replies_unasked") >= 1);
 }
 
-/// A scene whose `quote` runs may skip their outbound call, and whose store does not listen. The one run has
-/// requested its call.
+/// A scene whose `quote` runs may skip their outbound call, and whose store does not listen. One run has
+/// started and has requested its call.
 fn scene_with_skippable_call() -> (Scene, Kernel, Gateway) {
     let scene = Scene::new(|c| c["settings"]["extra"]["class-skip-worth"] = json!([0.3, 0.0]));
     let mut kernel = scene.connect_kernel();
@@ -211,7 +211,7 @@
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
 }
 
-/// The store is unreachable while the node drains.
+/// The store of the outbound calls refuses connections while the node drains.
 #[test]
 fn a_run_that_skips_its_call_during_a_drain_is_answered_with_its_result() {
     let scene = Scene::new(|c| c["settings"]["extra"]["class-skip-worth"] = json!([0.3, 0.0]));
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -1,5 +1,5 @@
-//! The real program with each backend of the idempotency store: which results are durable, which requests are
-//! rejected while the store fails, and that no request runs twice.
+//! Tests of the real program with each backend of the idempotency store: which results are durable, which
+//! requests are rejected while the store fails, and that no request runs twice.
 
 mod support;
 
@@ -29,7 +29,8 @@
     }
 }
 
-/// An idempotency store of one backend, which a test can stall. Its files are removed on drop.
+/// An idempotency store of one backend, which a test can stall. The files of the store are removed when the
+/// value is dropped.
 enum Store {
     /// `lock` holds a write transaction while the store is stalled.
     Sqlite { path: PathBuf, lock: Option<Connection> },
@@ -544,7 +545,8 @@
     kill_under_load(20, 20, 7);
 }
 
-/// Checks the same with two hundred kills. To be run with `cargo test --release --test record -- --ignored`.
+/// Kills the node two hundred times, and otherwise checks the same as the test with twenty kills. To be run
+/// with `cargo test --release --test record -- --ignored`.
 #[test]
 #[ignore = "takes minutes"]
 fn two_hundred_kills_under_load_run_nothing_twice() {
@@ -629,7 +631,7 @@
 }
 
 /// Retries arrive within and after the window of their key, which counts from the ingress time that the
-/// request states, and again after a restart of the node. A retry within the window must get the stored
+/// request states, and again after the node was restarted. A retry within the window must get the stored
 /// result, and a later one must run.
 #[test]
 fn a_retry_past_its_window_runs_again_and_one_within_it_does_not_across_a_restart() {
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -1,6 +1,6 @@
-//! Runs the real program with the settings of sites that are drawn by seed. The sites differ in the fields
-//! that requests carry and in what each site allows; the program must not depend on the form of a particular
-//! site.
+//! Runs the real program with the settings of sites, which are drawn at random from seeds. The sites differ
+//! in the fields that requests carry and in what each site allows; the program must not depend on the form of
+//! a particular site.
 
 mod support;
 
--- a/tests/support/frame_corruptor.rs
+++ b/tests/support/frame_corruptor.rs
@@ -19,7 +19,7 @@
 /// Length in bytes of the greeting that each side sends before its first frame.
 const GREETING_LEN: usize = 8;
 
-/// The proxy. It serves until the predecessor has ended; its folder is removed when this is dropped.
+/// The proxy. It serves until the predecessor has ended; its folder is removed when the value is dropped.
 pub struct FrameCorruptor {
     folder: PathBuf,
 }
--- a/tests/support/kernel.rs
+++ b/tests/support/kernel.rs
@@ -1,7 +1,7 @@
 //! The kernel's end of its connection to the node. It reads commands and sends notices as the test directs.
 //!
-//! It does nothing unasked, except that its methods answer the polls for gauges (`SYSINFO`) that arrive while
-//! they wait.
+//! It acts only when a test calls a method, and these methods answer the polls for gauges (`SYSINFO`) that
+//! arrive while they wait.
 
 use super::{TEST_TIMEOUT, with_read_timeout};
 use base64::Engine as _;
@@ -42,7 +42,7 @@
         self.lines.get_mut().write_all(format!("{notice}\n").as_bytes()).expect("sending to the node");
     }
 
-    /// Sends the beginning of a notice, without a line end.
+    /// Sends `text` as the beginning of a notice, without a line end.
     pub fn notify_partially(&mut self, text: &str) {
         self.lines.get_mut().write_all(text.as_bytes()).expect("sending to the node");
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Support for the tests of the compiled program: starts the program and plays its peers on loopback, as a
-//! test directs.
+//! Support for the tests of the compiled program: starts the program and simulates its peers on loopback, as
+//! a test directs.
 //!
 //! Each test has its own process, files and ports. The support code fails a test only where the program does
 //! not start or end, or where a peer does not receive what it expects within [`TEST_TIMEOUT`].
--- a/tests/support/program.rs
+++ b/tests/support/program.rs
@@ -22,27 +22,29 @@
     *PROGRAM_OVERRIDE.lock().expect("PROGRAM_OVERRIDE is not poisoned") = other.map(OsStr::to_os_string);
 }
 
-/// A sub-command of the build under test that is ready to start, and the path of the file to which its
-/// configuration was written. The caller removes the file.
+/// Writes the configuration to a file. Returns a command that runs the sub-command of the build under test on
+/// this file, and the path of the file. The caller removes the file.
 pub fn program(configuration: &Value, subcommand: &str) -> (Command, PathBuf) {
     let path = temporary_path("json");
     std::fs::write(&path, configuration.to_string()).expect("writing the configuration file");
     (command(&path, subcommand), path)
 }
 
-/// A sub-command of the build under test with the configuration file at this path and with piped output.
+/// Returns a command that runs the sub-command of the build under test on the configuration file at this
+/// path. The output is piped.
 fn command(configuration: &Path, subcommand: &str) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_gaugestand"));
     command.arg(subcommand).env("BALANCER_CONFIG", configuration);
     command.env_remove("BALANCER_NAME").env_remove("BALANCER_LISTEN").env_remove("BALANCER_ADMIN_ADDR");
-    // The processes of a node find each other in the folder TMPDIR. Processes of different tests must not do
-    // so.
+    // The processes of a node find each other in the folder TMPDIR. Processes of different tests must not
+    // find each other.
     command.env_remove("TMPDIR");
     command.stdout(Stdio::piped()).stderr(Stdio::piped());
     command
 }
 
-/// The sub-command `serve` of the build under test, or of the build that [`override_program`] set.
+/// Returns a command that runs the sub-command `serve` of the build under test, or of the build that
+/// [`override_program`] set.
 fn serve_command(configuration: &Path) -> Command {
     match PROGRAM_OVERRIDE.lock().expect("PROGRAM_OVERRIDE is not poisoned").clone() {
         None => command(configuration, "serve"),
@@ -86,7 +88,8 @@
         if stderr.read_line(&mut line).expect("reading standard error") == 0 {
             panic!("the program exited before it listened: {:?}", child.wait());
         }
-        // What precedes the address in the text log, in the JSON log and in the log of earlier builds.
+        // The text before the listening address in the text log, in the JSON log, and in the log of earlier
+        // builds.
         let listening =
             ["address=", "address\":\"", "listens on "].iter().find_map(|key| line.split_once(key));
         if let Some((_, address)) = listening {
@@ -98,8 +101,8 @@
     }
 }
 
-/// Starts `serve` and waits until its log states the second address, which is returned. The rest of the log
-/// is copied to the standard error of the test.
+/// Starts `serve`, waits until its log states the second address, and returns that address. The rest of the
+/// log is copied to the standard error of the test.
 #[allow(clippy::zombie_processes)]
 pub fn start_in_background(configuration: &Path, handover_dir: Option<&Path>) -> (Child, String) {
     let mut command = command(configuration, "serve");
--- a/tests/support/scene.rs
+++ b/tests/support/scene.rs
@@ -71,8 +71,8 @@
         Scene::replaceable_with(|configuration| configuration["settings"]["extra"]["key-kb"] = json!(1.0))
     }
 
-    /// Does the same as [`Scene::replaceable`], but with the default `key-kb`. `change` may alter the
-    /// configuration beforehand.
+    /// Starts the program as [`Scene::replaceable`] does, but with the default `key-kb`. `change` may alter
+    /// the configuration beforehand.
     pub fn replaceable_with(change: impl FnOnce(&mut Value)) -> Self {
         let handover_dir = temporary_path("d");
         std::fs::create_dir(&handover_dir).expect("creating the hand-over folder");
@@ -88,8 +88,8 @@
         // `listen`.
         let store = Socket::new(Domain::IPV4, Type::STREAM, None).expect("creating the store's socket");
         store.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("binding the store's port");
-        // With the timeouts, a test that waits for a connection or a datagram in vain fails instead of
-        // hanging.
+        // With the timeouts, a test that waits for a connection or a datagram that never comes fails instead
+        // of hanging.
         store.set_read_timeout(Some(TEST_TIMEOUT)).expect("setting the timeout");
         SockRef::from(&kernel).set_read_timeout(Some(TEST_TIMEOUT)).expect("setting the timeout");
         let members = UdpSocket::bind("127.0.0.1:0").expect("binding the membership port");
@@ -168,7 +168,8 @@
         self.restart_with(|| ());
     }
 
-    /// Does the same as [`Scene::restart`], and calls `between` after the kill and before the start.
+    /// Restarts the program as [`Scene::restart`] does, and calls `between` after the kill and before the
+    /// start.
     pub fn restart_with(&mut self, between: impl FnOnce()) {
         self.kill();
         between();
@@ -203,8 +204,8 @@
         send_signal(&self.child, option);
     }
 
-    /// Suspends the program with SIGSTOP until [`Scene::resume`], and waits until it is suspended. All that
-    /// peers send in the meantime is there at once when the program continues.
+    /// Suspends the program with SIGSTOP until [`Scene::resume`], and waits until it is suspended. When the
+    /// program continues, it finds everything that peers have sent in the meantime.
     pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
--- a/tests/support/successor.rs
+++ b/tests/support/successor.rs
@@ -9,8 +9,8 @@
 use std::process::Child;
 use std::time::{Duration, Instant};
 
-/// A process that takes over from its predecessor, an earlier process of the same node. It is killed when
-/// this is dropped.
+/// A process that takes over from its predecessor, an earlier process of the same node. The process is killed
+/// when the value is dropped.
 pub struct Successor {
     child: Child,
     configuration_path: PathBuf,
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! Upgrades of the real program: a successor, which is another process of the same node, takes over from its
-//! predecessor.
+//! Tests of upgrades of the real program: a successor, which is another process of the same node, takes over
+//! from its predecessor.
 
 mod support;
 
@@ -24,8 +24,8 @@
     format!("{n:032x}")
 }
 
-/// Accepts a connection to the kernel and reports that the kernel is up. The node must ask on it for the
-/// notices after the one with the number `cursor`.
+/// Accepts a connection to the kernel and reports that the kernel is up. On this connection the node must ask
+/// for the notices after the one with the number `cursor`.
 fn connect_kernel(listener: &std::net::TcpListener, cursor: u64) -> Kernel {
     let mut kernel = Kernel::new(listener.accept().expect("the node connects").0);
     assert_eq!(kernel.command(), json!({"event": "OPEN", "cursor": cursor}));
@@ -151,9 +151,9 @@
     assert_eq!(book(7, 3, "three").0, "500");
 }
 
-/// The successor cannot read the state that the predecessor hands over, as it would be if an incompatible
-/// version of the program had written it. The predecessor must end its requests, and the successor serves
-/// only after that.
+/// The successor cannot read the state that the predecessor hands over, as if an incompatible version of the
+/// program had written the state. The predecessor must end its requests, and the successor serves only after
+/// that.
 #[test]
 fn a_successor_that_cannot_read_the_state_waits_until_its_predecessor_has_ended() {
     let (mut scene, mut kernel, mut gateway) = scene_with_stored_result();
