--- a/benches/record.rs
+++ b/benches/record.rs
@@ -133,7 +133,8 @@
             })
             .collect();
         for client in clients {
-            all.add(client.join().expect("the client thread")).expect("histograms with the same bounds");
+            all.add(client.join().expect("the client thread does not panic"))
+                .expect("histograms with the same bounds");
         }
     });
     (all.len() as f64 / began.elapsed().as_secs_f64(), all)
@@ -226,7 +227,10 @@
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("reading the process status");
     let field = |name: &str| {
         let line = text.lines().find(|line| line.starts_with(name)).expect("a line of this name");
-        line.split_whitespace().nth(1).and_then(|number| number.parse().ok()).expect("a number")
+        line.split_whitespace()
+            .nth(1)
+            .and_then(|number| number.parse().ok())
+            .expect("the memory in kB is a number")
     };
     (field("VmRSS:"), field("VmHWM:"))
 }
@@ -290,7 +294,7 @@
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("reading the process state");
     let fields: Vec<&str> =
         text.rsplit(')').next().expect("the fields after the process name").split_whitespace().collect();
-    let ticks = |index: usize| fields[index].parse::<u64>().expect("a number");
+    let ticks = |index: usize| fields[index].parse::<u64>().expect("the CPU time is a number");
     // The fields are the user and the system time, in hundredths of a second.
     (ticks(11) + ticks(12)) * 10
 }
--- a/benches/upgrade.rs
+++ b/benches/upgrade.rs
@@ -81,7 +81,7 @@
         scene.signal("-TERM");
         thread::sleep(Duration::from_millis(300));
         is_over.store(true, Ordering::Relaxed);
-        client.join().expect("the client thread")
+        client.join().expect("the client thread does not panic")
     });
     Handover { ready: ready.as_secs_f64() * 1e3, longest_wait: longest_wait.as_secs_f64() * 1e3 }
 }
--- a/crates/admission/src/classes.rs
+++ b/crates/admission/src/classes.rs
@@ -20,8 +20,8 @@
     pub slots: ClassSlots,
     /// The settings of each class, indexed by slot.
     pub classes: Vec<Class>,
-    /// For each slot, the previous slot whose learned state (service times, retries) it inherits; `None` if
-    /// the class starts without learned state.
+    /// For each slot, the slot before the change whose learned state (service times, retries) the new class
+    /// inherits; `None` if the class starts without learned state.
     pub inherits_from: Vec<Option<usize>>,
 }
 
@@ -94,7 +94,7 @@
         plan
     }
 
-    /// The slot that holds exactly this class and is not yet assigned in `planned`; slots that accept
+    /// Finds a slot that holds exactly this class and is not yet assigned in `planned`; slots that accept
     /// requests are preferred.
     fn unchanged_slot(
         &self,
--- a/crates/admission/src/controller/snapshot.rs
+++ b/crates/admission/src/controller/snapshot.rs
@@ -1,4 +1,4 @@
-//! The stored form of the controller. It is part of the frames that one process of a node sends to its
+//! The stored form of the controller, which is part of the frames that one process of a node sends to its
 //! successor in a hand-over.
 //!
 //! The two processes may be of different versions. The format (CBOR through serde: field names, their order
@@ -29,7 +29,7 @@
 /// A queue key: negated priority, arrival time, request id.
 type StoredQueueKey = (i32, Time, RequestId);
 
-/// Number of recent reads and time of the last one, by resource key and class.
+/// For each resource key and class, the number of recent reads and the time of the last read.
 type StoredReadCounts = BTreeMap<(u64, usize), (f64, Time)>;
 
 /// Stored form of [`Controller`]. The order of the fields is part of the format.
--- a/crates/admission/src/engine/actions.rs
+++ b/crates/admission/src/engine/actions.rs
@@ -88,8 +88,9 @@
         self.forget_if_finished(id, commands);
     }
 
-    /// Answers a repeat with the result of the attempt that holds its idempotency key, or with a failure if
-    /// that attempt has none: at once if its run has ended, else when it ends.
+    /// Answers a repeat with the result of the attempt that holds the repeat's idempotency key, or with a
+    /// failure if that attempt has no result. The answer is given at once if the run of that attempt has
+    /// ended, else when the run ends.
     fn coalesce(&mut self, id: RequestId, commands: &mut Vec<EngineCommand>) {
         let key = self.attempts.get(id).and_then(|attempt| attempt.idempotency_key.as_ref());
         match key.map_or(JoinOutcome::Failed, |key| self.idempotency.join(key, id)) {
@@ -110,7 +111,7 @@
     }
 
     /// Frees the idempotency key of an attempt that did not run. A key whose run was started stays for its
-    /// whole window: this method keeps it while the run is pending or running, and the idempotency table
+    /// whole window: this method keeps the key while the run is pending or running, and the idempotency table
     /// ignores a release after that.
     fn release_key(&mut self, now: Moment, id: RequestId, commands: &mut Vec<EngineCommand>) {
         let Some(attempt) = self.attempts.get(id) else { return };
--- a/crates/admission/src/engine/admit.rs
+++ b/crates/admission/src/engine/admit.rs
@@ -109,8 +109,8 @@
     /// Accepts a first attempt unless the grace period of a drain is over or the class is closed. Repeats are
     /// exempt from both conditions, as they get the result of a run that was admitted before.
     fn classify_first(&self, attempt: &Attempt) -> Admission {
-        // The engine checks the grace period itself, as the controller counts it from when it is told of the
-        // drain, which is later than the notice.
+        // The engine checks the grace period itself. The controller counts the period from when it is told of
+        // the drain, which is later than the notice.
         if self.drain.is_some_and(|drain| attempt.ingress.mono > drain.last_ingress) {
             return Admission::Reject { retry_after: self.max_retry_after() };
         }
--- a/crates/admission/src/engine/attempts.rs
+++ b/crates/admission/src/engine/attempts.rs
@@ -53,7 +53,8 @@
         matches!(self.run, RunState::Running | RunState::Ended)
     }
 
-    /// Stops waiting for the durable intent. Returns whether the attempt was waiting for it.
+    /// Stops waiting for the durable intent of the attempt. Returns whether the attempt was waiting for the
+    /// intent.
     pub fn abandon_intent(&mut self) -> bool {
         let waited = self.is_awaiting_durable_intent();
         if waited {
@@ -154,8 +155,8 @@
         self.by_id.insert(id, attempt);
     }
 
-    /// Marks the attempt as answered. Returns false if the attempt awaits no answer; the caller must not
-    /// answer it then, as it would be answered twice.
+    /// Marks the attempt as answered. Returns false if the attempt awaits no answer; the calling code must
+    /// not send an answer then, as the attempt would be answered twice.
     pub fn mark_answered(&mut self, id: RequestId) -> bool {
         let Some(attempt) = self.by_id.get_mut(&id).filter(|attempt| attempt.awaiting_answer) else {
             return false;
--- a/crates/admission/src/engine/commands.rs
+++ b/crates/admission/src/engine/commands.rs
@@ -64,7 +64,7 @@
 }
 
 /// Why [`Engine::admit`] refuses an attempt. The engine keeps no state for the attempt and gives no command
-/// for it, so the host has to answer it.
+/// for it, so the host has to answer the attempt.
 ///
 /// [`Engine::admit`]: super::Engine::admit
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/admission/src/engine/deadlines.rs
+++ b/crates/admission/src/engine/deadlines.rs
@@ -37,8 +37,8 @@
 }
 
 impl ControllerTimers {
-    /// Restores the timers of another process. The request for gauges is not restored: it was made on that
-    /// process's own link.
+    /// Restores the timers of another process. The request for gauges is not restored, as the other process
+    /// made it on a link of its own.
     pub fn restored(scheduled: BTreeSet<(Timestamp, u64)>, due: Vec<u64>) -> Self {
         ControllerTimers { scheduled, due, gauges_requested_at: None }
     }
--- a/crates/admission/src/engine/events.rs
+++ b/crates/admission/src/engine/events.rs
@@ -1,4 +1,4 @@
-//! The engine's input: arriving attempts, and the later events that concern them or the process.
+//! The engine's input: arriving attempts, and later events that concern an attempt or the process.
 
 use crate::interface::{Gauges, RequestId};
 use crate::time::{Micros, Timestamp, UnixTime};
@@ -78,12 +78,12 @@
 pub enum EngineEvent {
     /// The backend has started.
     BackendStarted {
-        /// Whether the backend's caches are cold, so that it is slow at first.
+        /// Whether the backend's caches are cold, so that the backend is slow at first.
         cold: bool,
         /// The time since the backend started.
         age: Micros,
     },
-    /// The link to the backend went up (`true`) or down (`false`). Runs continue while it is down.
+    /// The link to the backend went up (`true`) or down (`false`). Runs continue while the link is down.
     BackendLink(bool),
     /// The run of this attempt ended.
     RunEnded(RequestId, RunOutcome),
--- a/crates/admission/tests/engine.rs
+++ b/crates/admission/tests/engine.rs
@@ -201,8 +201,8 @@
     assert_eq!(harness.try_admit(1, PURE, 0, b"body"), Err(AdmitError::DuplicateId));
 }
 
-// A caller uses an idempotency key that belongs to another request. It must not get that request's result nor
-// wait for it, whether the other request is queued, is running or has ended.
+// A caller uses an idempotency key that belongs to another request. The caller must neither get nor await the
+// other request's result, whether the other request is queued, is running or has ended.
 #[test]
 fn an_attempt_that_reuses_a_key_with_another_body_is_refused_as_a_key_conflict() {
     let mut harness = Harness::new();
@@ -380,7 +380,7 @@
     );
 }
 
-// The link to the kernel is down, so no gauges can be requested. Deadlines must be checked all the same.
+// The link to the kernel is down, so no gauges can be requested. Deadlines must still be checked.
 #[test]
 fn timers_fire_without_gauges_while_the_backend_link_is_down() {
     let mut harness = Harness::new();
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,6 +1,6 @@
-//! Invalid input of gateways, the kernel and the store. Invalid input may fail its own request, or end its
-//! own connection if the framing is lost. The node counts it, bounds the memory that it takes, and other
-//! requests are not affected.
+//! Tests of invalid input from gateways, the kernel and the store. Invalid input may fail its own request, or
+//! end its own connection if the framing is lost. The node counts it, bounds the memory that it takes, and
+//! other requests are not affected.
 
 mod support;
 
@@ -89,7 +89,7 @@
 }
 
 /// The kernel sends notices about runs that the node did not start, repeated notices, notices out of order,
-/// answers to questions that the node did not ask, and a line that is too long.
+/// answers to commands that the node did not send, and a line that is too long.
 #[test]
 fn notices_without_a_run_or_a_question_are_ignored_and_an_endless_line_ends_the_connection() {
     let (mut scene, mut kernel) = Scene::with_kernel();
@@ -149,9 +149,9 @@
     assert_eq!(kernel.expect("IODONE", TXN_A), b"abc");
     kernel.reap(TXN_A, "good", b"r");
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
-    // While the kernel answers 40 questions for gauges, the node closes the idle connection of the first
-    // call. The second call therefore opens its own connection, on which the reply stalls. Its run may not be
-    // repeated, so the request must fail long before its deadline.
+    // While the kernel answers 40 polls for gauges, the node closes the idle connection of the first call.
+    // The second call therefore opens its own connection, on which the reply stalls. The run of the second
+    // call must not be repeated, so its request must fail long before the deadline.
     kernel.expect_nothing(40);
     let began = Instant::now();
     gateway.send(&attempt_records(1, "booking", TXN_B, &[("HTTP_X_TXN_KEY", "k2")], b"b"));
@@ -201,7 +201,7 @@
         assert_eq!(status_and_body(&responses[0]).1, "500", "{reply:?}");
         assert_eq!(status_and_body(&responses[1]), (2, "200", &b"s"[..]));
         // The kernel ends the failed run, which frees its core for the next run. While the kernel answers 40
-        // questions for gauges, the node closes its idle connections to the store.
+        // polls for gauges, the node closes its idle connections to the store.
         kernel.reap(&id, "cut", &[]);
         kernel.expect_nothing(40);
     }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Races between two events: a test stops the program (SIGSTOP), causes both events, and lets the program
-//! continue, so that it finds both events at once. Each test is a row of the table in
+//! Tests of races between two events: a test stops the program (SIGSTOP), causes both events, and lets the
+//! program continue, so that it finds both events at once. Each test is a row of the table in
 //! `docs/design/crossings.md`.
 
 mod support;
@@ -405,7 +405,8 @@
 }
 
 /// A reload changes the address of the membership service at the same time as SIGTERM arrives. The node must
-/// report to the new address that it leaves service, and repeat the report, as a datagram may be lost.
+/// report to the new address that it leaves service, and must repeat this report, because datagrams can be
+/// lost.
 #[test]
 fn membership_reports_go_to_the_reloaded_address_and_repeat_that_the_node_leaves() {
     let (mut scene, mut kernel) = scene_with_stop_ms(2_000);
@@ -418,7 +419,7 @@
     scene.reload(&changed.to_string());
     scene.signal("-TERM");
     scene.resume();
-    // The node repeats the report while it drains, as a datagram may be lost.
+    // The node repeats the report while it drains, because datagrams can be lost.
     let mut reports_out = 0;
     while reports_out < 3 {
         let mut datagram = [0; 64];
@@ -430,7 +431,7 @@
 }
 
 /// The process is killed while one request runs and one connection waits to be accepted, and is started again
-/// with the same listen address. It must be able to listen there, and serve new requests.
+/// with the same listen address. The new process must be able to listen there, and serve new requests.
 #[test]
 fn a_process_that_is_killed_with_connections_pending_restarts_at_its_address() {
     let port = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port").port();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -130,10 +130,10 @@
     ));
 }
 
-// An operator unblocks 12 subjects one after the other. A version that only unblocks conflicts with no older
-// version, so that it becomes active without waiting for the expiry of old leases. If it waited, the next
-// proposal would be rejected because the previous version is not active yet, and nodes would have no lease
-// meanwhile.
+// An operator unblocks 12 subjects one after the other. A version that only removes blocks does not conflict
+// with any older version, so it becomes active without waiting for the expiry of old leases. If each version
+// waited, the next proposal would be rejected because the previous version is not active yet, and nodes would
+// have no lease meanwhile.
 #[test]
 fn versions_that_only_unblock_become_active_without_waiting_for_old_leases() {
     let cluster = three_processes(7);
@@ -196,9 +196,9 @@
     assert!(matches!(other, Reply::Served(_)), "{other:?}");
 }
 
-// One node has less memory than the others, so that it could not hold the keys of the proposed window; or the
-// proposal drops a class that has load. The cluster rejects such a proposal before it commits anything, and
-// names the node and the reason.
+// In one case a node has less memory than the others and could not hold the keys of the proposed window; in
+// another the proposal drops a class that has load. The cluster rejects such a proposal before it commits
+// anything, and names the node and the reason.
 #[test]
 fn a_version_that_one_node_could_not_act_on_is_rejected_with_its_name() {
     let small = |process: usize, config: &mut Value| {
@@ -250,8 +250,8 @@
 }
 
 // An operator changes a setting of the cluster in the configuration file of one node, and reloads it. The
-// node must reject the reload: if it accepted it, the change would have no effect, but the operator would
-// believe that it had.
+// node must reject the reload. If the node accepted it, the change would have no effect, but the operator
+// would believe that the change was in effect.
 #[test]
 fn a_reload_changes_a_nodes_own_settings_and_rejects_those_of_the_cluster() {
     let cluster = three_processes(4);
@@ -399,8 +399,8 @@
     let version = cluster.commit(2, &blocking_content(2)).expect("the three members still commit");
     cluster.await_active(&[1, 2, 3], version).expect("the version becomes active");
     await_reply(&cluster, 3, 200, subject(2), &Reply::Blocked);
-    // The removed node is started again with its old consensus log. It must learn of its removal, and reject
-    // requests on which the cluster decides.
+    // The removed node is started again with its old consensus log. The node must learn of its removal, and
+    // reject requests on which the cluster decides.
     cluster.start_process(0).expect("the process starts");
     retry(|| {
         let status = cluster.call(0, "STATUS").map_err(|error| error.to_string())?;
--- a/tests/node/connections.rs
+++ b/tests/node/connections.rs
@@ -35,8 +35,8 @@
     assert!(scene.counter("connections_idle_closed") >= 6);
 }
 
-/// A further gateway connects when the connection table is full and every connection has an open request. It
-/// must be served once a connection ends.
+/// A further gateway connects when the connection table is full and every connection has an open request. The
+/// node must serve the further gateway once a connection ends.
 #[test]
 fn a_new_connection_waits_while_the_table_is_full_of_busy_connections() {
     let (mut scene, mut kernel) = Scene::with_kernel();
--- a/tests/node/keyed_requests.rs
+++ b/tests/node/keyed_requests.rs
@@ -52,8 +52,8 @@
     kernel.expect("SCHED", TXN_B);
 }
 
-/// A client sends a request with another client's idempotency key and a different body. It must not be
-/// answered with the result that is stored for that key.
+/// A client sends a request with another client's idempotency key and a different body. The node must not
+/// answer with the result that is stored for that key.
 #[test]
 fn a_key_with_another_body_is_a_conflict_and_never_gets_the_stored_result() {
     let (mut scene, mut kernel) = Scene::with_kernel();
--- a/tests/node/requests.rs
+++ b/tests/node/requests.rs
@@ -19,8 +19,11 @@
     kernel.reap(TXN_A, "good", &result);
     let response = gateway.response();
     assert_eq!((status_and_body(&response), response.protocol_status), ((1, "200", &result[..]), 0));
-    let capacity: f64 =
-        response.field("X-Capacity").expect("the free capacity in X-Capacity").parse().expect("a number");
+    let capacity: f64 = response
+        .field("X-Capacity")
+        .expect("the free capacity in X-Capacity")
+        .parse()
+        .expect("X-Capacity is a number");
     assert!(capacity >= 0.0);
     // The gateway may reuse the connection and the request id. The second run fails, and so does its request.
     gateway.request(1, "quote", TXN_B, &[]);
--- a/tests/node/store_calls.rs
+++ b/tests/node/store_calls.rs
@@ -65,7 +65,7 @@
     kernel.expect("SCHED", TXN_A);
     kernel.request_call(TXN_A, b"c");
     kernel.expect_nothing(10);
-    scene.store.listen(16).expect("listening");
+    scene.store.listen(16).expect("the store listens");
     let mut store = scene.accept_store();
     store.expect_call(TXN_A);
     store.reply(format!("{TXN_A} OK 1\r\nr\r\n").as_bytes());
@@ -92,8 +92,8 @@
     assert!(began.elapsed().as_millis() >= 100, "{:?}", began.elapsed());
 }
 
-/// The store replies to calls of keyed runs with ERR or LATE, after which they may have had their effect, or
-/// with VOID: the call never ran, as no run waits for its reply.
+/// The store replies to calls of keyed runs with ERR or LATE, after which the calls may have had their
+/// effect, or with VOID, which states that the call never ran because no run waits for its reply.
 #[test]
 fn err_and_late_replies_fail_a_keyed_run_at_once_and_a_void_reply_when_the_run_ends() {
     let (scene, mut kernel) = Scene::with_kernel();
@@ -146,8 +146,8 @@
     }
 }
 
-/// The store sends a reply with an unknown id, and a reply twice. The node must not take either for the reply
-/// to another call.
+/// The store sends a reply with an unknown id, and a reply twice. The node must not take either of them for
+/// the reply to another call.
 #[test]
 fn a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_call() {
     let (mut scene, mut kernel) = Scene::with_kernel();
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -217,7 +217,7 @@
 }
 
 /// The store loses a result, and the node is killed before it can write the result again. After the restart
-/// the store holds the intent alone, so a retry must fail without a run.
+/// the store holds only the intent, so a retry must fail without a run.
 #[test]
 fn a_result_whose_write_was_lost_is_in_doubt_after_a_kill() {
     for mut store in Store::of_each_backend() {
@@ -227,8 +227,8 @@
         store.stall();
         kernel.reap(TXN_A, "good", b"booked");
         if let Store::Postgres { server, .. } = &mut store {
-            // The server stops with the transaction open, which is lost. The node is killed before it can
-            // repeat the write.
+            // The server stops while the transaction is open, so the transaction is lost. The node is killed
+            // before it can repeat the write.
             server.await_stall();
             server.stop();
         }
@@ -775,8 +775,8 @@
         // The sub-commands that read the store have not stopped the node from writing to it.
         kernel.reap(TXN_B, "good", b"too");
         assert_eq!(status_and_body(&gateway.response()), (2, "200", &b"too"[..]));
-        // `prune` removes nothing, as the window of 9 s, and the hour by which rows outlive it, are not over.
-        // On the database file of a running node it fails.
+        // On the database file of a running node, `prune` fails. On the PostgreSQL server, `prune` removes
+        // nothing, as neither the window of 9 s nor the hour for which rows are kept after it is over.
         let (code, output) = record_subcommand(&store, &["prune"]);
         match store {
             Store::Sqlite { .. } => {
--- a/tests/support/admin.rs
+++ b/tests/support/admin.rs
@@ -24,5 +24,5 @@
         .and_then(|l| l.split_once('|'))
         .unwrap_or_else(|| panic!("no value `{name}` in the answer to INFO: {answer}"));
     assert_eq!(kind, if name == "concurrent" { "g" } else { "c" }, "{name}");
-    value.parse().expect("a number")
+    value.parse().expect("the value in the answer to INFO is a number")
 }
--- a/tests/support/configuration.rs
+++ b/tests/support/configuration.rs
@@ -29,8 +29,8 @@
                 "drain-grace": 300_000_000, "fall": 2_000_000_000, "fall-multiple": 5.0}}})
 }
 
-/// Raises the limits and deadlines of a configuration so that admission rejects no request. For benches that
-/// do not measure admission.
+/// Raises the limits and deadlines of a configuration so that admission rejects no request. Used by benches
+/// that do not measure admission.
 pub fn lift_limits(configuration: &mut Value) {
     configuration["limits"]["sockets"] = 1024.into();
     configuration["settings"]["extra"]["cores"] = 512.into();
--- a/tests/support/scene.rs
+++ b/tests/support/scene.rs
@@ -39,8 +39,8 @@
     pub admin: String,
     /// Listener for the program's connections to the kernel.
     pub kernel: TcpListener,
-    /// Socket for the program's connections to the store. It is bound, and listens only after the test has
-    /// called `listen`.
+    /// Socket for the program's connections to the store. The socket is bound at the start, and listens only
+    /// after the test has called `listen`.
     pub store: Socket,
     /// Socket that receives the membership reports.
     pub members: UdpSocket,
@@ -61,7 +61,7 @@
     /// Starts the program with a store that listens and a kernel that is connected and up.
     pub fn with_kernel() -> (Self, Kernel) {
         let scene = Scene::new(|_| ());
-        scene.store.listen(16).expect("listening");
+        scene.store.listen(16).expect("the store listens");
         let kernel = scene.connect_kernel();
         (scene, kernel)
     }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -47,8 +47,8 @@
 }
 
 /// A successor takes over while there are an open run, a run that waits for an outbound call, an incomplete
-/// request and a stored result. No request may be lost, run again, or get another answer than without the
-/// hand-over.
+/// request and a stored result. No request may be lost, run again, or get an answer that differs from the one
+/// without the hand-over.
 #[test]
 fn runs_calls_requests_and_results_are_handed_over_to_the_successor() {
     let mut scene = Scene::replaceable();
@@ -205,7 +205,7 @@
 }
 
 /// The folder in which the processes of a node find each other holds files of an earlier process, or does not
-/// exist. The node must start and serve all the same.
+/// exist. The node must still start and serve.
 #[test]
 fn a_node_serves_with_stale_files_in_its_handover_folder_or_without_the_folder() {
     let mut scene = Scene::replaceable();
@@ -248,7 +248,7 @@
 
 impl Clients {
     /// Starts four client threads. If `kills` is true, the test kills processes: a connection that ends early
-    /// and a failed attempt are then no faults.
+    /// or a failed attempt then does not count as a fault.
     fn start(address: &str, kills: bool) -> Self {
         let mut clients = Clients {
             stop: Arc::default(),
@@ -408,10 +408,10 @@
         let mut clients = clients;
         clients.stop.store(true, Ordering::Relaxed);
         clients.threads.drain(..).for_each(|thread| thread.join().expect("the client does not panic"));
-        // If the successor was killed after it had taken over, no process of the node is left: its listener
-        // ended with it, so the system refuses later connections and resets those that are just being made,
-        // which is no fault. If the predecessor still serves, no connection may have failed. The clients have
-        // stopped by now, so none of them adds a fault after this check.
+        // If the successor was killed after it had taken over, no process of the node is left: the listener
+        // closed with its process, so the operating system refuses later connections and resets those that
+        // are just being made. These are not faults. If the predecessor still serves, no connection may have
+        // failed. The clients have stopped by now, so none of them adds a fault after this check.
         let mut faults = clients.faults.lock().expect("no thread has panicked");
         if !kills_predecessor && !faults.is_empty() && has_exited(&scene.admin) {
             faults
