--- a/benches/record.rs
+++ b/benches/record.rs
@@ -217,7 +217,8 @@
     println!("ratio of p99, median of 5: {:.3} ({:.3} to {:.3})", ratios[2], ratios[0], ratios[4]);
 }
 
-/// Waits until the circuit breaker has closed: longer than the interval between two probes of the store.
+/// Sleeps for longer than the interval between two probes of the store, after which the circuit breaker has
+/// closed.
 fn await_breaker_closed() {
     thread::sleep(Duration::from_millis(3_100));
 }
--- a/benches/upgrade.rs
+++ b/benches/upgrade.rs
@@ -19,7 +19,7 @@
 
 /// Measured times of one hand-over, in milliseconds.
 struct Handover {
-    /// From the start of the successor until it answered that it is ready.
+    /// Time from the start of the successor until the successor answered that it is ready.
     ready: f64,
     /// Longest response time of a client that sent one health check after the other from 20 ms before the
     /// predecessor got SIGTERM until 300 ms after it.
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, requests and a small host of the controller, used by all tests.
+//! Settings, requests and a small host of the controller, which the tests of this crate share.
 #![allow(dead_code, missing_docs)]
 
 use gaugestand_admission::*;
@@ -107,7 +107,7 @@
         Host { config, controller, now, seen: BTreeMap::new(), gauges, drained_at: None, timers: vec![] }
     }
 
-    /// A host with gauges that report busy cores, after the first timers.
+    /// Creates a host whose gauges report busy cores, and advances it past the first timers.
     pub fn with_busy_cores(config: Settings, runnable: Option<f64>) -> Self {
         let mut host = Host::new(config);
         host.gauges.cpu_busy = Some(1.0);
--- a/crates/admission/tests/rules/arrival.rs
+++ b/crates/admission/tests/rules/arrival.rs
@@ -1,4 +1,4 @@
-//! Rules for the arrival of a request.
+//! Tests of the rules for the arrival of a request.
 
 use crate::common::{Host, request, settings};
 use crate::{id, is_rejected};
--- a/crates/admission/tests/rules/backpressure.rs
+++ b/crates/admission/tests/rules/backpressure.rs
@@ -1,4 +1,4 @@
-//! Rules for the announced capacity, Retry-After, and the advice on retries elsewhere.
+//! Tests of the rules for the announced capacity, Retry-After, and the advice on retries elsewhere.
 
 use crate::common::{Host, request, settings};
 use crate::is_rejected;
--- a/crates/admission/tests/rules/concurrency_limit.rs
+++ b/crates/admission/tests/rules/concurrency_limit.rs
@@ -1,4 +1,5 @@
-//! Rules for the bounds of the concurrency limit; formula (5) itself is tested in `tests/law.rs`.
+//! Tests of the rules for the bounds of the concurrency limit; formula (5) itself is tested in
+//! `tests/law.rs`.
 
 use crate::common::{Host, request, settings};
 use gaugestand_admission::*;
--- a/crates/admission/tests/rules/dispatch.rs
+++ b/crates/admission/tests/rules/dispatch.rs
@@ -1,4 +1,4 @@
-//! Rules for which queued requests start.
+//! Tests of the rules for which queued requests start.
 
 use crate::common::{Host, request, settings};
 use crate::{id, saturated_dependency};
--- a/crates/admission/tests/rules/drain.rs
+++ b/crates/admission/tests/rules/drain.rs
@@ -1,4 +1,4 @@
-//! Rules for the drain.
+//! Tests of the rules for the drain.
 
 use crate::common::{Host, request, settings};
 use crate::{id, is_rejected};
--- a/crates/admission/tests/rules/estimators.rs
+++ b/crates/admission/tests/rules/estimators.rs
@@ -1,4 +1,4 @@
-//! Rules for the conclusions from service times, the ages of runs, and missing completions.
+//! Tests of the rules for the conclusions from service times, the ages of runs, and missing completions.
 
 use crate::common::{Host, request, settings};
 use crate::{id, is_rejected};
@@ -41,8 +41,8 @@
     assert!(is_rejected(&host.arrive(last), 99));
 }
 
-// The time in which nothing ran was counted as a hang: the first requests after a start or a pause were
-// rejected, and their callers sent away for a second, as soon as the cores were full.
+// If the time in which nothing runs counted as a hang, the first requests after a start or a pause would be
+// rejected as soon as the cores are full, and their callers would be sent away for a second.
 #[test]
 fn missing_completions_count_as_a_stall_only_while_requests_run() {
     let mut host = Host::new(settings());
--- a/crates/admission/tests/rules/final_answer.rs
+++ b/crates/admission/tests/rules/final_answer.rs
@@ -1,4 +1,5 @@
-//! Rules for the final answers that the controller itself gives, and for the runs of these requests.
+//! Tests of the rules for the final answers that the controller itself gives, and for the runs of these
+//! requests.
 
 use crate::common::{Host, request, settings};
 use crate::{id, is_rejected};
--- a/crates/admission/tests/rules/health.rs
+++ b/crates/admission/tests/rules/health.rs
@@ -1,4 +1,4 @@
-//! Rules for health checks.
+//! Tests of the rules for health checks.
 
 use crate::common::{Host, request, settings};
 use gaugestand_admission::*;
--- a/crates/admission/tests/rules/idle_connections.rs
+++ b/crates/admission/tests/rules/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Rules for the timeout of idle connections.
+//! Tests of the rules for the timeout of idle connections.
 
 use crate::common::{Host, request, settings};
 use crate::id;
--- a/crates/admission/tests/rules/memory.rs
+++ b/crates/admission/tests/rules/memory.rs
@@ -1,4 +1,4 @@
-//! Rules for what is rejected or not remembered when memory is short.
+//! Tests of the rules for what is rejected or not remembered when memory is short.
 
 use crate::common::{Host, request, settings};
 use crate::id;
--- a/crates/admission/tests/rules/outbound_calls.rs
+++ b/crates/admission/tests/rules/outbound_calls.rs
@@ -1,4 +1,4 @@
-//! Rules for outbound calls to the dependency.
+//! Tests of the rules for outbound calls to the dependency.
 
 use crate::common::{Host, request, settings};
 use crate::{id, is_rejected, saturated_dependency};
@@ -185,8 +185,8 @@
     assert!(is_rejected(&host.arrive(request(15, 0)), 15));
 }
 
-// Without the pause, a dependency that fails calls at once is called again on every reply: one crash of it
-// caused thousands of calls within seconds.
+// Without the pause, a dependency that fails calls at once is called again on every reply: a single crash of
+// the dependency caused thousands of calls within seconds.
 #[test]
 fn a_failed_call_is_retried_after_a_pause_that_grows() {
     let mut host = Host::new(Settings { downstream: Downstream::Tier, ..settings() });
@@ -262,8 +262,8 @@
     host
 }
 
-// While the dependency was short of capacity, runs were started that could not end in time: the duration of
-// their calls was not taken into account.
+// The dependency is short of capacity. If the expected duration of a call were not taken into account, runs
+// would be started that cannot end in time.
 #[test]
 fn a_request_that_cannot_have_its_reply_in_time_is_rejected_before_it_runs() {
     let mut host = slow_dependency();
--- a/crates/admission/tests/rules/queue.rs
+++ b/crates/admission/tests/rules/queue.rs
@@ -1,4 +1,4 @@
-//! Rules for the order of the admission queue, expiry and load shedding.
+//! Tests of the rules for the order of the admission queue, expiry and load shedding.
 
 use crate::common::{Host, request, settings};
 use crate::{id, is_rejected};
--- a/crates/admission/tests/rules/quota.rs
+++ b/crates/admission/tests/rules/quota.rs
@@ -1,4 +1,4 @@
-//! Rules for tenants' quotas.
+//! Tests of the rules for tenants' quotas.
 
 use crate::common::{Host, request, settings};
 use crate::{id, is_rejected};
--- a/crates/admission/tests/rules/settings.rs
+++ b/crates/admission/tests/rules/settings.rs
@@ -1,4 +1,4 @@
-//! Rules for settings and input at the limits of their range.
+//! Tests of the rules for settings and input at the limits of their range.
 
 use crate::common::{Host, request, settings};
 use crate::id;
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -34,7 +34,7 @@
         (line, body)
     }
 
-    /// Reads the next call, which must be of the request `id`, and returns its body.
+    /// Reads the next line, which must be a call of the request `id`, and returns the body of the call.
     pub fn expect_call(&mut self, id: &str) -> Vec<u8> {
         let (line, body) = self.next_line();
         assert!(line.starts_with(&format!("CALL {id} ")), "{line}");
@@ -49,7 +49,7 @@
         read > 0 && line.starts_with(&format!("CALL {id} "))
     }
 
-    /// Sends bytes to the node, which need not be a valid reply.
+    /// Sends `bytes` to the node; they need not be a valid reply.
     pub fn reply(&mut self, bytes: &[u8]) {
         self.lines.get_mut().write_all(bytes).expect("sending to the node");
     }
