--- a/benches/record.rs
+++ b/benches/record.rs
@@ -23,8 +23,8 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// A backend of the idempotency store that is measured, or none (`Off`). Its files are removed when this is
-/// dropped.
+/// A backend of the idempotency store that is measured, or none (`Off`). The files of the backend are removed
+/// when the value is dropped.
 enum Store {
     Off,
     /// The path of the database file.
@@ -46,12 +46,13 @@
         Store::all_with_commit_time(Duration::ZERO)
     }
 
-    /// No store and a store of each backend. A commit of the PostgreSQL server takes `commit_time`.
+    /// All variants: no store, and a store of each backend. A commit of the PostgreSQL server takes
+    /// `commit_time`.
     fn all_with_commit_time(commit_time: Duration) -> [Store; 3] {
         let password = temporary_path("pass");
         std::fs::write(&password, "pw").expect("writing the password file");
-        // The file lies on the disk of the build directory: in an in-memory file system a commit would cost
-        // nothing.
+        // The database file is on the disk of the build directory: in an in-memory file system a commit would
+        // take no time.
         let file = Path::new(env!("CARGO_TARGET_TMPDIR"))
             .join(temporary_path("db").file_name().expect("a path with a file name"));
         let server = Postgres::start("pw").expect("starting the fake PostgreSQL server");
@@ -100,7 +101,7 @@
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds")
 }
 
-/// A transaction id that no earlier attempt in this bench had.
+/// Returns a transaction id that no earlier attempt in this bench had.
 fn next_txn() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed))
@@ -132,7 +133,8 @@
             })
             .collect();
         for client in clients {
-            all.add(client.join().expect("the client thread")).expect("histograms with the same bounds");
+            all.add(client.join().expect("the client thread does not panic"))
+                .expect("histograms with the same bounds");
         }
     });
     (all.len() as f64 / began.elapsed().as_secs_f64(), all)
@@ -215,7 +217,8 @@
     println!("ratio of p99, median of 5: {:.3} ({:.3} to {:.3})", ratios[2], ratios[0], ratios[4]);
 }
 
-/// Waits until the circuit breaker has closed: longer than the interval between two probes of the store.
+/// Sleeps for longer than the interval between two probes of the store, after which the circuit breaker has
+/// closed.
 fn await_breaker_closed() {
     thread::sleep(Duration::from_millis(3_100));
 }
@@ -225,7 +228,10 @@
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("reading the process status");
     let field = |name: &str| {
         let line = text.lines().find(|line| line.starts_with(name)).expect("a line of this name");
-        line.split_whitespace().nth(1).and_then(|number| number.parse().ok()).expect("a number")
+        line.split_whitespace()
+            .nth(1)
+            .and_then(|number| number.parse().ok())
+            .expect("the memory in kB is a number")
     };
     (field("VmRSS:"), field("VmHWM:"))
 }
@@ -289,7 +295,7 @@
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("reading the process state");
     let fields: Vec<&str> =
         text.rsplit(')').next().expect("the fields after the process name").split_whitespace().collect();
-    let ticks = |index: usize| fields[index].parse::<u64>().expect("a number");
+    let ticks = |index: usize| fields[index].parse::<u64>().expect("the CPU time is a number");
     // The fields are the user and the system time, in hundredths of a second.
     (ticks(11) + ticks(12)) * 10
 }
@@ -335,7 +341,8 @@
     }
 }
 
-/// Counts the system calls per booking of the earlier build, if any, and of this build. Needs strace.
+/// Counts the system calls per booking of the earlier build, if there is one, and of this build. The program
+/// strace must be installed.
 fn system_calls() {
     let builds =
         std::env::var_os("GAUGESTAND_BEFORE").into_iter().chain([env!("CARGO_BIN_EXE_gaugestand").into()]);
--- a/crates/admission/tests/rules/estimators.rs
+++ b/crates/admission/tests/rules/estimators.rs
@@ -1,11 +1,11 @@
-//! Rules for the conclusions from service times, the ages of runs, and missing completions.
+//! Tests of the rules for the conclusions from service times, the ages of runs, and missing completions.
 
 use crate::common::{Host, request, settings};
 use crate::{id, is_rejected};
 use gaugestand_admission::*;
 
-// Some requests hint at far less work than they take. By the ratio of work to hint of these, ordinary
-// requests would look too long to start.
+// Some requests hint at far less work than they take. If the ratio of work to hint of these requests were
+// applied to ordinary ones, ordinary requests would look too long to start.
 #[test]
 fn too_small_work_hints_do_not_keep_other_requests_from_starting() {
     let mut host = Host::new(settings());
@@ -22,8 +22,8 @@
     assert!(host.arrive(big).contains(&Action::Run(id(100))));
 }
 
-// The cores become slow, so that no run ends that would show it. By the earlier service times, requests would
-// be admitted that end too late.
+// The cores become slow, so that no run ends that would show the slowdown. If the controller relied on the
+// earlier service times, it would admit requests that end too late.
 #[test]
 fn slow_cores_are_detected_although_no_run_ends() {
     let mut host = Host::new(settings());
@@ -41,8 +41,8 @@
     assert!(is_rejected(&host.arrive(last), 99));
 }
 
-// The time in which nothing ran was counted as a hang: the first requests after a start or a pause were
-// rejected, and their callers sent away for a second, as soon as the cores were full.
+// If the time in which nothing runs counted as a hang, the first requests after a start or a pause would be
+// rejected as soon as the cores are full, and their callers would be sent away for a second.
 #[test]
 fn missing_completions_count_as_a_stall_only_while_requests_run() {
     let mut host = Host::new(settings());
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,6 @@
-//! Races between two events: a test stops the program (SIGSTOP), causes both events, and lets the program
-//! continue, which then finds both at once. Each test is a row of the table in `docs/design/crossings.md`.
+//! Tests of races between two events: a test stops the program (SIGSTOP), causes both events, and lets the
+//! program continue, so that it finds both events at once. Each test is a row of the table in
+//! `docs/design/crossings.md`.
 
 mod support;
 
@@ -9,7 +10,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Starts a node in service, with its kernel, whose setting `stop_ms` has this value: the time in
+/// Starts a node in service, with its kernel. `stop_ms` is the node's setting of that name: the time in
 /// milliseconds, from SIGTERM on, within which the program must have ended.
 fn scene_with_stop_ms(stop_ms: u64) -> (Scene, Kernel) {
     let scene = Scene::new(|c| c["stop_ms"] = json!(stop_ms));
@@ -92,7 +93,7 @@
         "the connection ends without a reset"
     );
     assert!(idle.is_closed());
-    // The node neither reads nor runs what arrives from now on.
+    // From now on the node neither reads nor runs anything that arrives.
     let _ = incomplete.stream.write_all(last);
     kernel.expect_only_gauges_until_end();
     drop((incomplete, idle));
@@ -252,8 +253,8 @@
     assert_eq!(status_and_body(&gateway.response()), (1, "200", &b"r"[..]));
 }
 
-/// The connection to the kernel ends, in one case after an incomplete notice, while the node has a command to
-/// send. The node must send the command once on the next connection.
+/// The connection to the kernel ends while the node has a command to send; in one case an incomplete notice
+/// was sent before. The node must send the command once on the next connection.
 #[test]
 fn a_command_that_is_due_as_the_kernel_connection_ends_is_sent_on_the_next() {
     for sends_partial_notice in [false, true] {
@@ -277,8 +278,8 @@
     }
 }
 
-/// The connection to the store ends right after a reply. The node must accept a complete reply. An incomplete
-/// reply leaves open whether the call had its effect.
+/// The connection to the store ends right after a reply. The node must accept a complete reply. If the reply
+/// is incomplete, the node cannot know whether the call had its effect.
 #[test]
 fn a_reply_just_before_the_end_of_its_connection_is_accepted_if_complete() {
     for (reply, is_complete) in [("OK 1\r\nr\r\n", true), ("OK 1\r\nr", false), ("BUSY\r\n", true)] {
@@ -404,7 +405,8 @@
 }
 
 /// A reload changes the address of the membership service at the same time as SIGTERM arrives. The node must
-/// report to the new address that it leaves service, and repeat the report, as a datagram may be lost.
+/// report to the new address that it leaves service, and must repeat this report, because datagrams can be
+/// lost.
 #[test]
 fn membership_reports_go_to_the_reloaded_address_and_repeat_that_the_node_leaves() {
     let (mut scene, mut kernel) = scene_with_stop_ms(2_000);
@@ -417,7 +419,7 @@
     scene.reload(&changed.to_string());
     scene.signal("-TERM");
     scene.resume();
-    // The node repeats the report while it drains, as a datagram may be lost.
+    // The node repeats the report while it drains, because datagrams can be lost.
     let mut reports_out = 0;
     while reports_out < 3 {
         let mut datagram = [0; 64];
@@ -429,7 +431,7 @@
 }
 
 /// The process is killed while one request runs and one connection waits to be accepted, and is started again
-/// with the same listen address. It must be able to listen there, and serve new requests.
+/// with the same listen address. The new process must be able to listen there, and serve new requests.
 #[test]
 fn a_process_that_is_killed_with_connections_pending_restarts_at_its_address() {
     let port = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port").port();
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -1,5 +1,5 @@
-//! The real program with each backend of the idempotency store: which results are durable, which requests are
-//! rejected while the store fails, and that no request runs twice.
+//! Tests of the real program with each backend of the idempotency store: which results are durable, which
+//! requests are rejected while the store fails, and that no request runs twice.
 
 mod support;
 
@@ -29,7 +29,8 @@
     }
 }
 
-/// An idempotency store of one backend, which a test can stall. Its files are removed on drop.
+/// An idempotency store of one backend, which a test can stall. The files of the store are removed when the
+/// value is dropped.
 enum Store {
     /// `lock` holds a write transaction while the store is stalled.
     Sqlite { path: PathBuf, lock: Option<Connection> },
@@ -216,7 +217,7 @@
 }
 
 /// The store loses a result, and the node is killed before it can write the result again. After the restart
-/// the store holds the intent alone, so a retry must fail without a run.
+/// the store holds only the intent, so a retry must fail without a run.
 #[test]
 fn a_result_whose_write_was_lost_is_in_doubt_after_a_kill() {
     for mut store in Store::of_each_backend() {
@@ -226,8 +227,8 @@
         store.stall();
         kernel.reap(TXN_A, "good", b"booked");
         if let Store::Postgres { server, .. } = &mut store {
-            // The server stops with the transaction open, which is lost. The node is killed before it can
-            // repeat the write.
+            // The server stops while the transaction is open, so the transaction is lost. The node is killed
+            // before it can repeat the write.
             server.await_stall();
             server.stop();
         }
@@ -544,7 +545,8 @@
     kill_under_load(20, 20, 7);
 }
 
-/// Checks the same with two hundred kills. To be run with `cargo test --release --test record -- --ignored`.
+/// Kills the node two hundred times, and otherwise checks the same as the test with twenty kills. To be run
+/// with `cargo test --release --test record -- --ignored`.
 #[test]
 #[ignore = "takes minutes"]
 fn two_hundred_kills_under_load_run_nothing_twice() {
@@ -629,7 +631,7 @@
 }
 
 /// Retries arrive within and after the window of their key, which counts from the ingress time that the
-/// request states, and again after a restart of the node. A retry within the window must get the stored
+/// request states, and again after the node was restarted. A retry within the window must get the stored
 /// result, and a later one must run.
 #[test]
 fn a_retry_past_its_window_runs_again_and_one_within_it_does_not_across_a_restart() {
@@ -773,8 +775,8 @@
         // The sub-commands that read the store have not stopped the node from writing to it.
         kernel.reap(TXN_B, "good", b"too");
         assert_eq!(status_and_body(&gateway.response()), (2, "200", &b"too"[..]));
-        // `prune` removes nothing, as the window of 9 s, and the hour by which rows outlive it, are not over.
-        // On the database file of a running node it fails.
+        // On the database file of a running node, `prune` fails. On the PostgreSQL server, `prune` removes
+        // nothing, as neither the window of 9 s nor the hour for which rows are kept after it is over.
         let (code, output) = record_subcommand(&store, &["prune"]);
         match store {
             Store::Sqlite { .. } => {
