--- a/crates/cluster/src/consensus/messages.rs
+++ b/crates/cluster/src/consensus/messages.rs
@@ -52,7 +52,8 @@
 
     fn on_raft_message(&mut self, from: NodeId, bytes: &[u8]) {
         let mut message = Message::default();
-        // A raft message that names another node as its sender is dropped: it would vote in that node's name.
+        // A raft message that names another node as its sender is dropped: the message could count as a vote
+        // of that node.
         if message.merge_from_bytes(bytes).is_ok() && message.from == raft_id(from) {
             // The library leaves its state unchanged when it rejects a message, so the error is ignored.
             let _ = self.raft.step(message);
--- a/crates/cluster/src/consensus/mod.rs
+++ b/crates/cluster/src/consensus/mod.rs
@@ -50,15 +50,15 @@
 /// Further ticks that a node waits for each node number below its own. As the timeouts are staggered by node
 /// number, elections do not collide and no random number is needed: the same events give the same leader.
 const ELECTION_STAGGER_TICKS: usize = 3;
-/// Node numbers after which the stagger starts again from zero, so that the election timeout stays bounded as
-/// node numbers grow.
+/// The stagger of the election timeouts repeats after this many node numbers, so that the election timeout
+/// stays bounded as node numbers grow.
 const ELECTION_STAGGER_NODES: NodeId = 32;
-/// Append messages to one node that may be unacknowledged at a time; bounds the data that waits on a slow
-/// link.
+/// Maximum number of unacknowledged append messages to one node; bounds the data that waits on a slow link.
 const MAX_INFLIGHT_APPENDS: usize = 4;
-/// Bytes of uncommitted entries that the leader's log may hold: as many as may be in flight to one node.
+/// Maximum size of the uncommitted entries in the leader's log, in bytes: as much as may be in flight to one
+/// node.
 const MAX_UNCOMMITTED_BYTES: u64 = MAX_INFLIGHT_APPENDS as u64 * MAX_CONTENT_BYTES as u64;
-/// Low bits of a request id, which count the requests of one incarnation. The bits above hold the
+/// Number of low bits of a request id that count the requests of one incarnation. The bits above hold the
 /// incarnation, so that no id is ever used twice.
 const REQUEST_ID_BITS: u32 = 32;
 
@@ -88,8 +88,8 @@
     applied_index: u64,
     /// Other nodes to which the link is up.
     linked: BTreeSet<NodeId>,
-    /// Records that are not known to be durable together with all earlier ones, in order, each with what has
-    /// to wait for it.
+    /// Records that may not be durable yet, or that follow such a record, in order; each with the messages
+    /// that wait for it.
     pending_writes: VecDeque<PendingWrite>,
     /// Last sequence number that was assigned to a record.
     last_sequence: u64,
--- a/crates/cluster/src/consensus/proposals.rs
+++ b/crates/cluster/src/consensus/proposals.rs
@@ -22,12 +22,14 @@
 
 /// Content of a version that only changes the membership, if no version was committed before it.
 const EMPTY_CONTENT: &[u8] = br#"{"settings":null,"lists":{}}"#;
-/// Time for nodes to validate a content: reading it takes milliseconds, and an operator waits for the result.
+/// Time for nodes to validate a content: a validation takes milliseconds, and an operator waits for the
+/// result.
 const VALIDATION_TIMEOUT: Micros = Micros::millis(1_000);
 /// Time for a forwarded or an appended proposal to get its result. Together with the validation this is less
 /// than the time that `gaugestand fleet` waits for an answer.
 const RESULT_TIMEOUT: Micros = Micros::millis(2_500);
-/// Forwarded proposals that may wait for a result at a time; each is an open call of an operator.
+/// Maximum number of forwarded proposals that wait for a result at a time; each belongs to an open call of an
+/// operator.
 const MAX_FORWARDED: usize = 16;
 
 /// The origin of a proposal, which also receives its result.
--- a/crates/cluster/src/consensus/raft_log.rs
+++ b/crates/cluster/src/consensus/raft_log.rs
@@ -16,7 +16,7 @@
 use raft::prelude::{ConfChange, Entry, EntryType, Message, Snapshot};
 use std::rc::Rc;
 
-/// A record that may not be durable yet, and what has to wait for it.
+/// A record that may not be durable yet, and the messages that wait for it.
 #[derive(Debug)]
 pub(super) struct PendingWrite {
     /// Sequence number of the record.
@@ -31,7 +31,8 @@
 }
 
 impl Consensus {
-    /// Processes everything that the library has ready. Has to be called after each event.
+    /// Processes everything that the library has prepared since the last call (its `Ready`s). Has to be
+    /// called after each event.
     pub(super) fn process_ready(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         while self.raft.has_ready() {
             self.process_one_ready(now, commands);
--- a/crates/cluster/src/diff.rs
+++ b/crates/cluster/src/diff.rs
@@ -8,8 +8,8 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What it means for clients if, of two versions, one node acts on the older and another node on the newer
-/// one.
+/// What it means for clients that one node acts on the older of two versions while another node acts on the
+/// newer one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Compatibility {
     /// No promise to a client depends on the difference: nodes may act on either version.
--- a/crates/cluster/src/lease/config.rs
+++ b/crates/cluster/src/lease/config.rs
@@ -7,11 +7,11 @@
 
 /// Divisor of the drift bound, which is given in parts per million.
 const PARTS_PER_MILLION: u64 = 1_000_000;
-/// Lease requests of a node within one lease duration. More than one, so that some requests may be lost
-/// before the lease expires.
+/// Number of lease requests that a node makes within one lease duration; more than one, so that some requests
+/// may be lost before the lease expires.
 const RENEWALS_PER_LEASE: u64 = 4;
-/// Inverse of the drift bound from which on the configuration is rejected: one tenth. A drift of a tenth or
-/// more means that a clock is broken, and would only lengthen the activation delay.
+/// Inverse of the lowest drift bound that is rejected, which is one tenth. A drift of a tenth or more means
+/// that a clock is broken, and would only lengthen the activation delay.
 const MAX_DRIFT_FRACTION: u64 = 10;
 
 /// Why a lease configuration is rejected. The node inserts the texts into its start-up error about
@@ -19,10 +19,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseConfigError {
     /// There are no voters, or the duration in microseconds is shorter than the number of renewals within it.
-    #[error("Nothing")]
+    #[error("`contradict_ms` is too short for its renewals, or there is no voter")]
     NoVotersOrTooShort,
     /// The drift bound is one tenth (100,000 parts per million) or more.
-    #[error("Drift")]
+    #[error("`drift_ppm` must be below {max}", max = PARTS_PER_MILLION / MAX_DRIFT_FRACTION)]
     Drift,
 }
 
@@ -41,8 +41,8 @@
     /// any two nodes drift apart by at most `drift_ppm` parts per million.
     ///
     /// # Errors
-    /// [`LeaseConfigError::NoVotersOrTooShort`] if there are no voters or the duration is too short to be
-    /// renewed within it, and [`LeaseConfigError::Drift`] if the drift bound is a tenth or more.
+    /// [`LeaseConfigError::NoVotersOrTooShort`] if there are no voters or the duration is too short for its
+    /// renewals, and [`LeaseConfigError::Drift`] if the drift bound is a tenth or more.
     pub fn new(voters: usize, duration: Micros, drift_ppm: u64) -> Result<Self, LeaseConfigError> {
         if voters == 0 || duration.0 < RENEWALS_PER_LEASE {
             return Err(LeaseConfigError::NoVotersOrTooShort);
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -15,7 +15,8 @@
 //! - [`validation`] checks whether a node could act on a proposed version.
 //! - [`wire`] defines the messages between nodes and the stored log entries.
 //!
-//! The design is described in `docs/design/fleet.md`. Operators call a cluster a fleet.
+//! The design is described in `docs/design/fleet.md`. The operators' setting and sub-command for a cluster
+//! are called `fleet`.
 #![forbid(unsafe_code)]
 
 pub mod consensus;
--- a/crates/cluster/src/log_storage.rs
+++ b/crates/cluster/src/log_storage.rs
@@ -14,11 +14,12 @@
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 use std::collections::VecDeque;
 
-/// Versions that the log retains at most, for `gaugestand fleet history` and roll-back.
+/// Maximum number of versions that the log retains, for `gaugestand fleet history` and roll-back.
 pub const MAX_RETAINED_VERSIONS: usize = 64;
-/// Bytes of versions that the log retains at most; bounds the memory and the file of the log.
+/// Maximum size of the versions that the log retains, in bytes; bounds the memory and the file of the log.
 pub const MAX_RETAINED_BYTES: usize = 4 << 20;
-/// Entries that the log retains at most, including the empty ones that the library appends at each election.
+/// Maximum number of entries that the log retains, including the empty ones that the library appends at each
+/// election.
 const MAX_RETAINED_ENTRIES: usize = 1024;
 
 /// Why a log on disk or a snapshot of another node cannot be used.
@@ -28,10 +29,10 @@
     #[error("an entry or the hard state (term, vote and commit index) cannot be decoded")]
     MalformedEntry,
     /// The base of the log, which stands for the compacted entries, is malformed.
-    #[error("the base, which replaces compacted entries, cannot be decoded")]
+    #[error("the part of the log that replaces removed entries cannot be decoded")]
     MalformedBase,
     /// The membership in the base is malformed.
-    #[error("the membership in the base cannot be decoded")]
+    #[error("the list of nodes in the part of the log that replaces removed entries cannot be decoded")]
     MalformedMembership,
     /// A snapshot of another node is malformed.
     #[error("a snapshot of another node cannot be decoded")]
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -12,10 +12,11 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Most voters in a cluster. Seven voters tolerate the loss of three; more would make each commit and each
-/// lease slower.
+/// Maximum number of voters in a cluster. Seven voters tolerate the loss of three; more would make each
+/// commit and each lease slower.
 pub const MAX_VOTERS: usize = 7;
-/// Most nodes in a cluster, voters and learners. Each node keeps a link to each other node.
+/// Maximum number of nodes in a cluster, voters and learners together. Each node keeps a link to each other
+/// node.
 pub const MAX_MEMBERS: usize = 10;
 /// Longest node name, in bytes. Names are printed in status lines and passed in one-line admin commands.
 pub const MAX_NAME_BYTES: usize = 64;
--- a/crates/cluster/src/wire/codec.rs
+++ b/crates/cluster/src/wire/codec.rs
@@ -5,7 +5,7 @@
 use crate::NodeId;
 use prost::Message as _;
 
-/// Length in characters to which an error truncates another cluster's name, which comes from outside and is
+/// Maximum length, in characters, of another cluster's name in an error: the name comes from outside and is
 /// logged.
 const MAX_REPORTED_NAME_CHARS: usize = 64;
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The bytes are not a message, or are longer than [`MAX_MESSAGE_BYTES`].
-    #[error("malformed message, or longer than {max} bytes", max = MAX_MESSAGE_BYTES)]
+    #[error("message that cannot be decoded, or that is longer than {max} bytes", max = MAX_MESSAGE_BYTES)]
     Malformed,
     /// The message has another protocol version, which the field holds.
     #[error(
@@ -22,7 +22,7 @@
     )]
     ProtocolVersion(u32),
     /// The message belongs to another cluster. The field is the start of that cluster's name.
-    #[error("message of another fleet, {0:?}")]
+    #[error("message of cluster {0:?}; give all nodes the same name in fleet(...)")]
     OtherCluster(String),
     /// The sender is configured with other members, another lease duration, another drift bound or other
     /// lists.
@@ -32,22 +32,25 @@
     )]
     ConfigMismatch,
     /// The sender's number, which the field holds, is this node's own or that of no member.
-    #[error("message from node {0}, which is not another member of this fleet")]
+    #[error("message from node {0}, which is not another member of this cluster")]
     UnknownSender(u32),
     /// The sender was removed from the cluster.
-    #[error("message from node {node}, which was removed from the fleet")]
+    #[error("message from node {node}, which was removed from the cluster")]
     RemovedSender {
         /// Number of the removed node.
         node: NodeId,
         /// Incarnation of the removed node, to which the removal is reported.
         incarnation: u64,
     },
-    /// The message is for an earlier incarnation of this node, or out of order on its link.
-    #[error("message for an earlier incarnation of this node, or out of order on its link")]
+    /// The message is for an earlier incarnation of this node, or is not allowed at this point of the
+    /// connection.
+    #[error(
+        "message for this node before its restart, or one that is not allowed at this point of the connection"
+    )]
     Stale,
 }
 
-/// Encodes this node's messages and decodes those of others.
+/// Encodes this node's messages and decodes those of other nodes.
 #[derive(Clone, Debug)]
 pub struct FrameCodec {
     /// Name of the cluster, the same on all nodes.
--- a/crates/cluster/src/wire/mod.rs
+++ b/crates/cluster/src/wire/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Guarantee: a message that [`FrameCodec::decode`] returns belongs to this cluster, protocol version and
 //! configuration, and is addressed to this incarnation of the reader. Anything else is rejected with a
-//! [`FrameError`] and changes no state. The codec does not authenticate the sender, which is up to the link.
+//! [`FrameError`] and changes no state. The codec does not authenticate the sender: the link has to do so.
 
 mod codec;
 mod messages;
--- a/crates/cluster/tests/common/mod.rs
+++ b/crates/cluster/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared by the seeded simulations of clusters: a schedule of actions, and network partitions.
+//! Helpers for the seeded simulations of clusters: a schedule of actions, and network partitions.
 
 use std::collections::BTreeMap;
 
--- a/crates/cluster/tests/consensus.rs
+++ b/crates/cluster/tests/consensus.rs
@@ -16,12 +16,13 @@
 use std::collections::BTreeMap;
 
 const LEASE: Micros = Micros::millis(600);
-/// Parts per million; far more than real clocks drift, so that a missing margin shows.
+/// Bound on the drift between two clocks, in parts per million; far above that of real clocks, so that the
+/// checks detect a missing drift margin.
 const DRIFT_PPM: u64 = 20_000;
 /// End of the period of faults and proposals, in microseconds of simulated time. An equally long period
 /// without faults follows.
 const FAULTS_UNTIL_US: u64 = 15_000_000;
-/// Tickets from this number on are of membership changes; lower ones are of contents.
+/// The lowest ticket of a membership change; proposals of contents have lower tickets.
 const FIRST_MEMBERSHIP_TICKET: u64 = 1_000_000;
 
 enum Action {
--- a/crates/cluster/tests/lease.rs
+++ b/crates/cluster/tests/lease.rs
@@ -15,7 +15,8 @@
 use std::collections::BTreeMap;
 
 const LEASE: Micros = Micros::millis(1_000);
-/// Parts per million; far more than real clocks drift, so that a missing margin shows.
+/// Bound on the drift between two clocks, in parts per million; far above that of real clocks, so that the
+/// check detects a missing drift margin.
 const DRIFT_PPM: u64 = 20_000;
 /// End of the period of faults, in microseconds of simulated time.
 const FAULTS_UNTIL_US: u64 = 20_000_000;
@@ -60,7 +61,7 @@
 struct Outcome {
     /// Longest time for which two nodes acted on conflicting versions, in microseconds; 0 if they never did.
     longest_overlap: u64,
-    /// Seed of the run with that overlap.
+    /// Seed of the run with the longest overlap.
     seed: u64,
     /// Number of observations of a node that may act on a version.
     observations: u64,
@@ -404,8 +405,11 @@
     let delay = LeaseConfig::new(3, LEASE, 500).map(|lease| lease.activation_delay());
     assert_eq!(delay, Ok(Micros(1_001_001)));
     // The node inserts these texts into its start-up error.
-    assert_eq!(LeaseConfigError::NoVotersOrTooShort.to_string(), "Nothing");
-    assert_eq!(LeaseConfigError::Drift.to_string(), "Drift");
+    assert_eq!(
+        LeaseConfigError::NoVotersOrTooShort.to_string(),
+        "`contradict_ms` is too short for its renewals, or there is no voter"
+    );
+    assert_eq!(LeaseConfigError::Drift.to_string(), "`drift_ppm` must be below 100000");
 }
 
 // An operator changes a setting that conflicts with nothing. If the version waited for older leases to
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -2,8 +2,8 @@
 //! orders, up to a depth, of messages (delivered late, twice or never), appends, commits, a restart, passing
 //! time, and a clock that gains as much as the drift bound allows.
 //!
-//! The log is modelled: which nodes store the new version, and that the version is committed once a majority
-//! stores it.
+//! The log itself is not run: the model holds which nodes store the new version, and counts the version as
+//! committed once a majority stores it.
 
 use gaugestand_admission::time::{Micros, Timestamp};
 use gaugestand_cluster::NodeId;
@@ -17,9 +17,10 @@
 /// unit in all.
 const UNIT_US: u64 = 10;
 const LEASE: Micros = Micros(2 * UNIT_US);
-/// Parts per million. Twice this drift over a lease is more than nothing and less than one unit.
+/// Bound on the drift between two clocks, in parts per million. Twice this drift over one lease is above zero
+/// and below one unit of time.
 const DRIFT_PPM: u64 = 50_000;
-/// Most units of time that pass in one execution.
+/// Maximum number of units of time that pass in one execution.
 const MAX_UNITS: u64 = 4;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/cluster/tests/wire.rs
+++ b/crates/cluster/tests/wire.rs
@@ -43,23 +43,29 @@
 #[test]
 fn frame_error_texts() {
     let cases = [
-        (FrameError::Malformed, "malformed message, or longer than 327680 bytes"),
+        (FrameError::Malformed, "message that cannot be decoded, or that is longer than 327680 bytes"),
         (
             FrameError::ProtocolVersion(2),
             "message of protocol version 2, expected 1; run the same program version on all nodes",
         ),
-        (FrameError::OtherCluster("zarqa".into()), "message of another fleet, \"zarqa\""),
+        (
+            FrameError::OtherCluster("zarqa".into()),
+            "message of cluster \"zarqa\"; give all nodes the same name in fleet(...)",
+        ),
         (
             FrameError::ConfigMismatch,
             "sender is configured with other members, another contradict_ms or drift_ppm, or other lists; \
              give all nodes the same fleet(...)",
         ),
-        (FrameError::UnknownSender(9), "message from node 9, which is not another member of this fleet"),
+        (FrameError::UnknownSender(9), "message from node 9, which is not another member of this cluster"),
         (
             FrameError::RemovedSender { node: 3, incarnation: 5 },
-            "message from node 3, which was removed from the fleet",
+            "message from node 3, which was removed from the cluster",
+        ),
+        (
+            FrameError::Stale,
+            "message for this node before its restart, or one that is not allowed at this point of the connection",
         ),
-        (FrameError::Stale, "message for an earlier incarnation of this node, or out of order on its link"),
     ];
     for (error, text) in cases {
         assert_eq!(error.to_string(), text);
--- a/crates/idempotency/src/blocking_client.rs
+++ b/crates/idempotency/src/blocking_client.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL client for the command line: the same session as the node's, on a blocking connection.
+//! PostgreSQL client for the command line: runs the session that the node uses too, on a blocking connection.
 //!
 //! A call waits no longer than `TIMEOUT` for each answer of the server.
 
@@ -11,7 +11,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest wait for a connection, and for each answer of the server: a person waits for the command.
+/// Longest wait for a connection, and for each answer of the server: short, as an operator waits for the
+/// command.
 const TIMEOUT: Duration = Duration::from_secs(10);
 /// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 16 * 1024;
@@ -24,8 +25,8 @@
 }
 
 impl BlockingClient {
-    /// Connects without taking the node's name, so that the node may be running, and reads all of the node's
-    /// rows.
+    /// Connects without taking the node's name, so that a running node is not disturbed, and reads all of the
+    /// node's rows.
     ///
     /// # Errors
     /// [`SessionError::Connect`] if the server cannot be reached; otherwise the login fails, or the tables
@@ -35,12 +36,13 @@
         Ok((client, found.rows))
     }
 
-    /// Connects as the node itself and takes its name: a process that served under the name before is fenced
-    /// from now on. Up to `max_rows` rows are read.
+    /// Connects as the node itself and takes its name: an earlier process of the same name can write nothing
+    /// from now on, as its writes fail at the fence. Up to `max_rows` rows are read.
     ///
     /// # Errors
     /// [`SessionError::Connect`] if the server cannot be reached; otherwise the login fails or the tables
-    /// cannot be used. If the connection broke late, the name may have been taken all the same.
+    /// cannot be used. If the connection breaks after the statement that takes the name was sent, the name
+    /// may have been taken nevertheless.
     pub fn take_name(
         address: SocketAddr,
         login: Login,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Sends the output of the session and waits for its next event.
+    /// Sends the output of the session to the server and waits for the session's next event.
     fn next_event(&mut self) -> Result<Event, SessionError> {
         let io_error = |error: std::io::Error| SessionError::Io(error.to_string());
         let mut buffer = vec![0; READ_BYTES];
--- a/crates/idempotency/src/consensus_log.rs
+++ b/crates/idempotency/src/consensus_log.rs
@@ -1,9 +1,9 @@
 //! The consensus log of a cluster in one SQLite file. Each log record becomes durable as a whole, and the
 //! next incarnation recovers what was written.
 //!
-//! A file belongs to one node of one cluster and names that owner. A file that belongs to another node, is
-//! damaged or was made by a newer program is reported in one line, and nothing in it is altered or deleted.
-//! This module knows nothing of consensus: all values are opaque bytes.
+//! A file belongs to one node of one cluster and stores the name of that owner. A file that belongs to
+//! another node, is damaged or was made by a newer program is reported in one line, and nothing in it is
+//! altered or deleted. This module knows nothing of consensus: all values are opaque bytes.
 
 use crate::error::OpenError;
 use crate::row::{Cause, Outcome, Work};
@@ -15,7 +15,7 @@
 use std::path::Path;
 
 /// Name of this kind of file in messages to operators.
-pub const KIND: &str = "agreed log";
+pub const KIND: &str = "consensus log";
 
 /// Format of a consensus log's file; its application id is "gsfl" in ASCII.
 const LOG_FORMAT: FileFormat = FileFormat {
@@ -30,9 +30,9 @@
 "],
 };
 
-/// Name of the cell with the hard state of consensus.
+/// Name under which the table `cell` holds the hard state of consensus.
 const HARD_STATE: &str = "state";
-/// Name of the cell with the snapshot.
+/// Name under which the table `cell` holds the snapshot.
 const SNAPSHOT: &str = "base";
 
 /// A consensus log whose file this process has locked.
@@ -63,12 +63,12 @@
 
 impl ConsensusLog {
     /// Opens the log of `owner`, a text that names the node, the cluster and its members. Creates the log if
-    /// there is none, and counts one more incarnation of it.
+    /// there is none, and increments the number of incarnations that the log stores.
     ///
     /// # Errors
     /// [`OpenError::Owned`] if another process uses the file, [`OpenError::OtherOwner`] if it is the log of
-    /// another node, and [`OpenError::DamagedLog`] if a checksum does not match; else the file cannot be
-    /// opened or read. The node must not take part in the consensus without its log.
+    /// another node, and [`OpenError::DamagedLog`] if a checksum does not match. Any other error says that
+    /// the file cannot be opened or read. The node must not take part in the consensus without its log.
     pub fn open(path: &Path, owner: &str, options: &Options) -> Result<(Self, RecoveredLog), OpenError> {
         let open_error = |error: rusqlite::Error| LOG_FORMAT.open_error(path, &error);
         let (connection, lock) = open_exclusive(&LOG_FORMAT, path, options)?;
@@ -145,7 +145,8 @@
     Ok(Stored { place: columns.get(0)?, value: columns.get(1)?, checksum: columns.get(2)? })
 }
 
-/// Returns the recovered log if every value matches its checksum; otherwise the first one that does not.
+/// Returns the recovered log if every value matches its checksum; otherwise the name of the first value that
+/// does not.
 fn verify(cells: Vec<Stored<String>>, entries: Vec<Stored<i64>>) -> Result<RecoveredLog, DamagedValue> {
     let mut recovered = RecoveredLog::default();
     for cell in cells {
--- a/crates/idempotency/src/error.rs
+++ b/crates/idempotency/src/error.rs
@@ -42,7 +42,7 @@
         error: io::Error,
     },
     /// Another process holds the lock of the file.
-    #[error("{0}: in use by another process; stop that process first")]
+    #[error("{0}: in use by another process; end that process, nothing was changed")]
     Owned(StoreFile),
     /// Another connection has the database locked.
     #[error("{0}: locked by another program; end that program, nothing was changed")]
@@ -63,7 +63,7 @@
         /// The newest version that this program can read.
         known: usize,
     },
-    /// The file is not a sound SQLite database, or a row in it does not match its checksum.
+    /// The file is not an intact SQLite database, or a row in it does not match its checksum.
     #[error(
         "{file}: is damaged ({damage}); restore it, or move it away to start with an empty one, \
          nothing was changed"
@@ -129,7 +129,7 @@
         error: String,
     },
     /// The connection cannot be read or written.
-    #[error("connection failed: {0}")]
+    #[error("cannot read from or write to the connection: {0}")]
     Io(String),
     /// The server closed the connection.
     #[error("the server closed the connection")]
@@ -172,10 +172,10 @@
         known: i32,
     },
     /// A read-only session found no tables.
-    #[error("the database has no tables of a store of record")]
+    #[error("the database has no tables of an idempotency store")]
     NoTables,
     /// The table that holds the version of the tables is empty.
-    #[error("the table gaugestand_schema is empty; the database is not a store of record")]
+    #[error("the table gaugestand_schema is empty; the database is not an idempotency store")]
     NoVersion,
     /// The server returned no epoch for the node's name.
     #[error("the server returned no epoch for the node's name")]
@@ -184,10 +184,10 @@
     #[error("malformed message: {0}")]
     Unreadable(String),
     /// A message of the server exceeds the size limit.
-    #[error("the server sent a message that exceeds the size limit")]
+    #[error("the server sent a message longer than {max} bytes", max = crate::postgres::MAX_MESSAGE_BYTES)]
     TooLong,
     /// The server sent a message that does not belong to the present step of the session.
-    #[error("the server sent a message that does not belong to the present step")]
+    #[error("the server sent a message that the session does not expect at this point")]
     OutOfTurn,
     /// The server reported that it is ready although no work was in flight.
     #[error("the server reported that it is ready although no work was in flight")]
@@ -216,10 +216,10 @@
     #[error("cannot create the tables")]
     CreateTables,
     /// Preparing the statements.
-    #[error("cannot prepare the statements, as the tables have another form")]
+    #[error("cannot prepare the statements; the tables must be those that this program creates")]
     Prepare,
     /// Taking the node's name with a new epoch.
-    #[error("cannot take the node's name")]
+    #[error("cannot register the node's name with a new epoch")]
     TakeName,
     /// Reading the rows of earlier incarnations.
     #[error("cannot read the node's rows")]
--- a/crates/idempotency/src/postgres/codec.rs
+++ b/crates/idempotency/src/postgres/codec.rs
@@ -11,7 +11,7 @@
 
 /// Code of the binary format, which all parameters and all columns of results use.
 const BINARY: i16 = 1;
-/// No limit on the number of rows in a result.
+/// Value of a row limit that means no limit on the number of rows in a result.
 const ALL_ROWS: i32 = 0;
 
 /// One parameter of a statement.
@@ -23,7 +23,7 @@
     Int2(i16),
 }
 
-/// Appends the messages that execute a prepared statement to the output.
+/// Appends to the output the messages that execute a prepared statement.
 pub(super) fn write_call(
     statement: Statement,
     params: &[Param<'_>],
--- a/crates/idempotency/src/postgres/mod.rs
+++ b/crates/idempotency/src/postgres/mod.rs
@@ -36,7 +36,7 @@
 use std::rc::Rc;
 
 /// Longest accepted message of the server, in bytes: a row takes under 6 KiB; a notice may be long.
-const MAX_MESSAGE_BYTES: usize = 256 * 1024;
+pub(crate) const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 /// Maximum number of rows that one query at the start reads, so that no answer takes much memory.
 const PAGE_ROWS: usize = 1_000;
 /// The version of the tables that this program creates and uses.
@@ -58,7 +58,7 @@
 }
 
 impl fmt::Debug for Login {
-    /// Leaves out the password, so that it appears in no log.
+    /// Leaves out the password, so that the password appears in no log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Login({}@{} as {})", self.user, self.database, self.node)
     }
@@ -67,8 +67,8 @@
 /// What the session reports after it has received bytes.
 #[derive(Debug, PartialEq)]
 pub enum Event {
-    /// The start is over, and work can be submitted. Has what was found, unless the session continues an
-    /// earlier connection of this incarnation.
+    /// The start is over, and work can be submitted. The field holds the rows found in the store; `None` if
+    /// the session continues an earlier connection of this incarnation, which has reported the rows already.
     Ready(Option<Recovery>),
     /// The batch with this number has ended.
     Outcome(u64, Outcome),
@@ -76,19 +76,19 @@
 
 /// The step that a session has reached.
 enum Step {
-    /// The server is to choose the method of authentication.
+    /// The server has not chosen the method of authentication yet.
     AwaitingAuthentication,
     /// The SCRAM exchange that proves the password is under way.
     ProvingPassword(Box<ScramSha256>),
     /// The server proved that it knows the password, or asked for none.
     Authenticated,
-    /// The version of the tables is being read.
+    /// The version of the tables is being read. The field holds the version once the server has sent it.
     ReadingVersion(Option<i32>),
     /// The tables are being created.
     CreatingTables,
     /// Statements are being prepared.
     Preparing,
-    /// The node's name is being taken; has the new epoch, once it has arrived.
+    /// The node's name is being taken. The field holds the new epoch once the server has sent it.
     TakingName(Option<u64>),
     /// The rows of earlier incarnations are being read, page by page.
     Loading {
@@ -109,7 +109,8 @@
     is_lookup: bool,
     /// Rows that a lookup has returned.
     rows: Vec<Row>,
-    /// Whether the fence has not passed yet; until it has, nothing is known to be done.
+    /// Whether the server has not confirmed yet that the fence passed. Until then, no work of the batch is
+    /// known to be done.
     is_unfenced: bool,
 }
 
@@ -132,8 +133,8 @@
     /// The epoch of this incarnation; `None` until the node's name is taken.
     epoch: Option<u64>,
     max_rows: usize,
-    /// Whether the session only reads: it does not take the node's name, so that the node goes on
-    /// undisturbed.
+    /// Whether the session does not take the node's name, so that a running node is not disturbed. Such a
+    /// session only reads rows or removes old ones.
     is_read_only: bool,
     step: Step,
     /// The first error that the server reported in the present step.
@@ -199,7 +200,8 @@
         self.epoch
     }
 
-    /// Takes the bytes that are to be sent to the server.
+    /// Takes the bytes that the session has produced since the last call; the caller has to send them to the
+    /// server.
     pub fn output(&mut self) -> Vec<u8> {
         self.output.split().to_vec()
     }
@@ -215,8 +217,8 @@
         let mut events = Vec::new();
         loop {
             match Header::parse(&self.input).map_err(unreadable)? {
-                // Guards against a length for which memory would be reserved although the message never
-                // arrives.
+                // Guards the memory: without this limit, a false length would reserve memory for a message
+                // that never arrives.
                 Some(header) if header.len().max(0) as usize > MAX_MESSAGE_BYTES => {
                     return Err(SessionError::TooLong);
                 }
@@ -241,7 +243,8 @@
             return Ok(false);
         }
         let is_lookup = match &batch.work {
-            // A consensus log is only kept in a file.
+            // A record of a consensus log is not accepted: consensus logs are kept in files, not in
+            // PostgreSQL.
             Work::LogRecord(_) => return Ok(false),
             Work::Lookup(keys) => {
                 self.send_lookup(keys)?;
@@ -256,8 +259,8 @@
         Ok(true)
     }
 
-    /// Begins the removal of rows whose window ended at or before `now`. It ends like a batch with this
-    /// number.
+    /// Begins the removal of rows whose window ended at or before `now`. The removal ends with an
+    /// [`Event::Outcome`] that has this number, as a batch does.
     ///
     /// # Errors
     /// [`SessionError::Unsendable`] if the node's name is longer than the protocol's length fields can say.
@@ -297,7 +300,7 @@
                 let params = [Param::Text(node), Param::Text(key), Param::Int8(*sequence as i64)];
                 self.call(Statement::Remove, &params)
             }
-            // The fence itself is a write, and a probe needs no other.
+            // A probe adds no statement: the fence at the start of the batch is itself a write.
             Write::Probe => Ok(()),
         }
     }
@@ -346,7 +349,7 @@
 
     fn on_error(&mut self, error: ServerError) -> Result<(), SessionError> {
         match &self.step {
-            // Nothing is in flight, so the server ends the session for a reason of its own.
+            // No statement is in flight that the error could answer, so the error ends the session.
             Step::Idle => Err(SessionError::Ended(error)),
             Step::AwaitingAuthentication | Step::ProvingPassword(_) | Step::Authenticated => {
                 Err(SessionError::LoginRefused(error))
@@ -403,7 +406,7 @@
         Ok(())
     }
 
-    /// Handles the message that the server has completed all that was in flight.
+    /// Handles the server's message `ReadyForQuery`: everything that was in flight is complete.
     fn on_ready(&mut self) -> Result<Option<Event>, SessionError> {
         let step = mem::replace(&mut self.step, Step::Idle);
         let error = self.step_error.take();
--- a/crates/idempotency/src/postgres/server_error.rs
+++ b/crates/idempotency/src/postgres/server_error.rs
@@ -17,7 +17,7 @@
 pub struct ServerError {
     /// Five-character SQLSTATE code.
     code: String,
-    /// Message for people.
+    /// The server's message, as readable text.
     text: String,
 }
 
@@ -42,8 +42,8 @@
     /// The outcome of a batch that ended with this error.
     pub(super) fn outcome(&self) -> Outcome {
         let cause = self.cause();
-        // After "statement completion unknown" (40003), or on a server that is shutting down, a commit may
-        // have gone through.
+        // After "statement completion unknown" (40003), or on a server that is shutting down, the commit may
+        // have succeeded.
         if self.code == "40003" || cause == Cause::Link {
             return Outcome::Unknown(cause);
         }
@@ -58,7 +58,7 @@
             "53100" | "53200" | "53300" | "53400" => Cause::Full,
             // Read-only transaction.
             "25006" => Cause::ReadOnly,
-            // Division by zero, by which the fence fails.
+            // Division by zero: the fence has failed.
             "22012" => Cause::Fenced,
             // Connection exceptions, and a server that is being shut down.
             code if code.starts_with("08") || code.starts_with("57P") => Cause::Link,
--- a/crates/idempotency/src/postgres/sql.rs
+++ b/crates/idempotency/src/postgres/sql.rs
@@ -1,7 +1,7 @@
 //! The SQL statements, as they are sent. Their texts and the names of tables and columns are shared with
 //! other versions of this program that use the same database.
 
-/// Reads the version of the tables that exist.
+/// Reads the version of the existing tables.
 pub const READ_VERSION: &str = "SELECT version FROM gaugestand_schema";
 /// Creates the tables. An advisory lock makes nodes that start at the same time wait for each other.
 pub const CREATE_TABLES: &str = "\
@@ -18,8 +18,8 @@
 /// Reads one page of a node's rows. Parameters: node, last key before the page, number of rows in the page.
 pub const LOAD_PAGE: &str = "SELECT key, holder, print, ran, until, stamp, state, result FROM gaugestand_record \
 WHERE node = $1 AND key > $2 ORDER BY key LIMIT $3";
-/// Fence at the start of each batch of writes: fails with a division by zero unless the node's name is still
-/// held with this epoch. Parameters: node, epoch.
+/// Fence, the first statement of each batch of writes: fails with a division by zero unless this epoch still
+/// holds the node's name. Parameters: node, epoch.
 pub const FENCE: &str = "UPDATE gaugestand_node SET beat = beat + 1 / (CASE WHEN epoch = $2 THEN 1 ELSE 0 END) \
 WHERE node = $1";
 /// Stores a row, unless the stored one has precedence. Parameters: node, key, holder, print, ran, until,
--- a/crates/idempotency/src/postgres/startup.rs
+++ b/crates/idempotency/src/postgres/startup.rs
@@ -29,7 +29,8 @@
                 frontend::sasl_response(scram.message(), &mut self.output).map_err(unreadable)?;
                 Step::ProvingPassword(scram)
             }
-            // Guards against an impostor: a server has to prove that it knows the password as well.
+            // Guards against a program that poses as the server: the server, too, has to prove that it knows
+            // the password.
             (Step::ProvingPassword(mut scram), Message::AuthenticationSaslFinal(body)) => {
                 scram.finish(body.data()).map_err(login_error)?;
                 Step::Authenticated
@@ -103,7 +104,8 @@
     }
 }
 
-/// Fails with the error, if the server reported one in this step of the start.
+/// Converts the error that the server reported in this step of the start, if there is one, to a
+/// [`SessionError`].
 pub(super) fn refused(step: StartStep, error: Option<ServerError>) -> Result<(), SessionError> {
     error.map_or(Ok(()), |error| Err(SessionError::Refused { step, error }))
 }
--- a/crates/idempotency/src/row.rs
+++ b/crates/idempotency/src/row.rs
@@ -4,7 +4,7 @@
 use gaugestand_admission::time::UnixTime;
 use std::fmt;
 
-/// State of the run of a key, as its row has it.
+/// State of a key's run, as stored in the row of the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RowState {
     /// The run was about to begin; the row does not tell whether it did.
@@ -65,8 +65,8 @@
 }
 
 impl Row {
-    /// Decides which of two rows of one key stays, the greater one: by the sequence number, then by whether
-    /// the run is over.
+    /// Precedence among rows of one key, of which a store keeps the one with the greatest: first the sequence
+    /// number counts, then whether the run is over.
     pub fn precedence(&self) -> (u64, bool) {
         (self.sequence, self.state != RowState::Intent)
     }
@@ -75,8 +75,8 @@
 /// One change to the rows of a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
-    /// Stores this row, unless the stored row of its key takes precedence: a write that a stalled store
-    /// carries out long after the node gave up on it must not undo newer ones.
+    /// Stores this row, unless the stored row of the same key takes precedence: a stalled store may carry out
+    /// a write long after the node gave up on the write, and must not undo newer writes.
     Put(Row),
     /// Removes the row of this key, unless the row has a greater sequence number. The attempt never ran, or
     /// its window is over.
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Whether a store has made this write, if `row` is what it has under the key.
+    /// Whether a store has made this write, given the `row` that the store has for the key.
     pub fn is_written(&self, row: Option<&Row>) -> bool {
         match self {
             Write::Put(new) => row.is_some_and(|row| row.precedence() >= new.precedence()),
@@ -121,7 +121,8 @@
     LogRecord(LogRecord),
 }
 
-/// Work with a number, so that the outcome of an earlier batch is not taken for that of this one.
+/// Work with a number, by which the table tells the outcome of this batch from the late outcome of an earlier
+/// one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
     /// Number of the batch; each batch has a greater one than the batch before.
@@ -178,7 +179,7 @@
     Done,
     /// Nothing of the batch was done, for this cause.
     NotDone(Cause),
-    /// It is not known whether the batch was done: a broken connection proves nothing.
+    /// It is not known whether the batch was done, for example because the connection broke.
     Unknown(Cause),
     /// The rows that were looked up; a key without a row is left out.
     Rows(Vec<Row>),
@@ -192,6 +193,6 @@
     /// Number of rows that were found; greater than the length of `rows` if they exceed the limit. A backend
     /// may stop counting above the limit.
     pub row_count: u64,
-    /// Number of incarnations of this node's name, with the present one.
+    /// Number of incarnations of this node's name, including the present one.
     pub epoch: u64,
 }
--- a/crates/idempotency/src/sqlite/file.rs
+++ b/crates/idempotency/src/sqlite/file.rs
@@ -1,5 +1,5 @@
-//! Opens SQLite files safely: one owner, a known format and version, and no change to a file before it was
-//! found sound.
+//! Opens SQLite files safely: one owner, a known format and version, and no change to a file before a check
+//! found the file intact.
 
 use crate::error::{OpenError, StoreFile};
 use rusqlite::{Connection, ErrorCode, OpenFlags};
@@ -10,7 +10,7 @@
 
 /// Longest wait at the start for a lock that another connection holds; a backup of a small file takes less.
 const OPEN_BUSY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Size of SQLite's page cache, in KiB: half of what a node of 32 MB can spare.
+/// Size of SQLite's page cache, in KiB: half of the memory that a node with 32 MB in total has to spare.
 const PAGE_CACHE_KIB: i64 = 2_048;
 /// Size to which the write-ahead log is truncated after a checkpoint, in bytes, so that it does not keep the
 /// disk space that a burst of writes took.
@@ -66,12 +66,12 @@
     error.to_string().replace('\n', " ")
 }
 
-/// When a commit counts as durable, and a bound that tests set.
+/// Options for opening a file: when a commit counts as durable, and a maximum size, which tests set.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
     /// Whether to use SQLite's `synchronous=EXTRA`, which syncs folders too, in place of `FULL`.
     pub synchronous_extra: bool,
-    /// Maximum size of the file, in pages; 0 for no limit of the program's own.
+    /// Maximum size of the file, in pages; 0 for no limit set by this program.
     pub max_pages: u32,
 }
 
@@ -83,7 +83,7 @@
 }
 
 /// Locks a file for this process alone, for as long as the returned handle lives; the operating system
-/// releases the lock when the process ends, in whatever way.
+/// releases the lock when the process ends, even if the process is killed.
 fn lock_exclusive(format: &FileFormat, path: &Path) -> Result<File, OpenError> {
     let path_error = |error: io::Error| OpenError::Path { file: format.file(path), error };
     let file = OpenOptions::new().create(true).truncate(false).write(true).open(lock_path(path));
@@ -132,7 +132,7 @@
     Err(OpenError::Damaged { file: format.file(path), damage: report.replace('\n', " ") })
 }
 
-/// Opens a file read-only; a node may serve from it meanwhile.
+/// Opens a file read-only; a node may use the file at the same time.
 pub(crate) fn open_read_only(format: &FileFormat, path: &Path) -> Result<Connection, OpenError> {
     if !path.exists() {
         return Err(OpenError::Path { file: format.file(path), error: io::ErrorKind::NotFound.into() });
@@ -193,8 +193,8 @@
     Ok(())
 }
 
-/// Ends the waiting for locks: from here on a busy file is an error at once, and whoever works on the file
-/// retries without blocking the thread.
+/// Stops SQLite from waiting for locks: from now on an operation on a locked file fails at once, and the
+/// caller retries later without blocking the thread.
 pub(crate) fn disable_busy_wait(
     format: &FileFormat,
     path: &Path,
--- a/crates/idempotency/src/sqlite/mod.rs
+++ b/crates/idempotency/src/sqlite/mod.rs
@@ -1,9 +1,9 @@
 //! The SQLite backend: the rows of one node in one file, with each batch as one transaction.
 //!
-//! A file is changed only by the process that holds its lock file, and only after the file was found to be a
-//! sound store of a version that this program supports. Any fault is reported in one line, and nothing is
-//! altered or deleted then. Each call blocks for as long as the disk takes, so it belongs on the thread of a
-//! [`crate::worker`].
+//! A file is changed only by the process that holds its lock file, and only after a check found that the file
+//! is an intact store of a version that this program supports. Any fault is reported in one line, and the
+//! file is then neither altered nor deleted. Each call blocks for as long as the disk takes, so it belongs on
+//! the thread of a [`crate::worker`].
 
 pub(crate) mod file;
 mod transaction;
@@ -21,7 +21,7 @@
 use transaction::cause;
 
 /// Name of this kind of file in messages to operators.
-pub const KIND: &str = "store of record";
+pub const KIND: &str = "idempotency store";
 
 /// Format of the store's file; its application id is "gstd" in ASCII.
 const STORE_FORMAT: FileFormat = FileFormat {
@@ -67,7 +67,7 @@
     epoch: u64,
 }
 
-/// Opens a store read-only; a node may serve from it meanwhile.
+/// Opens a store read-only; a node may use the store at the same time.
 ///
 /// # Errors
 /// [`OpenError::Path`] if there is no such file, [`OpenError::Foreign`] or [`OpenError::Newer`] if it is not
@@ -79,7 +79,7 @@
 /// Checks the integrity of a whole store.
 ///
 /// # Errors
-/// [`OpenError::Damaged`] if the integrity check finds a fault; else the store cannot be opened, as in
+/// [`OpenError::Damaged`] if the integrity check finds a fault; otherwise the store cannot be opened, as in
 /// [`open_read_only`].
 pub fn check(path: &Path) -> Result<(), OpenError> {
     file::check_integrity(&STORE_FORMAT, path, &open_read_only(path)?)
@@ -100,12 +100,13 @@
 }
 
 impl Sqlite {
-    /// Opens a store, creates it if there is none, and counts one more incarnation of its node.
+    /// Opens a store, creates it if there is none, and increments the number of incarnations that the store
+    /// keeps for its node.
     ///
     /// # Errors
     /// [`OpenError::Owned`] if another process serves from the store, and [`OpenError::Damaged`],
-    /// [`OpenError::Foreign`] or [`OpenError::Newer`] if it cannot be used; else the file cannot be opened or
-    /// written. The node must not serve without the keys in it.
+    /// [`OpenError::Foreign`] or [`OpenError::Newer`] if it cannot be used. Any other error says that the
+    /// file cannot be opened or written. The node must not serve without the keys in it.
     pub fn open(path: &Path, options: &Options) -> Result<Self, OpenError> {
         let (connection, lock) = file::open_exclusive(&STORE_FORMAT, path, options)?;
         let epoch: i64 = connection
@@ -189,8 +190,8 @@
         Ok(rows)
     }
 
-    /// Removes rows whose window ended at or before `now`, and returns their number. No node serves from the
-    /// store meanwhile, as this process owns it.
+    /// Removes rows whose window ended at or before `now`, and returns their number. No node uses the store
+    /// at the same time, as this process holds the store's lock.
     ///
     /// # Errors
     /// SQLite cannot write, for example as the disk is full; no row was removed.
--- a/crates/idempotency/src/sqlite/transaction.rs
+++ b/crates/idempotency/src/sqlite/transaction.rs
@@ -1,11 +1,12 @@
-//! Transactions on an SQLite file, and what an error of one proves about its outcome.
+//! Transactions on an SQLite file, and what an error proves about the outcome of a transaction.
 
 use crate::row::{Cause, Outcome};
 use rusqlite::{Connection, ErrorCode};
 
-/// Runs `change` as one transaction: all that it does becomes durable, or nothing.
+/// Runs `change` as one transaction: either all changes that `change` makes become durable, or none.
 pub(crate) fn transaction(connection: &Connection, change: impl FnOnce() -> rusqlite::Result<()>) -> Outcome {
-    // An immediate transaction takes the lock first, so one that fails as busy has changed nothing.
+    // An immediate transaction takes the lock first, so a transaction that fails because the file is busy has
+    // changed nothing.
     if let Err(error) = connection.execute_batch("BEGIN IMMEDIATE") {
         return Outcome::NotDone(cause(&error));
     }
@@ -22,13 +23,13 @@
     outcome
 }
 
-/// An error during the commit may come after the changes became durable, so the outcome is unknown, save for
-/// a busy file.
+/// An error during the commit may come after the changes became durable, so the outcome is unknown, unless
+/// the error says that the file was busy.
 fn failed_commit(cause: Cause) -> Outcome {
     if cause == Cause::Busy { Outcome::NotDone(cause) } else { Outcome::Unknown(cause) }
 }
 
-/// The cause that an error of SQLite stands for.
+/// Converts an error of SQLite to the [`Cause`] that the key table acts on.
 pub(crate) fn cause(error: &rusqlite::Error) -> Cause {
     match error.sqlite_error_code() {
         Some(ErrorCode::DatabaseBusy | ErrorCode::DatabaseLocked) => Cause::Busy,
--- a/crates/idempotency/src/table/circuit_breaker.rs
+++ b/crates/idempotency/src/table/circuit_breaker.rs
@@ -1,7 +1,7 @@
 //! The circuit breaker in front of the store: when it opens, when the store is tried again, and when it
 //! closes.
 //!
-//! While the breaker is closed, the store is sent writes; a store that reports that it is busy is retried
+//! While the breaker is closed, writes are sent to the store; a store that reports that it is busy is retried
 //! soon, and the breaker stays closed. While the breaker is open, no run may begin, and the store is probed
 //! with one write at growing intervals until a write becomes durable.
 
@@ -14,16 +14,16 @@
 const MAX_BUSY_RETRY: Micros = Micros::millis(100);
 /// First wait before a store that failed is probed, before jitter.
 pub(super) const MIN_PROBE_INTERVAL: Micros = Micros::millis(100);
-/// Longest wait between two probes, before jitter: a store that comes back is in use again after a few
+/// Longest wait between two probes, before jitter, so that a store that works again is used after a few
 /// seconds at most.
 const MAX_PROBE_INTERVAL: Micros = Micros::millis(2_000);
 
 /// State of the circuit breaker in front of the idempotency store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BreakerState {
-    /// The store is sent writes.
+    /// Writes are sent to the store.
     Closed,
-    /// The store has failed or stalled and is only probed.
+    /// The store has failed or stalled, and only probes are sent to it.
     Open {
         /// Cause of the most recent failure.
         cause: Cause,
@@ -67,7 +67,7 @@
         self.retry_at
     }
 
-    /// Allows the store to be tried at once, as it has just been connected to.
+    /// Allows writes to be sent to the store at once; called when a connection to the store has been made.
     pub(super) fn retry_now(&mut self, now: Timestamp) {
         self.retry_at = now;
     }
--- a/crates/idempotency/src/table/durability.rs
+++ b/crates/idempotency/src/table/durability.rs
@@ -24,10 +24,11 @@
 /// this may have as many removals as other writes. Rows are thus removed as fast as they are added, and such
 /// a batch at most doubles.
 const MIN_REMOVALS: usize = 16;
-/// Number of writes in a batch while the breaker is open: one shows whether the store works again.
+/// Number of writes in a batch while the breaker is open: one write is enough to show whether the store works
+/// again.
 const PROBE_BATCH: usize = 1;
-/// Low bits of a sequence number, which count the runs of one incarnation; the epoch stands above them. 2^40
-/// runs in one incarnation would take centuries.
+/// Number of low bits of a sequence number that count the intents of one incarnation; the bits above hold the
+/// epoch. 2^40 intents in one incarnation would take centuries.
 const SEQUENCE_BITS: u32 = 40;
 
 /// A write that is not known to be durable, and the time at which it was queued.
@@ -108,7 +109,7 @@
         self.breaker.state()
     }
 
-    /// Whether intents can be queued, so that runs can begin.
+    /// Whether intents can be queued; no run can begin otherwise.
     pub(super) fn accepts_intents(&self) -> bool {
         self.breaker.is_closed()
     }
@@ -248,7 +249,8 @@
         writes.rev().for_each(|pending| self.queue.push_front(pending));
     }
 
-    /// Keeps the writes of a failed batch: for a lookup if they may have been made, else for another try.
+    /// Keeps the writes of a failed batch: for a lookup if the store may have made them, otherwise to send
+    /// them again.
     fn take_back(&mut self, batch: InFlight, is_unconfirmed: bool) {
         if is_unconfirmed || batch.is_lookup {
             self.unconfirmed = batch.writes;
@@ -276,8 +278,8 @@
 
 impl KeyTable {
     /// Loads the rows that earlier incarnations of this node left in the store; only the first call has an
-    /// effect. Each row is kept for a whole window from now on: its age cannot be told by the wall clock,
-    /// which may have been set since.
+    /// effect. Each row is kept for a whole window from now on: the wall clock does not show the age of a
+    /// row, as the clock may have been set since the row was written.
     pub fn load(&mut self, now: Moment, recovery: Recovery) {
         let Some(durability) = &mut self.durability else { return };
         if durability.is_loaded {
@@ -358,7 +360,8 @@
                 batch.writes.into_iter().for_each(|pending| self.on_durable(pending.write));
             }
             Outcome::Rows(rows) if batch.is_lookup => self.on_looked_up(batch.writes, &rows),
-            // An outcome of the wrong kind proves as little as a broken connection.
+            // An outcome of the wrong kind does not show whether the batch was done; neither does a broken
+            // connection.
             Outcome::Done | Outcome::Rows(_) => self.on_failed(now, batch, Cause::Other, true),
             Outcome::NotDone(cause) => self.on_failed(now, batch, cause, false),
             Outcome::Unknown(cause) => self.on_failed(now, batch, cause, true),
@@ -420,15 +423,15 @@
         }
     }
 
-    /// Settles an attempt whose intent cannot be written as one that never ran, with the repeats that wait
-    /// for it.
+    /// Settles an attempt whose intent cannot be written, and the repeats that wait for the attempt, as
+    /// attempts that never ran.
     pub(super) fn settle_unwritten(&mut self, entry: Entry, retry_after: Micros) {
         self.metrics.rejected += 1;
         self.settled.push(Settlement::IntentFailed(entry.holder, entry.waiters, retry_after));
     }
 
     /// Withdraws an intent that is not known to be durable, and removes the entry of its key. If the intent
-    /// was sent, its row may be made, so the removal of that row is queued behind it.
+    /// was sent, the store may write its row, so the removal of that row is queued behind the intent.
     pub(super) fn withdraw(&mut self, now: Timestamp, key: &str) -> Option<Entry> {
         let entry = self.remove(key)?;
         if let Some(durability) = &mut self.durability {
@@ -445,7 +448,8 @@
     fn on_durable(&mut self, write: Write) {
         let Write::Put(row) = write else { return };
         let Some(entry) = self.keys.get_mut(row.key.as_str()) else { return };
-        // Guards against a write whose entry was withdrawn, or replaced after its window.
+        // The entry of this write may have been withdrawn, or replaced after the end of its window; then the
+        // write decides nothing.
         if entry.sequence != row.sequence {
             return;
         }
--- a/crates/idempotency/src/table/mod.rs
+++ b/crates/idempotency/src/table/mod.rs
@@ -44,7 +44,7 @@
 use std::rc::Rc;
 
 /// Time for which an entry is kept after the end of its window, for attempts that reached the machine within
-/// the window and are read after it.
+/// the window and are read after its end.
 const LATE_READ_GRACE: Micros = Micros::millis(10_000);
 /// Memory of an entry besides its key and its result, in bytes: the slot in the hash map, the entry itself
 /// and its place in the expiry queue. In a table of a million entries, one with a key of 32 bytes and a
@@ -160,8 +160,8 @@
     }
 
     /// Sets the memory limit of a table without a store: first attempts are accepted only while the entries
-    /// and one more result of maximum length take at most this many bytes. Guards the process's memory where
-    /// a window holds more results than fit in it.
+    /// and one more result of maximum length take at most this many bytes. Bounds the memory of the process
+    /// even if one window holds more results than fit in memory.
     pub fn set_max_bytes(&mut self, bytes: usize) {
         self.max_bytes = bytes;
     }
@@ -201,8 +201,8 @@
         self.keys.insert(key, entry);
     }
 
-    /// Removes the entry of a key and no longer counts its memory. The row of the key in the store is left to
-    /// the calling function.
+    /// Removes the entry of a key and no longer counts its memory. The calling function decides what happens
+    /// to the row of the key in the store.
     fn remove(&mut self, key: &str) -> Option<Entry> {
         let entry = self.keys.remove(key)?;
         self.metrics.bytes = self.metrics.bytes.saturating_sub(entry.bytes(key));
@@ -239,8 +239,8 @@
 
 impl IdempotencyTable for KeyTable {
     fn fingerprint(&self, body: &[u8]) -> u128 {
-        // With a store, the fingerprint of a body must be the same after a restart, so no secret goes into
-        // it.
+        // With a store, the fingerprint of a body must be the same after a restart, so the fingerprint does
+        // not depend on a secret.
         let hash = match self.durability {
             None => blake3::keyed_hash(&self.secret, body),
             Some(_) => blake3::hash(body),
@@ -253,7 +253,7 @@
 
     fn lookup(&mut self, now: Moment, key: &str, fingerprint: u128, ingress: Moment) -> Lookup {
         if let Some(entry) = self.keys.get(key).filter(|entry| entry.covers(ingress)) {
-            // Guards against sending the result of another request to a sender that only names its key.
+            // Guards against sending a result to a sender that knows the key of the request but not its body.
             if entry.fingerprint != fingerprint {
                 return Lookup::BodyMismatch;
             }
--- a/crates/idempotency/src/table/replication.rs
+++ b/crates/idempotency/src/table/replication.rs
@@ -1,9 +1,9 @@
 //! Replication of the key table to the successor process that takes over the node.
 //!
-//! Both processes run on one machine and have no store. The predecessor queues each key that changes and
-//! sends the state that the key has when it is sent, so that a key that changes often is sent once; the
-//! successor applies entries in the order in which they arrive. The serialised names are those of the
-//! hand-over protocol, which may connect two versions of the program.
+//! Both processes run on one machine and use no idempotency store. The predecessor queues each key that
+//! changes and sends the state that the key has when it is sent, so that a key that changes often is sent
+//! once; the successor applies entries in the order in which they arrive. The serialised names are those of
+//! the hand-over protocol, which may connect two versions of the program.
 
 use super::state::{Entry, Phase};
 use super::{KeyTable, LATE_READ_GRACE};
@@ -157,7 +157,7 @@
         self.replication.as_ref().is_some_and(|queue| !queue.order.is_empty())
     }
 
-    /// Queues a key whose entry changes for replication, if replication is on.
+    /// If replication is on, queues for replication a key whose entry changes.
     pub(super) fn mark_changed(&mut self, key: &str) {
         if let Some(queue) = &mut self.replication {
             queue.push(key);
@@ -185,10 +185,10 @@
         self.insert(key, Entry::from(state));
     }
 
-    /// Handles a predecessor that ended without handing over. A run that was under way there counts as
-    /// failed; an attempt that was queued there never ran. Unless `is_complete` says that all entries were
-    /// received, first attempts are rejected until the `window` of any missing key is over: guards against a
-    /// second run of a key that ran there.
+    /// Handles a predecessor that ended without handing over. A run that was under way in the predecessor
+    /// counts as failed; an attempt that was queued in the predecessor never ran. Unless `is_complete` says
+    /// that all entries were received, first attempts are rejected until the `window` of any missing key is
+    /// over: a missing key may have run in the predecessor and must not run again.
     pub fn on_predecessor_lost(&mut self, now: Moment, is_complete: bool, window: Micros) {
         self.keys.retain(|_, entry| entry.phase != Phase::Queued);
         for entry in self.keys.values_mut() {
--- a/crates/idempotency/src/table/state.rs
+++ b/crates/idempotency/src/table/state.rs
@@ -10,7 +10,7 @@
 /// The progress of a key, from the arrival of its first attempt to the end of its run.
 #[derive(Debug, PartialEq)]
 pub(super) enum Phase {
-    /// The first attempt is in the admission queue; nothing of it is in the store.
+    /// The first attempt is in the admission queue; the store has no row of the key for this attempt.
     Queued,
     /// The attempt was admitted, and its intent is being written.
     IntentPending,
@@ -42,8 +42,8 @@
     pub(super) fingerprint: u128,
     /// Unix time at which the holder reached the machine; zero until it is admitted.
     pub(super) ingress: UnixTime,
-    /// End of the deduplication window, on both clocks; an attempt counts as a repeat until both clocks are
-    /// past it.
+    /// End of the deduplication window, on both clocks; an attempt counts as a repeat until the end has
+    /// passed on both clocks.
     pub(super) expires: Moment,
     /// Sequence number of the intent, by which the store orders the rows of one key; zero before there is an
     /// intent.
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Whether the run is still to begin or to end, or its result is not durable yet. The entry then stays
-    /// even after its window.
+    /// Whether the run has not begun, has not ended, or has a result that is not durable yet. Such an entry
+    /// is kept even after the end of its window.
     pub(super) fn is_open(&self) -> bool {
         !matches!(self.phase, Phase::Completed(_) | Phase::Failed)
     }
--- a/crates/idempotency/src/worker.rs
+++ b/crates/idempotency/src/worker.rs
@@ -114,7 +114,8 @@
         // The queue of outcomes is as long as that of batches, so the push fails only if the event loop has
         // ended.
         let _ = outcomes.push((batch.number, outcome));
-        // The write fails on a full socket; the bytes in it wake the event loop all the same.
+        // The write fails if the socket is full; then the bytes that the socket already holds wake the event
+        // loop.
         let _ = wake.write(&[1]);
     }
 }
--- a/crates/idempotency/tests/consensus_log.rs
+++ b/crates/idempotency/tests/consensus_log.rs
@@ -107,7 +107,9 @@
             .expect_err(sql)
             .to_string();
         assert!(
-            message.starts_with("agreed log") && message.contains(expected) && message.lines().count() == 1,
+            message.starts_with("consensus log")
+                && message.contains(expected)
+                && message.lines().count() == 1,
             "{message}"
         );
         assert_eq!(
@@ -127,7 +129,7 @@
 }
 
 /// The disk fills in the middle of a record. After a restart, all records that were acknowledged must be
-/// there, and nothing of the one that failed.
+/// recovered, and nothing of the record that failed.
 #[test]
 fn a_full_disk_loses_no_record_that_was_written() {
     let folder = LogFolder::new("full");
--- a/crates/idempotency/tests/error_texts.rs
+++ b/crates/idempotency/tests/error_texts.rs
@@ -13,11 +13,11 @@
 use std::rc::Rc;
 
 fn store() -> StoreFile {
-    StoreFile { kind: "store of record", path: PathBuf::from("/d/r.db") }
+    StoreFile { kind: "idempotency store", path: PathBuf::from("/d/r.db") }
 }
 
 fn log() -> StoreFile {
-    StoreFile { kind: "agreed log", path: PathBuf::from("/d/f.db") }
+    StoreFile { kind: "consensus log", path: PathBuf::from("/d/f.db") }
 }
 
 #[test]
@@ -25,46 +25,46 @@
     let cases = [
         (
             OpenError::Path { file: store(), error: io::Error::other("no such folder") },
-            "store of record /d/r.db: no such folder; its folder must exist and be writable",
+            "idempotency store /d/r.db: no such folder; its folder must exist and be writable",
         ),
         (
             OpenError::Owned(store()),
-            "store of record /d/r.db: in use by another process; stop that process first",
+            "idempotency store /d/r.db: in use by another process; end that process, nothing was changed",
         ),
         (
             OpenError::Locked(log()),
-            "agreed log /d/f.db: locked by another program; end that program, nothing was changed",
+            "consensus log /d/f.db: locked by another program; end that program, nothing was changed",
         ),
         (
             OpenError::Foreign(store()),
-            "store of record /d/r.db: is a file of another program; give another path, nothing was changed",
+            "idempotency store /d/r.db: is a file of another program; give another path, nothing was changed",
         ),
         (
             OpenError::Newer { file: store(), version: 7, known: 1 },
-            "store of record /d/r.db: has version 7, this program supports up to 1; use the newer program, nothing was \
+            "idempotency store /d/r.db: has version 7, this program supports up to 1; use the newer program, nothing was \
              changed",
         ),
         (
             OpenError::Damaged { file: store(), damage: "page 3".into() },
-            "store of record /d/r.db: is damaged (page 3); restore it, or move it away to start with an empty one, \
+            "idempotency store /d/r.db: is damaged (page 3); restore it, or move it away to start with an empty one, \
              nothing was changed",
         ),
         (
             OpenError::OtherOwner { file: log(), owner: "node a".into(), node: "node b".into() },
-            "agreed log /d/f.db: belongs to node a, this is node b; give each node its own path, nothing was changed",
+            "consensus log /d/f.db: belongs to node a, this is node b; give each node its own path, nothing was changed",
         ),
         (
             OpenError::DamagedLog { file: log(), value: "entry 2".into() },
-            "agreed log /d/f.db: is damaged (entry 2 differs from what was written); the cluster can go on without \
+            "consensus log /d/f.db: is damaged (entry 2 differs from what was written); the cluster can go on without \
              this node: see docs/operators/fleet.md before you move the file away, nothing was changed",
         ),
         (
-            OpenError::Thread { kind: "agreed log", error: io::Error::other("no memory") },
-            "agreed log: the worker thread cannot be started: no memory",
+            OpenError::Thread { kind: "consensus log", error: io::Error::other("no memory") },
+            "consensus log: the worker thread cannot be started: no memory",
         ),
         (
             OpenError::Other { file: store(), error: "odd".into() },
-            "store of record /d/r.db: SQLite error: odd",
+            "idempotency store /d/r.db: SQLite error: odd",
         ),
     ];
     for (error, text) in cases {
@@ -80,7 +80,7 @@
             SessionError::Connect { address, error: "refused".into() },
             "cannot connect to 127.0.0.1:5432: refused",
         ),
-        (SessionError::Io("broken pipe".into()), "connection failed: broken pipe"),
+        (SessionError::Io("broken pipe".into()), "cannot read from or write to the connection: broken pipe"),
         (SessionError::Closed, "the server closed the connection"),
         (SessionError::Timeout, "the server did not answer within the time limit"),
         (SessionError::Login("no proof".into()), "login failed: no proof"),
@@ -93,15 +93,15 @@
             SessionError::NewerTables { version: 7, known: 1 },
             "the tables have version 7, this program supports 1; use the newer program",
         ),
-        (SessionError::NoTables, "the database has no tables of a store of record"),
+        (SessionError::NoTables, "the database has no tables of an idempotency store"),
         (
             SessionError::NoVersion,
-            "the table gaugestand_schema is empty; the database is not a store of record",
+            "the table gaugestand_schema is empty; the database is not an idempotency store",
         ),
         (SessionError::NoEpoch, "the server returned no epoch for the node's name"),
         (SessionError::Unreadable("odd".into()), "malformed message: odd"),
-        (SessionError::TooLong, "the server sent a message that exceeds the size limit"),
-        (SessionError::OutOfTurn, "the server sent a message that does not belong to the present step"),
+        (SessionError::TooLong, "the server sent a message longer than 262144 bytes"),
+        (SessionError::OutOfTurn, "the server sent a message that the session does not expect at this point"),
         (SessionError::ReadyOutOfTurn, "the server reported that it is ready although no work was in flight"),
         (SessionError::OutcomeOutOfTurn, "a batch ended although none had been sent"),
         (SessionError::UnexpectedRow, "the server sent a row for a statement that returns none"),
@@ -127,11 +127,11 @@
         (&[authenticated.clone(), undefined_table], "cannot create the tables: not allowed (42501)"),
         (
             &[authenticated.clone(), data_row(b"1")],
-            "cannot prepare the statements, as the tables have another form: not allowed (42501)",
+            "cannot prepare the statements; the tables must be those that this program creates: not allowed (42501)",
         ),
         (
             &[authenticated.clone(), data_row(b"1"), vec![]],
-            "cannot take the node's name: not allowed (42501)",
+            "cannot register the node's name with a new epoch: not allowed (42501)",
         ),
         (
             &[authenticated.clone(), data_row(b"1"), vec![], data_row(&3i64.to_be_bytes())],
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -2,8 +2,8 @@
 //! successes and retries up to a bound. A state is a history of steps, which is replayed through the real
 //! code.
 //!
-//! Bound: three attempts of one key, up to `depth()` steps, two crashes, two stalls, two failed batches,
-//! deadlines passed once.
+//! Bound: three attempts of one key, up to `depth()` steps, two crashes, two stalls, two failed batches, and
+//! one step that passes the deadlines of all attempts.
 
 use gaugestand_admission::engine::{Arrival, Engine, EngineCommand, EngineEvent, RunOutcome};
 use gaugestand_admission::time::Moment;
--- a/crates/idempotency/tests/stored_forms.rs
+++ b/crates/idempotency/tests/stored_forms.rs
@@ -26,7 +26,7 @@
 const LOG_OWNER: &str = "node n1 of fleet \"north\" (n1, n2, n3)";
 /// End of a window that is over, in microseconds of Unix time.
 const PAST: UnixTime = UnixTime(1_700_000_029_220_000);
-/// End of a window that is not over for some decades, in microseconds of Unix time.
+/// End of a window that ends some decades from now, in microseconds of Unix time.
 const FUTURE: UnixTime = UnixTime(4_000_000_000_000_000);
 
 /// A folder for one test, which is removed at the end of the test.
@@ -224,8 +224,8 @@
 }
 
 // Nodes of both builds share one database, and an upgraded node must find the rows of the node before it. The
-// text of every statement matters as much as the bytes of the parameters: a renamed table would be a new and
-// empty one.
+// texts of the statements must not change either: with another name of a table, the program would create a
+// new, empty table.
 #[test]
 fn the_postgres_session_sends_what_the_build_before_the_renames_sent() {
     let login = Login {
--- a/crates/idempotency/tests/stores.rs
+++ b/crates/idempotency/tests/stores.rs
@@ -63,7 +63,7 @@
     Login { user: "u".into(), password: password.into(), database: "d".into(), node: "n3".into() }
 }
 
-/// One backend of either kind, ready for work.
+/// An opened backend of either kind: a SQLite file, or a session with the fake PostgreSQL server.
 enum Backend {
     Sqlite { store: Sqlite, _folder: Folder },
     Postgres { client: BlockingClient, _server: Postgres, number: u64 },
@@ -109,8 +109,7 @@
         let steps = [
             (put("k", 5, RowState::Intent), 5, RowState::Intent),
             (put("k", 5, completed(b"\0r\xff")), 5, completed(b"\0r\xff")),
-            // The same batch is made once more, after a broken connection: the intent must not undo the
-            // result.
+            // The intent is written again, as after a broken connection: it must not replace the result.
             (put("k", 5, RowState::Intent), 5, completed(b"\0r\xff")),
             (put("k", 4, RowState::Failed), 5, completed(b"\0r\xff")),
             (Write::Remove { key: "k".into(), sequence: 4 }, 5, completed(b"\0r\xff")),
@@ -314,10 +313,10 @@
         assert_eq!(store.execute(&Work::Commit(rows)), Outcome::Done);
     };
     write_rows(&folder);
-    // Another process owns the store: the lock file excludes a second owner, in whichever process it is.
+    // Another process owns the store: the lock file excludes a second owner, also within the same process.
     let owner = Sqlite::open(&folder.file(), &Options::default()).expect("the store opens");
-    assert_rejected(&folder.file(), "in use by another process; stop that process first");
-    // The store can be checked read-only meanwhile.
+    assert_rejected(&folder.file(), "in use by another process; end that process, nothing was changed");
+    // The store can be checked read-only while it has an owner.
     sqlite::check(&folder.file()).expect("the store is intact");
     drop(owner);
     // Another program holds the write lock.
@@ -362,7 +361,7 @@
     for _ in 0..120 {
         let other = Folder::new();
         let mut damaged = bytes.clone();
-        // A run of bytes is overwritten, as by a bad sector; it may hit any page with rows or indexes.
+        // A run of bytes is overwritten, as by a bad sector; any page with rows or indexes may be damaged.
         let at = rng.usize(..damaged.len());
         let to = (at + rng.usize(1..600)).min(damaged.len());
         damaged[at..to].iter_mut().for_each(|b| *b = rng.u8(..));
@@ -372,7 +371,7 @@
                 rejected += 1;
                 assert!(!error.to_string().contains('\n'), "{error}");
             }
-            // The damage hit free space, which may hold anything.
+            // The damage is in free space of the file, whose bytes have no meaning.
             Ok(mut found) => {
                 opened += 1;
                 found.rows.sort_by_key(|r| r.sequence);
--- a/crates/idempotency/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -41,7 +41,7 @@
         self.key_table.lookup(self.now, key, 1, at)
     }
 
-    /// Lets a first attempt of a key arrive and asks for its run.
+    /// Reports the arrival of the first attempt of a key, and asks whether its run may begin.
     fn begin(&mut self, key: &str, n: u128) -> RunPermit {
         assert_eq!(self.find(key, self.now), Lookup::Vacant, "{key}");
         let (key, until): (Rc<str>, _) = (key.into(), self.now.plus(WINDOW));
@@ -93,8 +93,8 @@
     Row { key: key.into(), holder: n, fingerprint: 1, ingress, expires, sequence: 7, state }
 }
 
-/// Hard case 5 of the design: whether an attempt counts as a repeat, by the time since the first attempt and
-/// by how far the wall clock was set meanwhile.
+/// Hard case 5 of the design: the wall clock is set between two attempts of a key. Within the window, the
+/// second attempt must count as a repeat all the same.
 #[test]
 fn a_repeat_within_the_window_is_recognised_whichever_way_the_clock_was_set() {
     // Milliseconds since the run's ingress; milliseconds by which the wall clock was set meanwhile; whether
@@ -266,7 +266,7 @@
     assert_eq!(harness.begin("out", 5), RunPermit::Pending);
 }
 
-/// A disk is full. A node that retried its whole queue at every turn would keep the disk busy; one that
+/// A disk is full. A node that sent its whole queue again and again would keep the disk busy; a node that
 /// stopped trying would need a restart.
 #[test]
 fn a_store_that_fails_is_probed_with_one_write_at_growing_intervals() {
@@ -401,8 +401,8 @@
     }
     assert!((8..16).contains(&long), "{long} results of 4 KiB fit in 64 KiB");
     assert!(harness.key_table.metrics().bytes <= 64 << 10);
-    // What has run is still known, and the retry-after says when there is room again: at the end of the first
-    // window.
+    // The keys of completed runs are still known, and the retry-after ends when there is room again, at the
+    // end of the first window.
     assert_eq!(harness.find("k0", harness.now), Lookup::Original(id(0)));
     let retry_after = book_one(&mut harness, 500, 1).expect("the memory limit is reached");
     assert!(retry_after > Micros::millis(20_000), "{retry_after:?}");
--- a/crates/settings/src/builtins.rs
+++ b/crates/settings/src/builtins.rs
@@ -13,7 +13,8 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-/// Most founding members of a cluster. All of them vote, and each further voter makes a quorum slower.
+/// Maximum number of founding members of a cluster. All of them vote, and each further voter makes a quorum
+/// slower.
 const MAX_MEMBERS: usize = 7;
 /// Default duration of a cluster's lease, in milliseconds: several times the longest pause of a healthy
 /// network.
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -18,7 +18,7 @@
     TooLong {
         /// Path of the script.
         path: String,
-        /// Most bytes that a script may have.
+        /// Maximum size of a script, in bytes.
         limit: u64,
     },
     /// The script does not evaluate, or a value that it sets is not valid.
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -9,14 +9,15 @@
 use starlark::syntax::{AstModule, Dialect};
 use std::path::Path;
 
-/// Most bytes that a script may have: far more than all settings take.
+/// Maximum size of a script, in bytes: far more than all settings take.
 const MAX_SCRIPT_BYTES: u64 = 64 * 1024;
-/// Most steps (calls and iterations of loops) that a script may take, so that a script that does not end is
-/// an error when the node starts.
+/// Maximum number of steps (calls and iterations of loops) that a script may take: a script that does not end
+/// is reported as an error when the node starts.
 const MAX_STEPS: u64 = 200_000;
-/// Most memory on the heap of the interpreter, in bytes: the smallest node has 32 MB in total.
+/// Maximum memory on the heap of the interpreter, in bytes: a small part of the 32 MB that the smallest node
+/// has in total.
 const MAX_HEAP_BYTES: usize = 4 << 20;
-/// Deepest nesting of calls that a script may have, so that endless recursion is an error instead of a stack
+/// Maximum depth of nested calls in a script, so that endless recursion is an error instead of a stack
 /// overflow.
 const MAX_CALL_DEPTH: usize = 50;
 
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -60,16 +60,16 @@
     /// Where the store keeps its rows.
     #[serde(flatten)]
     pub backend: Backend,
-    /// Most idempotency keys in the table.
+    /// Maximum number of idempotency keys in the table.
     pub entries: usize,
-    /// Most memory that the idempotency table takes, in megabytes.
+    /// Maximum memory of the idempotency table, in megabytes.
     pub memory_mb: usize,
     /// Longest time that a write may take, in milliseconds. A write that takes longer opens the store's
     /// circuit breaker.
     pub stall_ms: u64,
-    /// Most writes in one transaction.
+    /// Maximum number of writes in one transaction.
     pub batch: usize,
-    /// Most writes that wait in the queue for a transaction.
+    /// Maximum number of writes that wait in the queue for a transaction.
     pub waiting: usize,
 }
 
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -233,7 +233,7 @@
     Ok(violations == 0)
 }
 
-/// Tries to leave out one fault after the other, as long as the first broken rule stays the same, and prints
+/// Leaves out, one after the other, the faults without which the first broken rule stays the same, and prints
 /// the faults that remain. Returns whether the world of the seed breaks no rule at all.
 fn shrink(seed: u64, length: Micros) -> bool {
     let full = play(seed, length, &BTreeSet::new(), false);
--- a/crates/simulation/src/process_cluster/check.rs
+++ b/crates/simulation/src/process_cluster/check.rs
@@ -73,7 +73,7 @@
 struct RetainedVersions {
     /// Content of each version, by its number.
     contents: BTreeMap<u64, String>,
-    /// Number of the version with a proposal's content, by the proposal's number.
+    /// For each proposal, by its number: the number of the version that has its content.
     by_proposal: BTreeMap<u64, u64>,
 }
 
--- a/crates/simulation/src/process_cluster/error.rs
+++ b/crates/simulation/src/process_cluster/error.rs
@@ -20,7 +20,8 @@
     /// The process was started without a pipe for its log.
     #[error("the process has no pipe for its standard error")]
     NoStandardError,
-    /// The process ended, or its start timed out, before it reported where it listens; with its log.
+    /// The process ended, or its start timed out, before it reported where it listens. The field holds the
+    /// log of the process.
     #[error("the process did not report where it listens; its log: {0}")]
     NotListening(String),
     /// A process did not start.
@@ -31,7 +32,7 @@
         /// The cause.
         error: Box<ProcessClusterError>,
     },
-    /// A process rejected an operator's call, with this answer.
+    /// A process rejected an operator's call. The field holds the answer of the process.
     #[error("{0}")]
     Rejected(String),
     /// The answer of a process is not JSON.
@@ -48,21 +49,23 @@
         /// The status that each awaited process reports, or why it reports none.
         statuses: Vec<Result<String, String>>,
     },
-    /// A metric did not reach the expected value in time; with all metrics of the process.
-    #[error("the metric did not reach the expected value; all metrics: {0}")]
+    /// A metric did not reach the expected value in time. The field holds all metrics of the process.
+    #[error(
+        "a metric of the process did not reach the expected value in time; all metrics of the process: {0}"
+    )]
     MetricNotReached(String),
     /// The processes did not come to act on the same, last version in time.
     #[error("the processes do not act on the same version after {} s: {statuses:?}", timeout.as_secs())]
     NotConverged {
         /// How long the processes had to converge.
         timeout: Duration,
-        /// The status that each process reports; none if it does not answer.
+        /// The status that each process reports; `None` if the process does not answer.
         statuses: Vec<Option<Value>>,
     },
 }
 
 impl ProcessClusterError {
-    /// Makes the error of a failed operation of the system, for `map_err`.
+    /// Returns a function for `map_err` that makes the error of a failed operation of the system.
     pub(super) fn io(operation: &'static str) -> impl Fn(std::io::Error) -> Self {
         move |error| ProcessClusterError::Io { operation, error }
     }
--- a/crates/simulation/src/process_cluster/idle_cost.rs
+++ b/crates/simulation/src/process_cluster/idle_cost.rs
@@ -6,9 +6,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// Serial of the measured cluster, which tells its folder from those of runs; a run's serial is its seed.
+/// Serial number of the measured cluster, which is part of the name of its folder. The serial number of a run
+/// is its seed, so the folders differ unless a run has this seed.
 const CLUSTER_SERIAL: u64 = 9_000_000;
-/// Serial of the standalone process, for the same purpose.
+/// Serial number of the standalone process, which is part of the name of its folder.
 const STANDALONE_SERIAL: u64 = 9_000_001;
 /// Number of turns in which the reads go to the cluster and then to the standalone process, so that other load
 /// on the machine affects both.
--- a/crates/simulation/src/process_cluster/mod.rs
+++ b/crates/simulation/src/process_cluster/mod.rs
@@ -48,7 +48,7 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval between two calls that read a process's status or metrics while waiting for a change.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The subject of proposal 0; that of a proposal is this number plus the proposal's.
+/// The subject of proposal 0; the subject of any proposal is this number plus the proposal's number.
 const FIRST_SUBJECT: u64 = 0x1000_0000_0000_0000;
 
 /// The subject that the version of this proposal blocks; proposals are numbered from 1 in each run.
--- a/crates/simulation/src/process_cluster/operator.rs
+++ b/crates/simulation/src/process_cluster/operator.rs
@@ -36,11 +36,11 @@
         }
     }
 
-    /// Proposes a content again and again until it is committed, found unsound, or the wait times out;
-    /// returns its version.
+    /// Proposes a content again and again until the content is committed, a node rejects the content as one
+    /// that it could not act on (`unsound`), or the wait times out; returns the version.
     ///
     /// # Errors
-    /// The last error, if the content is unsound or no attempt succeeds in time;
+    /// The last error, if a node rejects the content as `unsound` or no attempt succeeds in time;
     /// [`ProcessClusterError::NoVersion`] or [`ProcessClusterError::MalformedAnswer`] if it was accepted, but
     /// the answer has no version. If an answer was lost, the content may have been committed all the same.
     pub fn commit(&self, process: usize, content: &Value) -> Result<u64, ProcessClusterError> {
@@ -105,7 +105,7 @@
         status.is_some_and(|status| status["acts"] == true && status["in_effect"].as_u64() == Some(version))
     }
 
-    /// The state of the cluster as a process reports it; none if the process does not answer.
+    /// The state of the cluster as a process reports it; `None` if the process does not answer.
     pub(super) fn status(&self, process: usize) -> Option<Value> {
         let status = self.call(process, "STATUS").ok()?;
         serde_json::from_str(&status).ok()
--- a/crates/simulation/src/process_cluster/plan.rs
+++ b/crates/simulation/src/process_cluster/plan.rs
@@ -9,14 +9,14 @@
 /// Time of the first fault, in milliseconds from the start of the run: late enough that a first version is
 /// committed.
 const FIRST_FAULT_MS: u64 = 1_000;
-/// Length of the last part of a run, in which no new fault is injected, in milliseconds.
+/// Length of the last part of a run, in milliseconds; no new fault is injected in that part.
 const LAST_FAULT_MARGIN_MS: u64 = 500;
 /// Delay of a slow link: as long as several heartbeats.
 const SLOW_LINK: Duration = Duration::from_millis(150);
 
-/// A fault of links or processes, or a proposal. Processes are numbered from 0. The `Debug` form is what
-/// operators see of a plan, and a plan's digest is computed from it: other words there give each plan another
-/// digest.
+/// A fault of links or processes, or a proposal. Processes are numbered from 0. Plans are printed in their
+/// `Debug` form, and a plan's digest is computed from that form, so a renamed variant or field changes the
+/// digest of each plan.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Fault {
     /// Sets the delivery of the link between two processes, in each direction.
@@ -71,7 +71,8 @@
 }
 
 impl Fault {
-    /// Whether the fault concerns a process or is a proposal. These take time, during which the plan goes on.
+    /// Whether the fault concerns a process or is a proposal. To inject such a fault takes time, and the plan
+    /// goes on meanwhile.
     pub(super) fn takes_time(&self) -> bool {
         matches!(self, Fault::Kill { .. } | Fault::Pause { .. } | Fault::Propose(_))
     }
--- a/crates/simulation/src/process_cluster/processes.rs
+++ b/crates/simulation/src/process_cluster/processes.rs
@@ -22,7 +22,7 @@
 const CLOCK_TICK_MS: u64 = 10;
 /// Index of the user time in `/proc/PID/stat`, from 0 for the field after the process's name.
 const USER_TIME_FIELD: usize = 11;
-/// Index of the system time, counted in the same way.
+/// Index of the system time in `/proc/PID/stat`, counted like [`USER_TIME_FIELD`].
 const SYSTEM_TIME_FIELD: usize = 12;
 
 /// A running process.
@@ -67,7 +67,7 @@
 /// Node processes with a relay between each pair. The processes end when this value is dropped, or when this
 /// program ends in any other way.
 pub struct ProcessCluster {
-    /// Ends the processes if this program is killed.
+    /// A helper that ends the processes if this program is killed.
     guard: Guard,
     program: PathBuf,
     folder: PathBuf,
@@ -295,8 +295,8 @@
         Gateway::connect(&address, ANSWER_TIMEOUT).map_err(ProcessClusterError::io("connecting the gateway"))
     }
 
-    /// CPU time that a process has used since its start, user and system, in milliseconds; none if it is not
-    /// running.
+    /// CPU time (user and system) that a process has used since its start, in milliseconds; `None` if the
+    /// process is not running.
     pub(super) fn cpu_ms(&self, process: usize) -> Option<u64> {
         let running = lock(&self.processes[process]);
         let stat = fs::read_to_string(format!("/proc/{}/stat", running.as_ref()?.child.id())).ok()?;
--- a/crates/simulation/src/process_cluster/run.rs
+++ b/crates/simulation/src/process_cluster/run.rs
@@ -16,14 +16,14 @@
 
 /// Delay between two rounds of probes of a process: short compared with a lease.
 const PROBE_INTERVAL: Duration = Duration::from_millis(15);
-/// Number of proposals whose subjects a round of probes reads about: the last one, and those whose versions may
-/// still be in effect at a process.
+/// Number of proposals whose subjects each round of probes reads about: the last proposal, and earlier ones
+/// whose versions may still be in effect at a process.
 const PROBED_PROPOSALS: usize = 4;
 /// Number of low bits of a request's number that count the requests of one prober; the bits above hold the
 /// process's number.
 const REQUEST_BITS: u32 = 48;
-/// Time from the end of the plan until all processes that were paused or killed run again: the longest pause,
-/// and a start.
+/// Time from the end of the plan until all processes that were paused or killed run again: as long as the
+/// longest pause and the start of a process.
 const SETTLING_TIME: Duration = Duration::from_millis(2_200);
 /// Interval between two reads of the processes' status while they converge.
 const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/src/bin/simulator_adapter/settings.rs
+++ b/src/bin/simulator_adapter/settings.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// The values of the line's fields, by key.
+/// The values of the fields of the line, by the field's name.
 struct Keys<'a>(HashMap<&'a str, &'a str>);
 
 impl Keys<'_> {
--- a/src/cluster_command.rs
+++ b/src/cluster_command.rs
@@ -17,8 +17,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Longest time that the called node may lag behind the leader after a join; far longer than a connection
-/// between the two takes.
+/// Longest time that the called node may lag behind the leader after a join; far longer than it takes to
+/// connect the two nodes.
 const MEMBERSHIP_TIMEOUT: Duration = Duration::from_secs(8);
 /// Interval between two status calls while the called node lags behind the leader.
 const MEMBERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -43,7 +43,7 @@
     Propose {
         /// Path of a JSON file with `settings` and `lists`.
         file: PathBuf,
-        /// Number that the last version must have for the proposal to be accepted; none accepts any.
+        /// Number that the last version must have for the proposal to be accepted; `None` accepts any number.
         expect: Option<u64>,
         /// Whether to accept a version that starves a keyed class.
         force: bool,
@@ -57,7 +57,7 @@
     Remove {
         /// Name of the node.
         name: String,
-        /// Whether to remove the node even if the remaining cluster could not survive the loss of another node.
+        /// Whether to remove the node even if the remaining voters that can be reached are no majority.
         force: bool,
     },
     /// Proposes the content of an earlier version as the next version.
@@ -72,8 +72,8 @@
 /// Which node is called, and how its answers are printed.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The node's second address; without it BALANCER_ADMIN_ADDR applies, then `admin_addr` of the
-    /// configuration.
+    /// The second address of the node, from `--admin`; if `None`, the address in BALANCER_ADMIN_ADDR is
+    /// called, or else `admin_addr` of the configuration.
     pub admin: Option<SocketAddr>,
     /// Whether to print JSON instead of text.
     pub json: bool,
@@ -122,7 +122,7 @@
     }
 }
 
-/// Carries out a task and prints its result to standard output.
+/// Carries out an operator's task on the cluster and prints its result to standard output.
 pub fn run(task: &Task, target: &Target) -> Result<(), Failure> {
     Ok(carry_out(task, target)?)
 }
@@ -217,8 +217,8 @@
     Ok(line)
 }
 
-/// Tells the operator how to start a node that has joined. Waits for the called node to learn of the new
-/// membership, which may be after the leader has.
+/// Tells the operator how to start a node that has joined. Waits until the called node has learned of the new
+/// membership, which may be later than the leader.
 fn start_instructions(
     client: &AdminClient,
     name: &str,
--- a/src/cluster_command/admin_client.rs
+++ b/src/cluster_command/admin_client.rs
@@ -10,17 +10,18 @@
 /// Longest wait for a connection and for an answer: longer than the leader takes to validate and commit a
 /// proposal, or to give up on it.
 const TIMEOUT: Duration = Duration::from_secs(8);
-/// Longest answer that is read, in bytes; above the size of any version's content and of the history.
+/// Longest answer that is read, in bytes; larger than the content of any version, and than the answer to
+/// `HISTORY`.
 const MAX_ANSWER_BYTES: u64 = 4 << 20;
 
-/// Calls one node at its second address.
+/// A client that calls one node at the node's second address.
 pub struct AdminClient {
     address: SocketAddr,
 }
 
 impl AdminClient {
-    /// Uses this address; without it, BALANCER_ADMIN_ADDR, then `admin_addr` of the file that BALANCER_CONFIG
-    /// names.
+    /// Creates a client that calls the node at `address`, or else at BALANCER_ADMIN_ADDR, or else at
+    /// `admin_addr` of the file that BALANCER_CONFIG names.
     pub fn new(address: Option<SocketAddr>) -> Result<Self, ClusterCommandError> {
         if let Some(address) = address {
             return Ok(AdminClient { address });
--- a/src/idempotency_command.rs
+++ b/src/idempotency_command.rs
@@ -1,8 +1,8 @@
 //! The sub-command `gaugestand record`: inspects and prunes the idempotency store.
 //!
-//! `check`, `list` and `stats` only read, and also work beside a running node. `prune` changes a SQLite file
-//! only while no node serves from it; in PostgreSQL it removes rows of one node, also while that node runs. A
-//! problem with a store is reported in one line.
+//! `check`, `list` and `stats` only read, and also work while a node uses the store. `prune` changes a SQLite
+//! file only while no node uses the file; in PostgreSQL it removes rows of one node, also while that node
+//! runs. A problem with a store is reported in one line.
 
 use crate::Failure;
 use gaugestand_admission::time::{Micros, UnixTime};
@@ -26,7 +26,7 @@
 /// An operator's task on an idempotency store.
 #[derive(Clone, Debug)]
 pub enum Task {
-    /// Reads the whole store and reports whether it is sound.
+    /// Reads the whole store and reports whether it is intact.
     Check,
     /// Prints every row.
     List,
@@ -41,7 +41,7 @@
 pub struct Target {
     /// Path of the operators' script, which names the store.
     pub settings: PathBuf,
-    /// Name of the node whose rows are used, in PostgreSQL; without it BALANCER_NAME applies.
+    /// Name of the node whose rows in PostgreSQL are used; `None` for the name in BALANCER_NAME.
     pub node: Option<String>,
     /// Whether to print JSON instead of text.
     pub json: bool,
@@ -107,9 +107,9 @@
     failed: u64,
     live: u64,
     result_bytes: u64,
-    /// The lowest `ran_ms` of a row; none without rows.
+    /// The lowest `ran_ms` of all rows; `None` if there are no rows.
     oldest_ms: Option<u64>,
-    /// The highest `ran_ms` of a row; none without rows.
+    /// The highest `ran_ms` of all rows; `None` if there are no rows.
     newest_ms: Option<u64>,
 }
 
@@ -212,7 +212,7 @@
         return Err(Failure::Start(format!("idempotency store {}: the file does not exist", path.display())));
     }
     let store = Sqlite::open(path, &Options::default()).map_err(start_failure)?;
-    let removed = store.prune(before).map_err(|error| unreadable(path, &error))?;
+    let removed = store.prune(before).map_err(|error| unusable(path, &error))?;
     Ok(removed as u64)
 }
 
@@ -232,7 +232,7 @@
     match backend {
         Backend::Sqlite { path, .. } => {
             let store = sqlite::open_read_only(path).map_err(start_failure)?;
-            sqlite::for_each_row(&store, visit).map_err(|error| unreadable(path, &error))
+            sqlite::for_each_row(&store, visit).map_err(|error| unusable(path, &error))
         }
         Backend::Postgres { address, .. } => {
             let login = login(backend, node)?;
@@ -258,8 +258,8 @@
     Failure::Start(error.to_string())
 }
 
-fn unreadable(path: &Path, error: &dyn Display) -> Failure {
-    Failure::Start(format!("idempotency store {}: is damaged ({error}); restore it", path.display()))
+fn unusable(path: &Path, error: &dyn Display) -> Failure {
+    Failure::Start(format!("idempotency store {}: cannot be read or changed: {error}", path.display()))
 }
 
 fn unix_time() -> UnixTime {
@@ -270,7 +270,8 @@
     serde_json::to_string(value).map_err(start_failure)
 }
 
-/// Prints a line to standard output. A closed pipe counts as success: the reader wants no more.
+/// Prints a line to standard output. A closed pipe counts as success, as the program that reads the output
+/// needs no more lines.
 fn print(line: &str) -> Result<(), Failure> {
     match writeln!(io::stdout(), "{line}") {
         Err(error) if error.kind() != io::ErrorKind::BrokenPipe => Err(start_failure(error)),
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,7 @@
 //! The command line of the booking node: runs one sub-command and returns its exit status.
 //!
-//! Exit status 0 is success, 1 an error of the configuration or the system, 2 one of the operators' script.
+//! Exit status 0 is success, 1 is an error of the configuration or the system, and 2 is an error in the
+//! operators' script.
 #![deny(unsafe_code)]
 
 mod cluster_command;
@@ -86,7 +87,7 @@
         let target = target();
         construct!(Command::Record(task, target)).to_options().descr(descr).command(name)
     };
-    let record_check = task("check", Task::Check, "Read the whole store and report whether it is sound");
+    let record_check = task("check", Task::Check, "Read the whole store and report whether it is intact");
     let list = task("list", Task::List, "Print every row");
     let stats = task("stats", Task::Stats, "Count the rows by state");
     let prune = {
@@ -112,13 +113,14 @@
 
 fn cluster_commands() -> impl Parser<Command> {
     let target = || {
-        let admin =
-            long("admin").help("A node's second address; else BALANCER_ADMIN_ADDR, else the configuration's");
+        let admin = long("admin")
+            .help("A node's second address; else BALANCER_ADMIN_ADDR, else admin_addr of the configuration");
         let admin = admin.argument("ADDRESS").optional();
         let json = long("json").help("Print JSON instead of text").switch();
         construct!(cluster_command::Target { admin, json })
     };
-    let force = || long("force").help("Even if it starves a keyed class or leaves too few nodes").switch();
+    let force =
+        || long("force").help("Go on even if a keyed class starves or too few nodes are left").switch();
     let number = |name: &'static str| positional::<u64>(name);
     let command = |task: Box<dyn Parser<cluster_command::Task>>, descr: &'static str, name: &'static str| {
         let target = target();
