--- a/crates/cluster/src/consensus/error.rs
+++ b/crates/cluster/src/consensus/error.rs
@@ -40,9 +40,9 @@
     /// No leader is known and reachable, or the leader cannot reach a majority of the voters.
     #[error("no majority: too few nodes can be heard; see 'gaugestand fleet status'")]
     NoMajority,
-    /// The leader cannot accept a proposal at the moment: another one is pending, the last version in its log
-    /// is not active yet, or the leader is draining or handing leadership over. Also if too many forwarded
-    /// proposals wait for a result.
+    /// The leader cannot accept a proposal at the moment: another proposal is pending, the last version in
+    /// its log is not active yet, or the leader is draining or handing leadership over. Also if too many
+    /// forwarded proposals wait for a result.
     #[error("another version is in work or not in effect yet; try again in a moment")]
     Busy,
     /// The content is longer than [`MAX_CONTENT_BYTES`]. The field is its length in bytes.
--- a/crates/cluster/src/consensus/membership_changes.rs
+++ b/crates/cluster/src/consensus/membership_changes.rs
@@ -41,8 +41,8 @@
     /// Proposes to promote a learner that has caught up with the log, if this node leads and can accept a
     /// proposal.
     pub(super) fn promote_learner(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
-        // Checked first because there is rarely a learner to promote: then nothing has to be read from the
-        // log.
+        // This check comes first: there is rarely a learner to promote, and without one the log need not be
+        // read.
         if self.membership.promotable_learners().next().is_none() {
             return;
         }
--- a/crates/cluster/src/diff.rs
+++ b/crates/cluster/src/diff.rs
@@ -70,7 +70,7 @@
 /// One difference between two versions. Commands print it in JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Difference {
-    /// Path of the setting, with its class by name, or `lists.NAME` for a list.
+    /// Path of the setting, in which a class appears by its name; `lists.NAME` for a list.
     #[serde(rename = "at")]
     pub path: String,
     /// What the difference means for nodes on either version.
--- a/crates/cluster/src/log_storage.rs
+++ b/crates/cluster/src/log_storage.rs
@@ -28,7 +28,7 @@
     /// An entry or the hard state (term, vote and commit index) is malformed.
     #[error("an entry or the hard state (term, vote and commit index) cannot be decoded")]
     MalformedEntry,
-    /// The base of the log, which stands for the compacted entries, is malformed.
+    /// The base of the log, which replaces the compacted entries, is malformed.
     #[error("the part of the log that replaces removed entries cannot be decoded")]
     MalformedBase,
     /// The membership in the base is malformed.
--- a/crates/cluster/src/wire/messages.rs
+++ b/crates/cluster/src/wire/messages.rs
@@ -165,7 +165,8 @@
     /// Raft term of the last compacted entry.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// The last compacted version; there is none if this is absent or its number is 0.
+    /// The last compacted version. No version was compacted if the field is absent or the version's number is
+    /// 0.
     #[prost(message, optional, tag = "3")]
     pub last: Option<VersionEntry>,
     /// The membership under the last compacted version, in JSON; empty if it is the initial one.
--- a/crates/cluster/tests/lease.rs
+++ b/crates/cluster/tests/lease.rs
@@ -354,9 +354,9 @@
     worst
 }
 
-// A node is paused while it holds a lease, or its clock is slow, and meanwhile the others commit a version
-// that blocks a subject. If the node still acted on the old version while another node acts on the new one,
-// the subject would be both served and blocked.
+// A node that holds a lease is paused or has a slow clock, and in that time the others commit a version that
+// blocks a subject. If the node still acted on the old version while another node acts on the new one, the
+// subject would be both served and blocked.
 #[test]
 fn no_two_nodes_act_on_conflicting_versions_at_a_time() {
     for changes in [false, true] {
--- a/crates/cluster/tests/stored_forms.rs
+++ b/crates/cluster/tests/stored_forms.rs
@@ -68,7 +68,7 @@
     Payload::ProposalResult(ProposalResult { ticket: 77, version, problem: problem.to_string() })
 }
 
-/// One payload of each kind, with its name in the fixture.
+/// One payload of each kind, with the name of its bytes in the fixture.
 fn payloads() -> Vec<(&'static str, Payload)> {
     let request_id = 5 << 32 | 1;
     let validation = ValidationRequest { id: 9, content: CONTENT.to_vec(), force: true };
--- a/crates/idempotency/src/consensus_log.rs
+++ b/crates/idempotency/src/consensus_log.rs
@@ -43,8 +43,8 @@
     _lock: File,
 }
 
-/// A value as read from the file, with its place (the name of a cell or the index of an entry) and the
-/// checksum that was written with it.
+/// A value as read from the file, the place of the value (the name of a cell or the index of an entry), and
+/// the checksum that was written with the value.
 struct Stored<K> {
     place: K,
     value: Vec<u8>,
@@ -54,7 +54,8 @@
 /// Name of a value that does not match its checksum.
 struct DamagedValue(String);
 
-/// Checksum of a value and its place. It shows that the value is as it was written, and in the same place.
+/// Checksum of a value and of the value's place. A match shows that the value is unchanged and in the place
+/// where it was written.
 fn checksum(place: &str, value: &[u8]) -> Checksum {
     let mut hasher = blake3::Hasher::new();
     hasher.update(place.as_bytes()).update(&[0]).update(value);
--- a/crates/idempotency/src/error.rs
+++ b/crates/idempotency/src/error.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Kind and path of a file, as messages name it.
+/// Kind and path of a file, by which error messages name the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreFile {
     /// Name of this kind of file in messages to operators.
@@ -186,7 +186,7 @@
     /// A message of the server exceeds the size limit.
     #[error("the server sent a message longer than {max} bytes", max = crate::postgres::MAX_MESSAGE_BYTES)]
     TooLong,
-    /// The server sent a message that does not belong to the present step of the session.
+    /// The server sent a message that the session does not expect in the step that it has reached.
     #[error("the server sent a message that the session does not expect at this point")]
     OutOfTurn,
     /// The server reported that it is ready although no work was in flight.
--- a/crates/idempotency/src/postgres/mod.rs
+++ b/crates/idempotency/src/postgres/mod.rs
@@ -373,7 +373,7 @@
         let first = columns.first().copied().flatten();
         match &mut self.step {
             Step::ReadingVersion(version) => {
-                // The version arrives as text, as it was read with a simple query.
+                // The version was read with a simple query, whose results are text.
                 let text = first.and_then(|text| std::str::from_utf8(text).ok());
                 *version = text.and_then(|text| text.parse().ok());
             }
--- a/crates/idempotency/src/postgres/sql.rs
+++ b/crates/idempotency/src/postgres/sql.rs
@@ -68,7 +68,7 @@
         Statement::Prune,
     ];
 
-    /// Name of the prepared statement in the session, as it is sent.
+    /// Name under which the session prepares and executes the statement on the server.
     pub fn name(self) -> &'static str {
         match self {
             Statement::TakeName => "adopt",
--- a/crates/idempotency/src/row.rs
+++ b/crates/idempotency/src/row.rs
@@ -188,7 +188,8 @@
 /// What a backend found when it was opened.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Recovery {
-    /// All rows under this node's name; none if there are more than the limit that the node has set.
+    /// All rows under this node's name; empty if the store has more rows than the limit that the node has
+    /// set.
     pub rows: Vec<Row>,
     /// Number of rows that were found; greater than the length of `rows` if they exceed the limit. A backend
     /// may stop counting above the limit.
--- a/crates/idempotency/src/sqlite/file.rs
+++ b/crates/idempotency/src/sqlite/file.rs
@@ -19,7 +19,7 @@
 /// Length of a stored checksum, in bytes: enough to detect accidental damage; forgery is not a concern.
 const CHECKSUM_BYTES: usize = 8;
 
-/// Checksum that shows whether a stored value is as it was written.
+/// Checksum by which a change of a stored value since it was written is detected.
 pub(crate) type Checksum = [u8; CHECKSUM_BYTES];
 
 /// The checksum of all data that `hasher` has been given.
@@ -41,7 +41,7 @@
 }
 
 impl FileFormat {
-    /// The file at `path`, as messages name it.
+    /// The kind and path by which error messages name the file at `path`.
     pub(crate) fn file(&self, path: &Path) -> StoreFile {
         StoreFile::new(self.kind, path)
     }
--- a/crates/idempotency/src/sqlite/mod.rs
+++ b/crates/idempotency/src/sqlite/mod.rs
@@ -200,7 +200,7 @@
     }
 }
 
-/// Checksum of a row. It shows that the row is as it was written: a damaged page can hold values that SQLite
+/// Checksum of a row. A match shows that the row is unchanged: a damaged page can hold values that SQLite
 /// finds nothing wrong with.
 fn checksum(row: &Row) -> Checksum {
     let mut hasher = blake3::Hasher::new();
--- a/crates/idempotency/src/worker.rs
+++ b/crates/idempotency/src/worker.rs
@@ -61,7 +61,7 @@
         Ok(Worker { batches: Some(batch_sender), outcomes, thread })
     }
 
-    /// Submits a batch; gives it back if there is no room.
+    /// Submits a batch to the thread; returns the batch if the queue has no room for it.
     ///
     /// # Errors
     /// The batch itself if the queue is full; none of it was done, and it can be submitted again once an
--- a/crates/idempotency/tests/consensus_log.rs
+++ b/crates/idempotency/tests/consensus_log.rs
@@ -138,7 +138,7 @@
     let big = |index: u64| LogRecord { entries: vec![(index, vec![7; 8_000])], ..LogRecord::default() };
     let done = (1..100).take_while(|index| consensus_log.write(&big(*index)) == Outcome::Done).count() as u64;
     assert!((2..60).contains(&done), "{done} records were written");
-    // Compaction frees space: the record that failed is written again, in its order.
+    // Compaction frees space. Then the record that failed can be written, after the records before it.
     assert_eq!(
         consensus_log.write(&LogRecord { compact_through: Some(done / 2), ..LogRecord::default() }),
         Outcome::Done
--- a/crates/idempotency/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -94,11 +94,11 @@
 }
 
 /// Hard case 5 of the design: the wall clock is set between two attempts of a key. Within the window, the
-/// second attempt must count as a repeat all the same.
+/// second attempt must nevertheless count as a repeat.
 #[test]
 fn a_repeat_within_the_window_is_recognised_whichever_way_the_clock_was_set() {
-    // Milliseconds since the run's ingress; milliseconds by which the wall clock was set meanwhile; whether
-    // the attempt is a repeat.
+    // Milliseconds since the run's ingress; milliseconds by which the wall clock was set in that time;
+    // whether the attempt is a repeat.
     let cases: [(u64, i64, bool); 8] = [
         (29_219, 0, true),
         (29_220, 0, false),
--- a/crates/simulation/src/process_cluster/operator.rs
+++ b/crates/simulation/src/process_cluster/operator.rs
@@ -42,7 +42,7 @@
     /// # Errors
     /// The last error, if a node rejects the content as `unsound` or no attempt succeeds in time;
     /// [`ProcessClusterError::NoVersion`] or [`ProcessClusterError::MalformedAnswer`] if it was accepted, but
-    /// the answer has no version. If an answer was lost, the content may have been committed all the same.
+    /// the answer has no version. If an answer was lost, the content may have been committed nevertheless.
     pub fn commit(&self, process: usize, content: &Value) -> Result<u64, ProcessClusterError> {
         let started = Instant::now();
         loop {
--- a/src/bin/simulator_adapter/error.rs
+++ b/src/bin/simulator_adapter/error.rs
@@ -48,7 +48,7 @@
         /// The field's name.
         field: String,
     },
-    /// The code in the field `rc` stands for no outcome of the protocol.
+    /// The code in the field `rc` is not that of an outcome in the protocol.
     #[error("rc: not an outcome code")]
     UnknownOutcome,
     /// A gauge in the field `telemetry` has no `:` between name and value.
--- a/src/bin/simulator_adapter/replies.rs
+++ b/src/bin/simulator_adapter/replies.rs
@@ -68,7 +68,7 @@
     reply.push('\n');
 }
 
-/// Formats a request id as the protocol has it: `8-4-4-4-12` lower-case hexadecimal digits.
+/// A request id in the form that the simulator's protocol uses: `8-4-4-4-12` lower-case hexadecimal digits.
 struct Handle(RequestId);
 
 impl fmt::Display for Handle {
--- a/src/idempotency_command.rs
+++ b/src/idempotency_command.rs
@@ -47,7 +47,7 @@
     pub json: bool,
 }
 
-/// A row as it is printed; the field names are those of the JSON output.
+/// The printed form of a row; the field names are those of the JSON output.
 #[derive(Serialize)]
 struct PrintedRow {
     key: String,
