--- a/crates/cluster/src/diff.rs
+++ b/crates/cluster/src/diff.rs
@@ -8,8 +8,8 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What it means for clients if, of two versions, one node acts on the older and another node on the newer
-/// one.
+/// What it means for clients that one node acts on the older of two versions while another node acts on the
+/// newer one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Compatibility {
     /// No promise to a client depends on the difference: nodes may act on either version.
@@ -70,7 +70,7 @@
 /// One difference between two versions. Commands print it in JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Difference {
-    /// Path of the setting, with its class by name, or `lists.NAME` for a list.
+    /// Path of the setting, in which a class appears by its name; `lists.NAME` for a list.
     #[serde(rename = "at")]
     pub path: String,
     /// What the difference means for nodes on either version.
--- a/crates/idempotency/src/worker.rs
+++ b/crates/idempotency/src/worker.rs
@@ -61,7 +61,7 @@
         Ok(Worker { batches: Some(batch_sender), outcomes, thread })
     }
 
-    /// Submits a batch; gives it back if there is no room.
+    /// Submits a batch to the thread; returns the batch if the queue has no room for it.
     ///
     /// # Errors
     /// The batch itself if the queue is full; none of it was done, and it can be submitted again once an
@@ -114,7 +114,8 @@
         // The queue of outcomes is as long as that of batches, so the push fails only if the event loop has
         // ended.
         let _ = outcomes.push((batch.number, outcome));
-        // The write fails on a full socket; the bytes in it wake the event loop all the same.
+        // The write fails if the socket is full; then the bytes that the socket already holds wake the event
+        // loop.
         let _ = wake.write(&[1]);
     }
 }
--- a/crates/idempotency/tests/consensus_log.rs
+++ b/crates/idempotency/tests/consensus_log.rs
@@ -107,7 +107,9 @@
             .expect_err(sql)
             .to_string();
         assert!(
-            message.starts_with("agreed log") && message.contains(expected) && message.lines().count() == 1,
+            message.starts_with("consensus log")
+                && message.contains(expected)
+                && message.lines().count() == 1,
             "{message}"
         );
         assert_eq!(
@@ -127,7 +129,7 @@
 }
 
 /// The disk fills in the middle of a record. After a restart, all records that were acknowledged must be
-/// there, and nothing of the one that failed.
+/// recovered, and nothing of the record that failed.
 #[test]
 fn a_full_disk_loses_no_record_that_was_written() {
     let folder = LogFolder::new("full");
@@ -136,7 +138,7 @@
     let big = |index: u64| LogRecord { entries: vec![(index, vec![7; 8_000])], ..LogRecord::default() };
     let done = (1..100).take_while(|index| consensus_log.write(&big(*index)) == Outcome::Done).count() as u64;
     assert!((2..60).contains(&done), "{done} records were written");
-    // Compaction frees space: the record that failed is written again, in its order.
+    // Compaction frees space. Then the record that failed can be written, after the records before it.
     assert_eq!(
         consensus_log.write(&LogRecord { compact_through: Some(done / 2), ..LogRecord::default() }),
         Outcome::Done
