--- a/deploy/operator.star
+++ b/deploy/operator.star
@@ -1,8 +1,8 @@
-# The operators' settings: what this installation has beside what the platform tells each node.
-# 'gaugestand check-config --settings deploy/operator.star' says what is in effect. All of it is optional.
+# The operators' settings: those of this installation that the platform does not configure at each node.
+# 'gaugestand check-config --settings deploy/operator.star' prints the settings in effect. All of them are optional.
 # See docs/operators/settings.md.
 
-# A store of record, where a disk lasts (docs/operators/record.md):
+# A store of record, for a node with a durable disk (docs/operators/record.md):
 # record(backend = "sqlite", path = "/var/lib/gaugestand/record.db", sync = "full")
 
 log(form = "text", level = "info")
